--- a/bench/site_load.cc
+++ b/bench/site_load.cc
@@ -233,17 +233,17 @@
 }
 
 void site_load::Decide() {
-  scheduler_orders orders = Timed("decide", [&] { return scheduler_->Decide(Wall(), Mono()); });
-  scheduler_->TakeNotes();
-  for (const start_order& order : orders.starts) Start(order);
-  for (const stop_order& order : orders.stops) Stop(order);
-  for (const list_order& order : orders.listings) List(order);
-  for (advice_order& order : orders.advice) spread_.Add(std::move(order));
+  scheduler_commands orders = Timed("decide", [&] { return scheduler_->Decide(Wall(), Mono()); });
+  scheduler_->TakeEvents();
+  for (const start_command& order : orders.starts) Start(order);
+  for (const stop_command& order : orders.stops) Stop(order);
+  for (const list_command& order : orders.listings) List(order);
+  for (advice_query& order : orders.advice) spread_.Add(std::move(order));
   AskNext();
   Commit();
 }
 
-void site_load::Start(const start_order& order) {
+void site_load::Start(const start_command& order) {
   ++starts_;
   At(now_ + kLink, [this, order] {
     live_instance& instance = instances_[order.to.instance];
@@ -272,13 +272,13 @@
     }
     At(now_ + kLink, [this, order] {
       Timed("start_answer", [&] {
-        scheduler_->OnStartAnswer(order, {order_result::kDone, now_.count() + 1}, Mono());
+        scheduler_->OnStartAnswer(order, {command_result::kDone, now_.count() + 1}, Mono());
       });
     });
   });
 }
 
-void site_load::Stop(const stop_order& order) {
+void site_load::Stop(const stop_command& order) {
   At(now_ + kLink, [this, order] {
     live_instance& instance = instances_[order.to.instance];
     for (live_run& run : instance.runs) {
@@ -294,7 +294,7 @@
       });
     }
     At(now_ + kLink, [this, order] {
-      scheduler_->OnStopAnswer(order, {order_result::kDone, now_.count() + 1}, Mono());
+      scheduler_->OnStopAnswer(order, {command_result::kDone, now_.count() + 1}, Mono());
     });
   });
 }
@@ -316,7 +316,7 @@
   if (instance.waiting) Answer(instance);
 }
 
-void site_load::List(const list_order& order) {
+void site_load::List(const list_command& order) {
   ++listings_;
   At(now_ + kLink, [this, order] {
     live_instance& instance = instances_[order.to.instance];
@@ -366,7 +366,7 @@
     Timed("stored", [&] { scheduler_->OnStored(writes); });
     scheduler_->OnFleetStored(fleet);
     CountFinals();
-    for (const start_order& order : scheduler_->TakeStarts(Mono())) Start(order);
+    for (const start_command& order : scheduler_->TakeStarts(Mono())) Start(order);
     Soon();
     Commit();
   });
--- a/bench/site_load.h
+++ b/bench/site_load.h
@@ -93,7 +93,7 @@
     std::vector<ended_row> ended;
     uint64_t last_end = 0;
     bool waiting = false;
-    list_order listing;
+    list_command listing;
     std::chrono::milliseconds asked{0};
   };
   struct live_job {
@@ -115,9 +115,9 @@
   void Submit(size_t queue);
   void Soon();
   void Decide();
-  void Start(const start_order& order);
-  void Stop(const stop_order& order);
-  void List(const list_order& order);
+  void Start(const start_command& order);
+  void Stop(const stop_command& order);
+  void List(const list_command& order);
   void End(live_instance& instance, size_t index, run_end how);
   void Answer(live_instance& instance);
   void Commit();
--- a/src/process/scheduling/answer_time.h
+++ b/src/process/scheduling/answer_timeout.h
@@ -5,8 +5,8 @@
 // call's timeout, each start that goes there keeps its task from running elsewhere for as long,
 // several times the length of a quick task. A fixed short limit would doubt every instance whenever
 // the owner itself is slow to read answers.
-#ifndef CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIME_H_
-#define CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIME_H_
+#ifndef CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIMEOUT_H_
+#define CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIMEOUT_H_
 
 #include <algorithm>
 #include <chrono>
@@ -14,7 +14,7 @@
 
 namespace catkinford {
 
-class answer_time {
+class answer_timeout {
  public:
   void OnAnswer(std::chrono::milliseconds took) {
     const auto sample = static_cast<double>(took.count());
@@ -22,18 +22,18 @@
     mean_ += kMeanGain * (sample - mean_);
   }
 
-  std::chrono::milliseconds Patience() const {
+  std::chrono::milliseconds Timeout() const {
     const auto limit =
         std::chrono::milliseconds(static_cast<int64_t>(mean_ + kDeviations * deviation_));
-    return std::clamp(limit, kShortest, kLongest);
+    return std::clamp(limit, kMinTimeout, kMaxTimeout);
   }
 
  private:
   static constexpr double kMeanGain = 1.0 / 8;
   static constexpr double kDeviationGain = 1.0 / 4;
   static constexpr double kDeviations = 4;
-  static constexpr std::chrono::milliseconds kShortest{150};  // ten times a usual answer
-  static constexpr std::chrono::milliseconds kLongest{1200};
+  static constexpr std::chrono::milliseconds kMinTimeout{150};  // ten times a usual answer
+  static constexpr std::chrono::milliseconds kMaxTimeout{1200};
 
   double mean_ = 10;  // ms
   double deviation_ = 5;
@@ -41,4 +41,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIME_H_
+#endif  // CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIMEOUT_H_
--- a/src/process/scheduling/room_forecast.h
+++ b/src/process/scheduling/capacity_forecast.h
@@ -5,8 +5,8 @@
 // is ever empty enough, and the wide ones wait for ever though they come first. Here those next in
 // line hold the instance that will have room for them soonest; others start there only if they fit
 // beside or will have ended by then.
-#ifndef CATKINFORD_PROCESS_SCHEDULING_ROOM_FORECAST_H_
-#define CATKINFORD_PROCESS_SCHEDULING_ROOM_FORECAST_H_
+#ifndef CATKINFORD_PROCESS_SCHEDULING_CAPACITY_FORECAST_H_
+#define CATKINFORD_PROCESS_SCHEDULING_CAPACITY_FORECAST_H_
 
 #include <cstdint>
 #include <optional>
@@ -16,19 +16,19 @@
 
 namespace catkinford {
 
-class room_forecast {
+class capacity_forecast {
  public:
-  explicit room_forecast(const resources& free) { Add(free_, free, 1); }
+  explicit capacity_forecast(const resources& free) { Add(free_, free, 1); }
 
   // A run is expected to end at `when`. Runs that last have no end.
-  void AddEnd(monotonic_time when, const resources& room);
+  void AddEnd(monotonic_time when, const resources& demand);
   // Work that starts now and is expected to end at `until`.
-  void Start(const resources& room, monotonic_time until);
+  void Start(const resources& demand, monotonic_time until);
   // When `room` is free beside all that is held, `now` at the earliest; nothing: never.
-  std::optional<monotonic_time> EarliestFor(const resources& room, monotonic_time now) const;
-  void Hold(const resources& room, monotonic_time from);
+  std::optional<monotonic_time> EarliestFor(const resources& demand, monotonic_time now) const;
+  void Reserve(const resources& demand, monotonic_time from);
   // True if `room`, taken now and given back at `until`, delays nothing that holds room here.
-  bool MayUse(const resources& room, monotonic_time until) const;
+  bool MayUse(const resources& demand, monotonic_time until) const;
 
  private:
   // Signed: what is held may exceed what is free until its time comes.
@@ -39,19 +39,19 @@
   };
   struct change {
     monotonic_time when;
-    resources room;
+    resources demand;
   };
 
-  static void Add(amounts& sum, const resources& room, int sign);
-  static bool Covers(const amounts& sum, const resources& room);
+  static void Add(amounts& sum, const resources& demand, int sign);
+  static bool Covers(const amounts& sum, const resources& demand);
   // What is free at `when` less all that is held from then or earlier.
-  amounts LeftAt(monotonic_time when) const;
+  amounts FreeAt(monotonic_time when) const;
 
   amounts free_;  // now
   std::vector<change> ends_;
-  std::vector<change> holds_;
+  std::vector<change> reservations_;
 };
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SCHEDULING_ROOM_FORECAST_H_
+#endif  // CATKINFORD_PROCESS_SCHEDULING_CAPACITY_FORECAST_H_
--- a/src/process/scheduling/fleet_state.cc
+++ b/src/process/scheduling/fleet_state.cc
@@ -3,7 +3,9 @@
 namespace catkinford {
 namespace {
 
-uint32_t Left(uint32_t capacity, uint32_t used) { return used >= capacity ? 0 : capacity - used; }
+uint32_t Remaining(uint32_t capacity, uint32_t used) {
+  return used >= capacity ? 0 : capacity - used;
+}
 
 }  // namespace
 
@@ -35,16 +37,16 @@
 
 resources fleet_instance::Free() const {
   resources out;
-  out.cpu_milli = Left(report.capacity.cpu_milli, used.cpu_milli);
-  out.memory_mb = Left(report.capacity.memory_mb, used.memory_mb);
-  out.accelerators = Left(report.capacity.accelerators, used.accelerators);
+  out.cpu_milli = Remaining(report.capacity.cpu_milli, used.cpu_milli);
+  out.memory_mb = Remaining(report.capacity.memory_mb, used.memory_mb);
+  out.accelerators = Remaining(report.capacity.accelerators, used.accelerators);
   return out;
 }
 
-bool fleet_instance::Fits(const resources& room) const {
+bool fleet_instance::Fits(const resources& capacity) const {
   const resources free = Free();
-  return room.cpu_milli <= free.cpu_milli && room.memory_mb <= free.memory_mb &&
-         room.accelerators <= free.accelerators;
+  return capacity.cpu_milli <= free.cpu_milli && capacity.memory_mb <= free.memory_mb &&
+         capacity.accelerators <= free.accelerators;
 }
 
 int64_t fleet_instance::ClockAt(monotonic_time now) const {
@@ -52,7 +54,7 @@
   return clock_ms + passed.count();
 }
 
-bool fleet_instance::LeaseSurelyOver(monotonic_time now) const {
+bool fleet_instance::LeaseSurelyExpired(monotonic_time now) const {
   if (lease_until_ms == 0) return !lease_unknown;
   const auto passed = std::chrono::duration_cast<std::chrono::milliseconds>(now - clock_at);
   const double slow = static_cast<double>(passed.count()) * kSlowestClock;
--- a/src/process/scheduling/fleet_state.h
+++ b/src/process/scheduling/fleet_state.h
@@ -58,7 +58,7 @@
   job_entry* job = nullptr;  // null: a stray
   uint32_t number = 0;
   fleet_instance* instance = nullptr;
-  resources room;  // without processors for a task that fills
+  resources capacity;  // without processors for a task that fills
   bool fills = false;
   bool serves = false;  // has a tail target
   run_phase phase = run_phase::kSent;
@@ -68,17 +68,17 @@
   bool seen = false;            // an answer or a listing has shown it
   bool stop_confirmed = false;  // the instance answered the stop
   bool stop_in_flight = false;
-  monotonic_time started{};        // when the start was sent
-  monotonic_time confirmed{};      // when it was known to run
-  monotonic_time stop_asked{};     // the first stop
-  monotonic_time stop_answered{};  // the answer to it
+  monotonic_time started{};            // when the start was sent
+  monotonic_time confirmed{};          // when it was known to run
+  monotonic_time stop_requested_at{};  // the first stop
+  monotonic_time stop_answered_at{};   // the answer to it
   monotonic_time next_stop{};
   monotonic_time progressed{};  // when `percent` last grew
   uint32_t percent = 0;
-  uint32_t load = 0;    // tail in ms of a serving task, processors in use of any other
-  uint32_t pace = 100;  // percent of its speed that it is allowed
-  bool pace_in_flight = false;
-  monotonic_time next_pace{};
+  uint32_t load = 0;             // tail in ms of a serving task, processors in use of any other
+  uint32_t speed_percent = 100;  // percent of its speed that it is allowed
+  bool speed_in_flight = false;
+  monotonic_time next_speed_change{};
 };
 
 // An end that was seen and must be stored before the instance may forget it.
@@ -108,7 +108,7 @@
   bool replaced = false;       // another one answers at its address: it has ended
   // The store names it as one that may run work. Without that, the next owner would not look for
   // runs there if the registry had lost it too.
-  bool noted = false;
+  bool registered = false;
   resources used;
   std::vector<std::unique_ptr<graph_run>> runs;
 
@@ -124,12 +124,12 @@
 
   std::vector<undelivered_start> undelivered;
   // Starts that were meant for an earlier life may arrive until then, and run for a lease.
-  monotonic_time earlier_orders_until{};
+  monotonic_time earlier_commands_until{};
 
   uint32_t starts_in_flight = 0;
   // A start there has gone unanswered for too long: no further ones until the instance answers.
-  bool doubted = false;
-  monotonic_time doubted_since{};
+  bool suspect = false;
+  monotonic_time suspect_since{};
   bool check_in_flight = false;  // a listing beside the waiting one, for what became of a start
   int64_t listed_at_ms = 0;      // on its clock: the latest listing that was taken in
   bool listing_in_flight = false;
@@ -141,7 +141,7 @@
 
   double speed = 1;     // learned: estimate over true run time
   uint32_t faults = 0;  // failed runs in a row
-  monotonic_time shunned_until{};
+  monotonic_time quarantined_until{};
 
   bool Reachable() const { return silent == 0; }
   // May run work, or is to: all but those that answer nothing and of which all is given up, and
@@ -150,14 +150,14 @@
   // inherited work.
   bool InUse() const { return listed && !replaced && (!runs.empty() || (present && Reachable())); }
   resources Free() const;
-  bool Fits(const resources& room) const;
+  bool Fits(const resources& capacity) const;
   int64_t ClockAt(monotonic_time now) const;
   // True once every lease that was ever sent has surely run out on the instance's own clock.
-  bool LeaseSurelyOver(monotonic_time now) const;
+  bool LeaseSurelyExpired(monotonic_time now) const;
 };
 
 // Orders that got no answer may still be carried out up to this much later.
-constexpr std::chrono::milliseconds kLatestArrival{12000};
+constexpr std::chrono::milliseconds kMaxCommandDelay{12000};
 
 // A ticket of a queue's policy must hold this long when a start is decided on, and half of it when
 // the start leaves, so that it is still good on arrival.
--- a/src/process/scheduling/graph_state.cc
+++ b/src/process/scheduling/graph_state.cc
@@ -20,9 +20,9 @@
 void AppendDoneRanges(const step_progress& step, std::string& out) {
   out += '[';
   for (size_t i = 0; i < step.tasks.size(); ++i) {
-    if (step.tasks[i].phase != slot_phase::kDone) continue;
+    if (step.tasks[i].phase != graph_task_phase::kDone) continue;
     const size_t first = i;
-    while (i < step.tasks.size() && step.tasks[i].phase == slot_phase::kDone) ++i;
+    while (i < step.tasks.size() && step.tasks[i].phase == graph_task_phase::kDone) ++i;
     absl::StrAppend(&out, out.back() == '[' ? "" : ",", first, ",", i - first);
   }
   out += ']';
@@ -37,8 +37,8 @@
   std::string checkpoints;
   std::string runs;
   for (size_t i = 0; i < step.tasks.size(); ++i) {
-    const task_state_slot& task = step.tasks[i];
-    if (task.phase == slot_phase::kDone) continue;
+    const graph_task_state& task = step.tasks[i];
+    if (task.phase == graph_task_phase::kDone) continue;
     if (!task.failed_runs.empty()) {
       absl::StrAppend(&failures, failures.empty() ? "" : ",", "[", i, ",[",
                       absl::StrJoin(task.failed_runs, ","), "]]");
@@ -67,8 +67,8 @@
     const auto first = done[i].get<size_t>();
     const auto count = done[i + 1].get<size_t>();
     for (size_t k = first; k < first + count && k < step.tasks.size(); ++k) {
-      if (step.tasks[k].phase == slot_phase::kDone) continue;
-      step.tasks[k].phase = slot_phase::kDone;
+      if (step.tasks[k].phase == graph_task_phase::kDone) continue;
+      step.tasks[k].phase = graph_task_phase::kDone;
       --step.waiting;
       ++step.done;
     }
@@ -85,7 +85,7 @@
   for (const json& row : in.value("runs", json::array())) {
     const auto index = row.at(0).get<size_t>();
     if (index >= step.tasks.size()) continue;
-    task_state_slot& task = step.tasks[index];
+    graph_task_state& task = step.tasks[index];
     task.open_runs.push_back({row.at(1).get<uint32_t>(), row.at(2).get<std::string>(), {}});
     task.last_run = std::max(task.last_run, task.open_runs.back().number);
   }
@@ -142,7 +142,7 @@
 
 namespace {
 
-auto PlaceOf(const std::vector<advice_verdict>& verdicts, uint32_t instance) {
+auto VerdictPosition(const std::vector<advice_verdict>& verdicts, uint32_t instance) {
   return std::lower_bound(
       verdicts.begin(), verdicts.end(), instance,
       [](const advice_verdict& each, uint32_t wanted) { return each.instance < wanted; });
@@ -150,13 +150,13 @@
 
 }  // namespace
 
-const advice_verdict* step_advice::Of(uint32_t instance) const {
-  const auto found = PlaceOf(verdicts, instance);
+const advice_verdict* step_advice::FindVerdict(uint32_t instance) const {
+  const auto found = VerdictPosition(verdicts, instance);
   return found != verdicts.end() && found->instance == instance ? &*found : nullptr;
 }
 
-advice_verdict& step_advice::Make(uint32_t instance) {
-  const auto found = PlaceOf(verdicts, instance);
+advice_verdict& step_advice::MakeVerdict(uint32_t instance) {
+  const auto found = VerdictPosition(verdicts, instance);
   if (found != verdicts.end() && found->instance == instance) {
     return verdicts[static_cast<size_t>(found - verdicts.begin())];
   }
@@ -165,8 +165,8 @@
   return *verdicts.insert(found, std::move(made));
 }
 
-void step_advice::Forget(uint32_t instance) {
-  const auto found = PlaceOf(verdicts, instance);
+void step_advice::RemoveVerdict(uint32_t instance) {
+  const auto found = VerdictPosition(verdicts, instance);
   if (found != verdicts.end() && found->instance == instance) verdicts.erase(found);
 }
 
@@ -199,7 +199,7 @@
     step_progress& step = out->steps[i];
     step.tasks.resize(job.steps[i].count);
     step.waiting = job.steps[i].count;
-    for (task_state_slot& task : step.tasks) task.waiting_since = now;
+    for (graph_task_state& task : step.tasks) task.waiting_since = now;
   }
   return out;
 }
--- a/src/process/scheduling/graph_state.h
+++ b/src/process/scheduling/graph_state.h
@@ -34,7 +34,7 @@
 std::string_view ToText(graph_phase phase);
 bool IsFinal(graph_phase phase);
 
-enum class slot_phase : uint8_t { kWaiting, kActive, kDone };
+enum class graph_task_phase : uint8_t { kWaiting, kActive, kDone };
 
 // A run that may be at work. It is stored before its start is sent, so that the next owner looks
 // for it there, and need not wait for instances that have nothing to do with the task.
@@ -46,8 +46,8 @@
   monotonic_time may_arrive_until{};
 };
 
-struct task_state_slot {
-  slot_phase phase = slot_phase::kWaiting;
+struct graph_task_state {
+  graph_task_phase phase = graph_task_phase::kWaiting;
   std::vector<open_run> open_runs;
   // The runs that failed by themselves, each once: an end that was stored but not yet acknowledged
   // when its owner died is listed to the next owner again, and in any order. Counted twice, a sound
@@ -72,23 +72,23 @@
 struct step_advice {
   std::vector<advice_verdict> verdicts;  // by ordinal, ascending
   bool in_flight = false;
-  uint32_t refused_asks = 0;  // in a row
-  monotonic_time next_ask{};
+  uint32_t failed_queries = 0;  // in a row
+  monotonic_time next_query{};
 
   // Null: never asked about.
-  const advice_verdict* Of(uint32_t instance) const;
-  advice_verdict& Make(uint32_t instance);
-  void Forget(uint32_t instance);
+  const advice_verdict* FindVerdict(uint32_t instance) const;
+  advice_verdict& MakeVerdict(uint32_t instance);
+  void RemoveVerdict(uint32_t instance);
 };
 
 // An instance that will have room for a task.
-struct held_room {
+struct capacity_reservation {
   uint32_t instance = 0;  // its ordinal
   monotonic_time from{};
 };
 
 struct step_progress {
-  std::vector<task_state_slot> tasks;
+  std::vector<graph_task_state> tasks;
   uint32_t waiting = 0;
   uint32_t active = 0;
   uint32_t done = 0;
@@ -97,11 +97,11 @@
   monotonic_time ready_at{};
   step_advice advice;
   // How long tasks of the step really took, from beginning to end: they are alike.
-  std::chrono::milliseconds took_sum{0};
-  uint32_t took_count = 0;
-  // Instances that are held for its waiting tasks; as of the round `held_in`.
-  std::vector<held_room> held;
-  uint64_t held_in = 0;
+  std::chrono::milliseconds run_time_sum{0};
+  uint32_t run_time_count = 0;
+  // Instances that are held for its waiting tasks; as of the round `reserved_round`.
+  std::vector<capacity_reservation> reserved;
+  uint64_t reserved_round = 0;
   absl::flat_hash_map<const fleet_instance*, uint32_t> placed;  // tasks that hold room there
 
   bool Done() const { return done == tasks.size(); }
--- a/src/process/scheduling/job_order.cc
+++ b/src/process/scheduling/job_order.cc
@@ -2,11 +2,11 @@
 
 namespace catkinford {
 
-job_place PlaceOf(const job_outlook& job, monotonic_time now) {
-  const monotonic_time useless = job.accepted + (job.objective - job.accepted) * kUsefulFactor;
+job_order_key OrderKeyOf(const job_timing& job, monotonic_time now) {
+  const monotonic_time useful_until = job.accepted + (job.objective - job.accepted) * kUsefulFactor;
   if (now + job.remaining <= job.objective) return {job_rank::kInTime, job.objective};
-  if (now + job.remaining > useless) return {job_rank::kHopeless, useless};
-  return {job_rank::kLate, useless};
+  if (now + job.remaining > useful_until) return {job_rank::kTooLate, useful_until};
+  return {job_rank::kLate, useful_until};
 }
 
 }  // namespace catkinford
--- a/src/process/scheduling/job_order.h
+++ b/src/process/scheduling/job_order.h
@@ -16,7 +16,7 @@
 namespace catkinford {
 
 // What callers were promised, and how much of a job is still to be done.
-struct job_outlook {
+struct job_timing {
   monotonic_time accepted{};
   monotonic_time objective{};           // late after this
   std::chrono::milliseconds remaining;  // its longest chain of work, if nothing waits
@@ -25,19 +25,19 @@
 enum class job_rank : uint8_t {
   kInTime,  // can make its objective
   kLate,
-  kHopeless  // can't end before it is of no use
+  kTooLate  // can't end before it is of no use
 };
 
 // A job is of no use to its caller after this many times its objective.
 constexpr int kUsefulFactor = 3;
 
-struct job_place {
+struct job_order_key {
   job_rank rank = job_rank::kInTime;
-  monotonic_time by{};  // within a rank
+  monotonic_time deadline{};  // within a rank
 
-  auto operator<=>(const job_place&) const = default;
+  auto operator<=>(const job_order_key&) const = default;
 };
-job_place PlaceOf(const job_outlook& job, monotonic_time now);
+job_order_key OrderKeyOf(const job_timing& job, monotonic_time now);
 
 }  // namespace catkinford
 
--- a/src/process/scheduling/job_scheduler.cc
+++ b/src/process/scheduling/job_scheduler.cc
@@ -12,9 +12,9 @@
 
 // Callers' objectives allow for one question to the queue's policy a step, about this many
 // instances.
-constexpr int64_t kInstancesOfUsualAsk = 30;
-constexpr double kSpeedKeep = 0.8;   // weight of the past in an instance's learned speed
-constexpr size_t kMaxNotes = 20000;  // between two calls of TakeNotes(); more are left out
+constexpr int64_t kTypicalQueryInstances = 30;
+constexpr double kSpeedDecay = 0.8;   // weight of the past in an instance's learned speed
+constexpr size_t kMaxEvents = 20000;  // between two calls of TakeEvents(); more are left out
 
 }  // namespace
 
@@ -38,11 +38,11 @@
   return services_.try_emplace(service, static_cast<uint32_t>(services_.size() + 1)).first->second;
 }
 
-void job_scheduler::Note(scheduler_note::kind what, std::string subject, std::string detail) {
-  if (notes_.size() < kMaxNotes) notes_.push_back({what, std::move(subject), std::move(detail)});
+void job_scheduler::LogEvent(scheduler_event::kind what, std::string subject, std::string detail) {
+  if (events_.size() < kMaxEvents) events_.push_back({what, std::move(subject), std::move(detail)});
 }
 
-std::vector<scheduler_note> job_scheduler::TakeNotes() { return std::exchange(notes_, {}); }
+std::vector<scheduler_event> job_scheduler::TakeEvents() { return std::exchange(events_, {}); }
 
 const job_terms& job_scheduler::TermsOf(const job_entry& entry) const {
   return entry.queue != nullptr ? entry.queue->jobs : entry.job.terms;
@@ -68,17 +68,17 @@
     return;
   }
   active_.push_back(&entry);
-  Note(scheduler_note::kind::kJobAdded, id,
-       absl::StrCat("queue=", entry.job.queue, " workspace=", entry.job.workspace,
-                    " steps=", entry.job.steps.size(), " inherited=", inherited));
+  LogEvent(scheduler_event::kind::kJobAdded, id,
+           absl::StrCat("queue=", entry.job.queue, " workspace=", entry.job.workspace,
+                        " steps=", entry.job.steps.size(), " inherited=", inherited));
   OpenOccurrences(entry, wall, now);
-  ExpectRecorded(entry, now);
+  RestoreRecordedRuns(entry, now);
   SetObjective(entry);
 }
 
 milliseconds job_scheduler::ExpectedRun(const job_entry& entry, const step_progress& step,
                                         uint32_t index) const {
-  if (step.took_count > 0) return step.took_sum / step.took_count;
+  if (step.run_time_count > 0) return step.run_time_sum / step.run_time_count;
   return run_times_.Expected(entry.job.queue, entry.job.steps[index].estimate);
 }
 
@@ -88,43 +88,43 @@
   milliseconds advice{0};
   if (queue != nullptr && queue->advice) {
     advice = queue->advice->base +
-             duration_cast<milliseconds>(queue->advice->per_instance * kInstancesOfUsualAsk);
+             duration_cast<milliseconds>(queue->advice->per_instance * kTypicalQueryInstances);
   }
-  std::vector<milliseconds> takes;
+  std::vector<milliseconds> durations;
   const occurrence_state* first =
       entry.occurrences.empty() ? nullptr : entry.occurrences.begin()->second.get();
   for (uint32_t i = 0; i < entry.job.steps.size(); ++i) {
     const milliseconds run =
         first == nullptr ? entry.job.steps[i].estimate : ExpectedRun(entry, first->steps[i], i);
-    takes.push_back(run + advice);
+    durations.push_back(run + advice);
   }
-  const auto chain = static_cast<double>(LongestChain(entry.job.steps, takes).count());
+  const auto chain = static_cast<double>(LongestChain(entry.job.steps, durations).count());
   const milliseconds allowed(static_cast<int64_t>(entry.job.terms.stretch * chain));
   entry.objective = entry.accepted_at + allowed + entry.job.terms.target_latency;
 }
 
 milliseconds job_scheduler::RemainingChain(const job_entry& entry,
                                            const occurrence_state& occurrence) const {
-  std::vector<milliseconds> takes;
+  std::vector<milliseconds> durations;
   for (uint32_t i = 0; i < entry.job.steps.size(); ++i) {
     const step_progress& step = occurrence.steps[i];
-    takes.push_back(step.Done() ? milliseconds{0} : ExpectedRun(entry, step, i));
+    durations.push_back(step.Done() ? milliseconds{0} : ExpectedRun(entry, step, i));
   }
-  return LongestChain(entry.job.steps, takes);
+  return LongestChain(entry.job.steps, durations);
 }
 
 void job_scheduler::LearnRun(job_entry& entry, step_progress& step, const graph_run& run,
                              monotonic_time now) {
-  if (run.inherited || run.resumed || run.pace != 100) return;
+  if (run.inherited || run.resumed || run.speed_percent != 100) return;
   const step_terms& terms = entry.job.steps[run.key.step];
   const auto took = std::max(milliseconds{1}, duration_cast<milliseconds>(now - run.started));
   const auto expected = ExpectedRun(entry, step, run.key.step);
   double& speed = run.instance->speed;
-  speed = kSpeedKeep * speed + (1 - kSpeedKeep) * static_cast<double>(expected.count()) /
-                                   static_cast<double>(took.count());
+  speed = kSpeedDecay * speed + (1 - kSpeedDecay) * static_cast<double>(expected.count()) /
+                                    static_cast<double>(took.count());
   run_times_.OnRun(entry.job.queue, terms.estimate, took, 1.0 / terms.count);
-  step.took_sum += took;
-  ++step.took_count;
+  step.run_time_sum += took;
+  ++step.run_time_count;
 }
 
 // By the time at which the job was accepted, so that the next owner finds the same.
@@ -132,7 +132,7 @@
   if (version_ == nullptr || job.workspace.empty()) return false;
   const workspace_terms* workspace = version_->WorkspaceNamed(job.workspace);
   if (workspace == nullptr || workspace->weight <= 0) return false;
-  return arrivals_[job.workspace].Exceeds(workspace->weight, job.accepted);
+  return arrival_limits_[job.workspace].Exceeds(workspace->weight, job.accepted);
 }
 
 void job_scheduler::OpenOccurrences(job_entry& entry, wall_time wall, monotonic_time now) {
@@ -171,26 +171,26 @@
   SetObjective(entry);
 }
 
-void job_scheduler::Touch(job_entry& entry) {
+void job_scheduler::MarkChanged(job_entry& entry) {
   if (entry.change == entry.stored || entry.change == entry.being_stored) {
     unstored_.push_back(&entry);
   }
   ++entry.change;
 }
 
-void job_scheduler::AskStop(graph_run& run, stop_cause cause, monotonic_time now) {
+void job_scheduler::RequestStop(graph_run& run, stop_cause cause, monotonic_time now) {
   if (run.stopping != stop_cause::kNone) return;
   run.stopping = cause;
-  run.stop_asked = now;
+  run.stop_requested_at = now;
   run.next_stop = now;
 }
 
 void job_scheduler::StopAll(job_entry& entry, stop_cause cause, monotonic_time now) {
   for (auto& [number, occurrence] : entry.occurrences) {
     for (step_progress& step : occurrence->steps) {
-      for (task_state_slot& task : step.tasks) {
-        if (task.run != nullptr) AskStop(*task.run, cause, now);
-        if (task.copy != nullptr) AskStop(*task.copy, cause, now);
+      for (graph_task_state& task : step.tasks) {
+        if (task.run != nullptr) RequestStop(*task.run, cause, now);
+        if (task.copy != nullptr) RequestStop(*task.copy, cause, now);
       }
     }
   }
@@ -200,7 +200,7 @@
   if (IsFinal(entry.phase)) return;
   entry.phase = phase;
   entry.finished_at = now;
-  Touch(entry);
+  MarkChanged(entry);
   active_.erase(std::remove(active_.begin(), active_.end(), &entry), active_.end());
   final_.push_back(entry.job.id);
   if (phase != graph_phase::kCompleted) {
@@ -208,10 +208,10 @@
             phase == graph_phase::kCancelled ? stop_cause::kCancelled : stop_cause::kJobFailed,
             now);
   }
-  Note(scheduler_note::kind::kJobFinal, entry.job.id,
-       absl::StrCat("phase=", std::string(ToText(phase)),
-                    " ms=", duration_cast<milliseconds>(now - entry.arrived).count(),
-                    " late_ms=", duration_cast<milliseconds>(now - entry.objective).count()));
+  LogEvent(scheduler_event::kind::kJobFinal, entry.job.id,
+           absl::StrCat("phase=", std::string(ToText(phase)),
+                        " ms=", duration_cast<milliseconds>(now - entry.arrived).count(),
+                        " late_ms=", duration_cast<milliseconds>(now - entry.objective).count()));
 }
 
 void job_scheduler::OnCancel(const std::string& job, monotonic_time now) {
@@ -279,21 +279,21 @@
   return out;
 }
 
-scheduler_orders job_scheduler::Decide(wall_time wall, monotonic_time now) {
-  scheduler_orders orders;
+scheduler_commands job_scheduler::Decide(wall_time wall, monotonic_time now) {
+  scheduler_commands commands;
   for (job_entry* entry : active_) {
     if (entry->job.repeats > 0) OpenOccurrences(*entry, wall, now);
   }
-  DropLapsed(now);
-  JudgeOwnDelay(now);
-  CheckRuns(orders, now);
+  DropExpired(now);
+  UpdateTimeoutFactor(now);
+  CheckRuns(commands, now);
   const std::vector<ready_step> ready = ReadySteps(now);
-  if (!starts_held_) Place(ready, now);
-  orders.starts = TakeStarts(now);
-  PlanAdvice(ready, orders, now);
-  PlanPaces(orders, now);
-  PlanListings(orders, now);
-  return orders;
+  if (!starts_paused_) Place(ready, now);
+  commands.starts = TakeStarts(now);
+  PlanAdvice(ready, commands, now);
+  PlanSpeeds(commands, now);
+  PlanListings(commands, now);
+  return commands;
 }
 
 const job_entry* job_scheduler::Find(const std::string& job) const {
@@ -310,10 +310,10 @@
 bool job_scheduler::AnyCouldHold(const std::string& service, const step_terms& step) const {
   const auto found = largest_seen_.find(service);
   if (found == largest_seen_.end()) return true;
-  return std::any_of(found->second.begin(), found->second.end(), [&](const resources& room) {
-    const bool cpu = step.fills || step.need.cpu_milli <= room.cpu_milli;
-    return cpu && step.need.memory_mb <= room.memory_mb &&
-           step.need.accelerators <= room.accelerators;
+  return std::any_of(found->second.begin(), found->second.end(), [&](const resources& capacity) {
+    const bool cpu = step.fills || step.need.cpu_milli <= capacity.cpu_milli;
+    return cpu && step.need.memory_mb <= capacity.memory_mb &&
+           step.need.accelerators <= capacity.accelerators;
   });
 }
 
--- a/src/process/scheduling/job_scheduler.h
+++ b/src/process/scheduling/job_scheduler.h
@@ -17,16 +17,16 @@
 #include <vector>
 
 #include "absl/container/flat_hash_map.h"
-#include "process/scheduling/answer_time.h"
-#include "process/scheduling/arrival_meter.h"
+#include "process/scheduling/answer_timeout.h"
+#include "process/scheduling/arrival_rate_limit.h"
+#include "process/scheduling/capacity_forecast.h"
 #include "process/scheduling/fleet_state.h"
 #include "process/scheduling/graph_state.h"
 #include "process/scheduling/job_order.h"
 #include "process/scheduling/listing_wait.h"
-#include "process/scheduling/own_delay.h"
-#include "process/scheduling/room_forecast.h"
 #include "process/scheduling/run_times.h"
 #include "process/scheduling/scheduler_messages.h"
+#include "process/scheduling/timeout_factor.h"
 #include "version/site_version.h"
 
 namespace catkinford {
@@ -36,7 +36,7 @@
   // An earlier owner may have gone on for this long after this one began.
   std::chrono::milliseconds earlier_owner{700};
   // And for this much longer, if the records are not known to be complete.
-  std::chrono::milliseconds unvouched_owner{0};
+  std::chrono::milliseconds unconfirmed_owner{0};
   std::chrono::milliseconds stop_limit{900};     // a stop takes at most this long
   std::chrono::milliseconds gang_limit{3000};    // members wait this long for each other
   std::chrono::milliseconds keep_final{120000};  // how long an ended job's state is told
@@ -83,13 +83,15 @@
   void OnCancel(const std::string& job, monotonic_time now);
 
   // Answers to orders.
-  void OnStartAnswer(const start_order& order, const order_answer& answer, monotonic_time now);
-  void OnStopAnswer(const stop_order& order, const order_answer& answer, monotonic_time now);
-  void OnPaceAnswer(const pace_order& order, const order_answer& answer, monotonic_time now);
-  void OnListing(const list_order& order, const instance_listing& listing, monotonic_time sent,
+  void OnStartAnswer(const start_command& request, const command_answer& answer,
+                     monotonic_time now);
+  void OnStopAnswer(const stop_command& request, const command_answer& answer, monotonic_time now);
+  void OnSpeedAnswer(const speed_command& request, const command_answer& answer,
+                     monotonic_time now);
+  void OnListing(const list_command& request, const instance_listing& listing, monotonic_time sent,
                  monotonic_time now);
-  void OnNoListing(const list_order& order, order_result result, monotonic_time now);
-  void OnAdvice(const advice_order& order, const advice_answer& answer, monotonic_time now);
+  void OnNoListing(const list_command& request, command_result result, monotonic_time now);
+  void OnAdvice(const advice_query& request, const advice_answer& answer, monotonic_time now);
 
   // Progress that must be stored, at most `most` jobs and, beyond the first, `bytes`; those given
   // out count as on their way until OnStored() or OnNotStored() names them.
@@ -107,22 +109,22 @@
   // True: starts are sent without waiting for their records. Only while nobody can take over.
   void SetUnrecordedStarts(bool allowed);
   // True: no task starts; what runs goes on. While queues, limits and services may be out of date.
-  void HoldStarts(bool held) { starts_held_ = held; }
+  void PauseStarts(bool paused) { starts_paused_ = paused; }
   // In place of the options: what the owner's link carries is known only while it works.
   void SetStartsInFlight(uint32_t most) { options_.starts_in_flight = most; }
   void SetListingPause(std::chrono::milliseconds pause) { options_.listing_pause = pause; }
   // How long answers may have waited in this process before they were heard.
-  void SetOwnDelay(std::chrono::milliseconds delay) { own_delay_ = delay; }
+  void SetLocalDelay(std::chrono::milliseconds delay) { local_delay_ = delay; }
   // All that started without a record is in one by now, and no run of an earlier owner may be out
   // of sight.
   bool RecordsKnown() const;
   bool StartsPlanned() const { return !planned_.empty(); }
   // Starts whose record is stored by now; also among the orders of Decide().
-  std::vector<start_order> TakeStarts(monotonic_time now);
+  std::vector<start_command> TakeStarts(monotonic_time now);
 
   // Orders that are due.
-  scheduler_orders Decide(wall_time wall, monotonic_time now);
-  std::vector<scheduler_note> TakeNotes();
+  scheduler_commands Decide(wall_time wall, monotonic_time now);
+  std::vector<scheduler_event> TakeEvents();
 
   // Questions.
   const job_entry* Find(const std::string& job) const;
@@ -143,12 +145,12 @@
     job_entry* entry;
     occurrence_state* occurrence;
     uint32_t index;
-    job_place place;
-    bool back = false;  // a task of it served before, and is down
+    job_order_key rank;
+    bool service_down = false;  // a task of it served before, and is down
   };
 
   // job_scheduler.cc
-  void Touch(job_entry& entry);
+  void MarkChanged(job_entry& entry);
   bool BeyondShare(const graph_job& job);
   // How long a task of the step will take on a sound instance, from its own tasks that have ended
   // or, before that, from what is learned of its queue.
@@ -160,12 +162,12 @@
                                            const occurrence_state& occurrence) const;
   void LearnRun(job_entry& entry, step_progress& step, const graph_run& run, monotonic_time now);
   bool HoldsRuns(const job_entry& entry) const;
-  void Note(scheduler_note::kind what, std::string subject, std::string detail);
+  void LogEvent(scheduler_event::kind what, std::string subject, std::string detail);
   void OpenOccurrences(job_entry& entry, wall_time wall, monotonic_time now);
   void RefreshReady(job_entry& entry, monotonic_time now);
   void Finish(job_entry& entry, graph_phase phase, monotonic_time now);
   void StopAll(job_entry& entry, stop_cause cause, monotonic_time now);
-  void AskStop(graph_run& run, stop_cause cause, monotonic_time now);
+  void RequestStop(graph_run& run, stop_cause cause, monotonic_time now);
   const job_terms& TermsOf(const job_entry& entry) const;
   // Could any instance of the service that was ever seen hold a task of the step? True while none
   // is known.
@@ -177,7 +179,7 @@
   // scheduler_runs.cc: what becomes of runs
   graph_run* FindRun(fleet_instance& instance, const task_key& key, uint32_t number);
   graph_run& AddRun(fleet_instance& instance, job_entry* job, const task_key& key, uint32_t number);
-  void HoldRoom(graph_run& run, int sign);
+  void ReserveCapacity(graph_run& run, int sign);
   // Proved not to run and never to run: its room is free and its task may start elsewhere.
   void Release(graph_run& run, monotonic_time now);
   void OnTaskDone(job_entry& entry, const task_key& key, monotonic_time now);
@@ -189,31 +191,32 @@
                      monotonic_time sent, monotonic_time now);
   void Adopt(fleet_instance& instance, const running_row& row, monotonic_time now);
   void BreakGang(job_entry& entry, const task_key& member, stop_cause cause, monotonic_time now);
-  void CheckRuns(scheduler_orders& orders, monotonic_time now);
-  void CheckRun(graph_run& run, scheduler_orders& orders, monotonic_time now);
-  void SendStop(graph_run& run, scheduler_orders& orders, monotonic_time now);
+  void CheckRuns(scheduler_commands& commands, monotonic_time now);
+  void CheckRun(graph_run& run, scheduler_commands& commands, monotonic_time now);
+  void SendStop(graph_run& run, scheduler_commands& commands, monotonic_time now);
 
   // scheduler_instances.cc
   void OnReport(const instance_report& report, monotonic_time now);
-  void Reborn(fleet_instance& instance, const instance_report& report, monotonic_time now);
-  void Expect(fleet_instance& instance, const undelivered_start& start, monotonic_time now);
-  void DropLapsed(monotonic_time now);
+  void OnRestart(fleet_instance& instance, const instance_report& report, monotonic_time now);
+  void ExpectLateStart(fleet_instance& instance, const undelivered_start& start,
+                       monotonic_time now);
+  void DropExpired(monotonic_time now);
   // Nothing runs there any more.
   void DropRuns(fleet_instance& instance, const char* why, monotonic_time now);
   void FindReplaced(const fleet_instance& newcomer, monotonic_time now);
-  bool LeaseOver(const fleet_instance& instance, monotonic_time now) const;
-  void PlanListings(scheduler_orders& orders, monotonic_time now);
+  bool LeaseExpired(const fleet_instance& instance, monotonic_time now) const;
+  void PlanListings(scheduler_commands& commands, monotonic_time now);
   // How late answers may be before their instance is suspected.
-  std::chrono::milliseconds Patience() const;
-  void JudgeOwnDelay(monotonic_time now);
+  std::chrono::milliseconds Timeout() const;
+  void UpdateTimeoutFactor(monotonic_time now);
   void GiveUpOverdue(fleet_instance& instance, monotonic_time now);
   // A listing that went unanswered.
-  void FallSilent(fleet_instance& instance, std::string_view why, monotonic_time now);
-  void PlanCheck(fleet_instance& instance, scheduler_orders& orders);
+  void MarkSilent(fleet_instance& instance, std::string_view why, monotonic_time now);
+  void PlanCheck(fleet_instance& instance, scheduler_commands& commands);
   // It answered an order that was sent at `sent`.
-  static void Heard(fleet_instance& instance, monotonic_time sent);
-  void Doubt(fleet_instance& instance, monotonic_time now);
-  void NoteClock(fleet_instance& instance, int64_t clock_ms, monotonic_time now);
+  static void ClearSuspect(fleet_instance& instance, monotonic_time sent);
+  void MarkSuspect(fleet_instance& instance, monotonic_time now);
+  void UpdateClock(fleet_instance& instance, int64_t clock_ms, monotonic_time now);
   void AdvanceAcks(fleet_instance& instance);
   void Evacuate(fleet_instance& instance, monotonic_time now);
   // All instances that may run tasks of earlier owners are listed, or their leases are over.
@@ -226,90 +229,91 @@
   std::vector<ready_step> ReadySteps(monotonic_time now);
   void PlaceStep(const ready_step& ready, monotonic_time now);
   void PlaceGang(const ready_step& ready, monotonic_time now);
-  fleet_instance* Choose(const ready_step& ready, const task_state_slot& task, monotonic_time now,
-                         const std::string* rack);
+  fleet_instance* ChooseInstance(const ready_step& ready, const graph_task_state& task,
+                                 monotonic_time now, const std::string* rack);
   bool MayRun(const fleet_instance& instance, const ready_step& ready, monotonic_time now) const;
   static bool HasLabel(const fleet_instance& instance, const ready_step& ready);
-  static bool MayGetWork(const fleet_instance& instance, monotonic_time now);
+  static bool AcceptsWork(const fleet_instance& instance, monotonic_time now);
   bool WithinLimit(const job_entry& entry, const resources& need) const;
   // `expected`: how long a run of the step takes.
-  bool WantsCopy(const task_state_slot& task, const step_terms& terms,
+  bool WantsCopy(const graph_task_state& task, const step_terms& terms,
                  std::chrono::milliseconds expected, monotonic_time now) const;
   std::vector<ready_step> CopySteps(monotonic_time now);
   void PlaceCopies(monotonic_time now);
 
   // scheduler_holds.cc: room for those next in line
-  void BeginHolds();
+  void ResetReservations();
   // Holds room for the step's tasks that found none.
-  void HoldRoom(const ready_step& ready, monotonic_time now);
-  room_forecast& ForecastOf(const fleet_instance& instance, monotonic_time now);
+  void ReserveCapacity(const ready_step& ready, monotonic_time now);
+  capacity_forecast& ForecastOf(const fleet_instance& instance, monotonic_time now);
   std::optional<monotonic_time> ExpectedEnd(const graph_run& run, monotonic_time now) const;
   // When a task of the step that starts now gives its room back.
-  monotonic_time GivesBack(const ready_step& ready, monotonic_time now) const;
+  monotonic_time ExpectedRelease(const ready_step& ready, monotonic_time now) const;
   // Nobody who comes before is delayed by it.
-  bool DelaysNobody(const fleet_instance& instance, const resources& room,
-                    monotonic_time until) const;
+  bool RespectsReservations(const fleet_instance& instance, const resources& capacity,
+                            monotonic_time until) const;
   // When the step could start at the instance for all that its policy needs.
-  monotonic_time TicketBy(const ready_step& ready, uint32_t instance, monotonic_time now) const;
+  monotonic_time TicketAvailableAt(const ready_step& ready, uint32_t instance,
+                                   monotonic_time now) const;
 
   // scheduler_starts.cc: starts and their records
   struct planned_start {
-    start_order order;
+    start_command request;
     uint64_t change = 0;  // of the job, which must be stored first
   };
   void Start(fleet_instance& instance, const ready_step& ready, uint32_t index, uint32_t number,
              monotonic_time now);
-  uint32_t NextRun(const task_state_slot& task) const;
+  uint32_t NextRun(const graph_task_state& task) const;
   bool MayPlanMore() const { return planned_.size() < options_.starts_in_flight; }
   bool MaySendTo(const fleet_instance& instance) const;
-  bool StillGood(const start_order& order, const fleet_instance& instance,
-                 monotonic_time now) const;
+  bool StillValid(const start_command& request, const fleet_instance& instance,
+                  monotonic_time now) const;
   bool Stored(const planned_start& planned) const;
-  void ExpectRecorded(job_entry& entry, monotonic_time now);
+  void RestoreRecordedRuns(job_entry& entry, monotonic_time now);
   void CloseRun(const graph_run& run, monotonic_time now);
   graph_run* AnyOpenRun(const task_key& key);
 
   // scheduler_advice.cc
-  void PlanAdvice(const std::vector<ready_step>& ready, scheduler_orders& orders,
+  void PlanAdvice(const std::vector<ready_step>& ready, scheduler_commands& commands,
                   monotonic_time now);
   // What one round of questions knows of an instance that may get work.
-  struct advice_room {
+  struct unclaimed_capacity {
     const fleet_instance* instance;
-    resources left;  // not yet spoken for by a step before
+    resources unclaimed;  // not yet spoken for by a step before
   };
   struct advice_round {
-    std::vector<advice_room> rooms;  // those with most room first
-    std::vector<uint32_t> place;     // by ordinal: 1 + index in `rooms`; 0: not there
+    std::vector<unclaimed_capacity> capacities;  // those with most room first
+    std::vector<uint32_t> rank;                  // by ordinal: 1 + index in `rooms`; 0: not there
   };
   struct advice_option {
-    advice_room* room;
+    unclaimed_capacity* capacity;
     uint32_t tasks;  // that it has room for now
     bool ticket_good;
   };
   advice_round BeginAdvice(monotonic_time now) const;
-  void PlanStepAdvice(const ready_step& ready, advice_round& round, scheduler_orders& orders,
+  void PlanStepAdvice(const ready_step& ready, advice_round& round, scheduler_commands& commands,
                       monotonic_time now);
-  void SpeakFor(const ready_step& ready, advice_round& round,
-                const std::vector<advice_option>& known, uint32_t wanted) const;
+  void ClaimCapacity(const ready_step& ready, advice_round& round,
+                     const std::vector<advice_option>& known, uint32_t wanted) const;
   // Adds the instances that are held for the step, if an answer would come when they have room.
-  void AddHeld(const ready_step& ready, const advice_cost& cost, advice_order& order,
-               monotonic_time now) const;
-  uint32_t MostThere(const ready_step& ready, const fleet_instance& instance,
-                     uint32_t wanted) const;
+  void AddReserved(const ready_step& ready, const advice_cost& cost, advice_query& request,
+                   monotonic_time now) const;
+  uint32_t MaxTasksAt(const ready_step& ready, const fleet_instance& instance,
+                      uint32_t wanted) const;
   std::vector<advice_option> KnownOptions(const ready_step& ready, advice_round& round,
                                           uint32_t wanted, monotonic_time now) const;
-  std::vector<std::string> WorthAsking(const ready_step& ready, const advice_round& round,
-                                       const std::vector<advice_option>& known, uint32_t wanted,
-                                       const advice_cost& cost) const;
-  uint32_t Wanted(const ready_step& ready, monotonic_time now) const;
-  std::vector<ready_step> FrontOfLines(const std::vector<ready_step>& ready_steps) const;
-  std::vector<ready_step> NextSteps(monotonic_time now);
-  bool TurnComesWithin(const job_entry& entry, const occurrence_state& occurrence, uint32_t index,
-                       std::chrono::milliseconds ahead, monotonic_time now) const;
+  std::vector<std::string> InstancesToQuery(const ready_step& ready, const advice_round& round,
+                                            const std::vector<advice_option>& known,
+                                            uint32_t wanted, const advice_cost& cost) const;
+  uint32_t TasksToPlace(const ready_step& ready, monotonic_time now) const;
+  std::vector<ready_step> StepsToQuery(const std::vector<ready_step>& ready_steps) const;
+  std::vector<ready_step> UpcomingSteps(monotonic_time now);
+  bool ReadyWithin(const job_entry& entry, const occurrence_state& occurrence, uint32_t index,
+                   std::chrono::milliseconds ahead, monotonic_time now) const;
 
   // scheduler_pace.cc
-  void PlanPaces(scheduler_orders& orders, monotonic_time now);
-  void PaceInstance(fleet_instance& instance, scheduler_orders& orders, monotonic_time now);
+  void PlanSpeeds(scheduler_commands& commands, monotonic_time now);
+  void AdjustSpeeds(fleet_instance& instance, scheduler_commands& commands, monotonic_time now);
 
   scheduler_options options_;
   uint64_t epoch_;
@@ -321,31 +325,31 @@
   absl::flat_hash_map<uint32_t, fleet_instance*> by_ordinal_;
   uint32_t last_ordinal_ = 0;
   absl::flat_hash_map<std::string, uint32_t> services_;  // ordinals, from 1
-  absl::flat_hash_map<std::string, resources> running_of_workspace_;
-  absl::flat_hash_map<std::string, arrival_meter> arrivals_;  // by workspace
-  std::vector<job_entry*> active_;                            // not final
-  std::deque<std::string> final_;                             // in the order in which they ended
+  absl::flat_hash_map<std::string, resources> usage_of_workspace_;
+  absl::flat_hash_map<std::string, arrival_rate_limit> arrival_limits_;  // by workspace
+  std::vector<job_entry*> active_;                                       // not final
+  std::deque<std::string> final_;    // in the order in which they ended
   std::deque<job_entry*> unstored_;  // changed since they were last given out, the oldest first
   std::deque<planned_start> planned_;
   // Of the round under way, by ordinal of the instance; null where nothing is held.
-  std::vector<std::unique_ptr<room_forecast>> forecasts_;
-  std::vector<uint32_t> holding_steps_;  // by service
-  uint64_t round_ = 0;                   // of decisions
+  std::vector<std::unique_ptr<capacity_forecast>> forecasts_;
+  std::vector<uint32_t> reserving_steps_;  // by service
+  uint64_t round_ = 0;                     // of decisions
   uint32_t starts_in_flight_ = 0;
-  answer_time answer_time_;  // of starts, and of listings that waited as long as they might
-  double delay_factor_ = 1;  // times its patience: this process itself may be late
-  std::chrono::milliseconds own_delay_{0};
-  monotonic_time next_delay_look_{};
+  answer_timeout answer_timeout_;  // of starts, and of listings that waited as long as they might
+  double timeout_factor_ = 1;      // times its patience: this process itself may be late
+  std::chrono::milliseconds local_delay_{0};
+  monotonic_time next_timeout_factor_update_{};
   listing_wait listing_wait_;
   run_times run_times_;
   bool unrecorded_starts_ = false;
-  bool starts_held_ = false;
+  bool starts_paused_ = false;
   bool records_complete_ = false;
-  std::vector<scheduler_note> notes_;
+  std::vector<scheduler_event> events_;
   absl::flat_hash_map<std::string, std::vector<resources>> largest_seen_;  // by service
   bool inheritance_settled_ = false;
   // While it is not: what tasks of inherited jobs would use that may run unseen, by workspace.
-  absl::flat_hash_map<std::string, resources> possible_of_workspace_;
+  absl::flat_hash_map<std::string, resources> possible_usage_of_workspace_;
   bool registry_seen_ = false;
 };
 
--- a/src/process/scheduling/listing_wait.h
+++ b/src/process/scheduling/listing_wait.h
@@ -17,11 +17,11 @@
   // It was given up, and its instance answered the next one.
   void OnLost() { lost_share_ += kGain * (1 - lost_share_); }
 
-  std::chrono::milliseconds Wait() const { return lost_share_ < kManyLost ? kLong : kShort; }
+  std::chrono::milliseconds Wait() const { return lost_share_ < kHighLossShare ? kLong : kShort; }
 
  private:
   static constexpr double kGain = 1.0 / 256;  // of one listing; a busy site makes 200 a second
-  static constexpr double kManyLost = 0.005;
+  static constexpr double kHighLossShare = 0.005;
   static constexpr std::chrono::milliseconds kLong{1000};
   static constexpr std::chrono::milliseconds kShort{300};
 
--- a/src/process/scheduling/run_times.cc
+++ b/src/process/scheduling/run_times.cc
@@ -14,7 +14,7 @@
 constexpr std::array<double, 2> kPriorMillis = {200, 5000};
 constexpr double kPriorWeight = 2;
 // What is left of a step's weight when the next one is added: the last hundred count.
-constexpr double kKeep = 0.99;
+constexpr double kDecay = 0.99;
 constexpr milliseconds kShortest{1};
 
 double Log(milliseconds time) {
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-void run_times::line::Add(double log_declared, double log_took, double weight) {
+void run_times::regression::Add(double log_declared, double log_took, double weight) {
   w += weight;
   x += weight * log_declared;
   y += weight * log_took;
@@ -31,16 +31,16 @@
   xy += weight * log_declared * log_took;
 }
 
-void run_times::line::Fade(double keep) {
-  w *= keep;
-  x *= keep;
-  y *= keep;
-  xx *= keep;
-  xy *= keep;
+void run_times::regression::Decay(double factor) {
+  w *= factor;
+  x *= factor;
+  y *= factor;
+  xx *= factor;
+  xy *= factor;
 }
 
-run_times::line run_times::Prior() {
-  line out;
+run_times::regression run_times::Prior() {
+  regression out;
   for (const double millis : kPriorMillis) {
     out.Add(std::log(millis), std::log(millis), kPriorWeight);
   }
@@ -50,20 +50,20 @@
 void run_times::OnRun(const std::string& queue, milliseconds declared, milliseconds took,
                       double weight) {
   if (declared.count() <= 0) return;  // a task that lasts declares none
-  line& of_queue = lines_.try_emplace(queue, Prior()).first->second;
-  of_queue.Fade(std::pow(kKeep, weight));
+  regression& of_queue = regressions_.try_emplace(queue, Prior()).first->second;
+  of_queue.Decay(std::pow(kDecay, weight));
   of_queue.Add(Log(declared), Log(took), weight);
 }
 
 milliseconds run_times::Expected(const std::string& queue, milliseconds declared) const {
-  const auto found = lines_.find(queue);
-  if (found == lines_.end() || declared.count() <= 0) return declared;
-  const line& of = found->second;
-  const double mean_x = of.x / of.w;
-  const double mean_y = of.y / of.w;
-  const double spread = of.xx / of.w - mean_x * mean_x;
-  const double together = of.xy / of.w - mean_x * mean_y;
-  const double slope = spread <= 0 ? 0 : std::clamp(together / spread, 0.0, 1.0);
+  const auto found = regressions_.find(queue);
+  if (found == regressions_.end() || declared.count() <= 0) return declared;
+  const regression& fitted = found->second;
+  const double mean_x = fitted.x / fitted.w;
+  const double mean_y = fitted.y / fitted.w;
+  const double variance = fitted.xx / fitted.w - mean_x * mean_x;
+  const double covariance = fitted.xy / fitted.w - mean_x * mean_y;
+  const double slope = variance <= 0 ? 0 : std::clamp(covariance / variance, 0.0, 1.0);
   return milliseconds(static_cast<int64_t>(std::exp(mean_y + slope * (Log(declared) - mean_x))));
 }
 
--- a/src/process/scheduling/run_times.h
+++ b/src/process/scheduling/run_times.h
@@ -29,7 +29,7 @@
 
  private:
   // Weighted sums over the logarithms of declared (x) and real (y) times.
-  struct line {
+  struct regression {
     double w = 0;
     double x = 0;
     double y = 0;
@@ -37,11 +37,11 @@
     double xy = 0;
 
     void Add(double log_declared, double log_took, double weight);
-    void Fade(double keep);
+    void Decay(double factor);
   };
-  static line Prior();
+  static regression Prior();
 
-  absl::flat_hash_map<std::string, line> lines_;  // by queue
+  absl::flat_hash_map<std::string, regression> regressions_;  // by queue
 };
 
 }  // namespace catkinford
--- a/src/process/scheduling/scheduler_instances.cc
+++ b/src/process/scheduling/scheduler_instances.cc
@@ -11,36 +11,36 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kDelayLook{50};
-constexpr milliseconds kSilentPause{300};    // after the first listing without an answer
-constexpr milliseconds kLongestPause{2000};  // the pause doubles up to this
-constexpr uint32_t kLongestDoubling = 4;
+constexpr milliseconds kTimeoutFactorInterval{50};
+constexpr milliseconds kSilentRetryDelay{300};      // after the first listing without an answer
+constexpr milliseconds kMaxSilentRetryDelay{2000};  // the pause doubles up to this
+constexpr uint32_t kMaxDoublings = 4;
 // An instance that left the registry and runs nothing is forgotten after this time.
 constexpr milliseconds kForgetAbsent{15000};
 // A listing in flight is given up by the caller of OnNoListing(); this is only its backstop.
 constexpr milliseconds kEvacuationMargin{250};
-constexpr size_t kEndsAtOnce = 500;  // in one listing, by the platform's agreement
+constexpr size_t kMaxEndsPerListing = 500;  // in one listing, by the platform's agreement
 
 }  // namespace
 
-void job_scheduler::NoteClock(fleet_instance& instance, int64_t clock_ms, monotonic_time now) {
+void job_scheduler::UpdateClock(fleet_instance& instance, int64_t clock_ms, monotonic_time now) {
   // Answers may overtake each other: the clock never goes back within a life.
   if (clock_ms < instance.clock_ms) return;
   instance.clock_ms = clock_ms;
   instance.clock_at = now;
 }
 
-void job_scheduler::Reborn(fleet_instance& instance, const instance_report& report,
-                           monotonic_time now) {
-  Note(scheduler_note::kind::kInstanceReborn, report.id,
-       absl::StrCat("before=", instance.report.incarnation, " now=", report.incarnation));
+void job_scheduler::OnRestart(fleet_instance& instance, const instance_report& report,
+                              monotonic_time now) {
+  LogEvent(scheduler_event::kind::kInstanceReborn, report.id,
+           absl::StrCat("before=", instance.report.incarnation, " now=", report.incarnation));
   // What ran before is gone, but a start that was sent lately may have reached the new life: only
   // its own listing says what runs there.
   for (const undelivered_start& start : std::exchange(instance.undelivered, {})) {
-    if (now - start.sent <= kLatestArrival) Expect(instance, start, now);
+    if (now - start.sent <= kMaxCommandDelay) ExpectLateStart(instance, start, now);
   }
   if (!instance.runs.empty()) {
-    instance.earlier_orders_until = now + kLatestArrival + options_.run_lease;
+    instance.earlier_commands_until = now + kMaxCommandDelay + options_.run_lease;
   }
   instance.report = report;
   instance.listed = false;
@@ -60,56 +60,57 @@
 }
 
 // Counts with a start that may still arrive: its task starts nowhere else before it is stopped.
-void job_scheduler::Expect(fleet_instance& instance, const undelivered_start& start,
-                           monotonic_time now) {
+void job_scheduler::ExpectLateStart(fleet_instance& instance, const undelivered_start& start,
+                                    monotonic_time now) {
   const auto found = jobs_.find(start.key.job);
   job_entry* entry = found == jobs_.end() ? nullptr : found->second.get();
   step_progress* step = entry == nullptr ? nullptr : entry->Find(start.key);
   graph_run& run = AddRun(instance, step == nullptr ? nullptr : entry, start.key, start.run);
   run.phase = run_phase::kUnknown;
   run.started = start.sent;
-  AskStop(run, stop_cause::kUnknownStart, now);
+  RequestStop(run, stop_cause::kUnknownStart, now);
   if (step == nullptr) return;
-  task_state_slot& task = step->tasks[start.key.index];
-  if (task.phase != slot_phase::kWaiting) return;
-  task.phase = slot_phase::kActive;
+  graph_task_state& task = step->tasks[start.key.index];
+  if (task.phase != graph_task_phase::kWaiting) return;
+  task.phase = graph_task_phase::kActive;
   task.run = &run;
   --step->waiting;
   ++step->active;
 }
 
 fleet_instance& job_scheduler::MakeInstance(const instance_report& report, monotonic_time now) {
-  std::unique_ptr<fleet_instance>& place = instances_[report.id];
-  place = std::make_unique<fleet_instance>();
-  place->report = report;
-  place->ordinal = ++last_ordinal_;
-  place->service = ServiceOrdinal(report.service);
-  place->next_listing = now;
-  by_ordinal_[place->ordinal] = place.get();
-  return *place;
+  std::unique_ptr<fleet_instance>& slot = instances_[report.id];
+  slot = std::make_unique<fleet_instance>();
+  slot->report = report;
+  slot->ordinal = ++last_ordinal_;
+  slot->service = ServiceOrdinal(report.service);
+  slot->next_listing = now;
+  by_ordinal_[slot->ordinal] = slot.get();
+  return *slot;
 }
 
 void job_scheduler::OnReport(const instance_report& report, monotonic_time now) {
   const auto known = instances_.find(report.id);
   if (known == instances_.end()) {
     MakeInstance(report, now);
-    Note(scheduler_note::kind::kInstanceJoined, report.id,
-         absl::StrCat("address=", report.address, " domain=", report.failure_domain,
-                      " rack=", report.rack, " cpu=", report.capacity.cpu_milli,
-                      " mb=", report.capacity.memory_mb));
+    LogEvent(scheduler_event::kind::kInstanceJoined, report.id,
+             absl::StrCat("address=", report.address, " domain=", report.failure_domain,
+                          " rack=", report.rack, " cpu=", report.capacity.cpu_milli,
+                          " mb=", report.capacity.memory_mb));
   } else if (report.incarnation > known->second->report.incarnation) {
-    Reborn(*known->second, report, now);
+    OnRestart(*known->second, report, now);
   } else if (report.incarnation < known->second->report.incarnation) {
     return;  // an old entry of an earlier life
   }
   fleet_instance& instance = *instances_.at(report.id);
   if (report.draining && !instance.report.draining) {
-    Note(scheduler_note::kind::kInstanceDraining, report.id,
-         absl::StrCat("remaining_ms=", report.remaining.count(), " runs=", instance.runs.size()));
+    LogEvent(
+        scheduler_event::kind::kInstanceDraining, report.id,
+        absl::StrCat("remaining_ms=", report.remaining.count(), " runs=", instance.runs.size()));
   }
   if (!instance.present) {
     if (registry_seen_) {
-      Note(scheduler_note::kind::kInstanceBack, report.id, "in the registry again");
+      LogEvent(scheduler_event::kind::kInstanceBack, report.id, "in the registry again");
     }
   }
   instance.present = true;
@@ -132,8 +133,8 @@
     if (present.contains(id) || !instance->present) continue;
     instance->present = false;
     instance->absent_since = now;
-    Note(scheduler_note::kind::kInstanceAbsent, id,
-         absl::StrCat("runs=", instance->runs.size(), " silent=", instance->silent));
+    LogEvent(scheduler_event::kind::kInstanceAbsent, id,
+             absl::StrCat("runs=", instance->runs.size(), " silent=", instance->silent));
   }
 }
 
@@ -147,7 +148,7 @@
       instance.absent_since = now;
     }
     instance.lease_unknown = true;
-    instance.noted = true;
+    instance.registered = true;
   }
 }
 
@@ -160,30 +161,31 @@
 }
 
 void job_scheduler::OnFleetStored(const std::vector<instance_report>& fleet) {
-  for (auto& [id, instance] : instances_) instance->noted = false;
+  for (auto& [id, instance] : instances_) instance->registered = false;
   for (const instance_report& report : fleet) {
     const auto found = instances_.find(report.id);
-    if (found != instances_.end()) found->second->noted = true;
+    if (found != instances_.end()) found->second->registered = true;
   }
 }
 
-bool job_scheduler::LeaseOver(const fleet_instance& instance, monotonic_time now) const {
+bool job_scheduler::LeaseExpired(const fleet_instance& instance, monotonic_time now) const {
   if (instance.replaced) return true;
-  if (now < instance.earlier_orders_until) return false;
+  if (now < instance.earlier_commands_until) return false;
   if (instance.lease_unknown) {
     const double longest = static_cast<double>(options_.run_lease.count()) / kSlowestClock;
-    const milliseconds alone = records_complete_ ? milliseconds{0} : options_.unvouched_owner;
-    return now > took_over_ + options_.earlier_owner + alone +
+    const milliseconds unconfirmed =
+        records_complete_ ? milliseconds{0} : options_.unconfirmed_owner;
+    return now > took_over_ + options_.earlier_owner + unconfirmed +
                      milliseconds(static_cast<int64_t>(longest));
   }
-  return instance.LeaseSurelyOver(now);
+  return instance.LeaseSurelyExpired(now);
 }
 
 bool job_scheduler::InheritanceSettled(monotonic_time now) const {
   if (!registry_seen_) return false;
   return std::all_of(instances_.begin(), instances_.end(), [&](const auto& item) {
     const fleet_instance& instance = *item.second;
-    return !instance.lease_unknown || LeaseOver(instance, now);
+    return !instance.lease_unknown || LeaseExpired(instance, now);
   });
 }
 
@@ -193,9 +195,9 @@
     graph_run& run = *instance.runs.front();
     job_entry* job = run.job;
     const task_key key = run.key;
-    Note(scheduler_note::kind::kRunVanished, key.job,
-         absl::StrCat("step=", key.step, " index=", key.index, " run=", run.number,
-                      " instance=", instance.report.id, " ", why));
+    LogEvent(scheduler_event::kind::kRunVanished, key.job,
+             absl::StrCat("step=", key.step, " index=", key.index, " run=", run.number,
+                          " instance=", instance.report.id, " ", why));
     Release(run, now);
     if (job != nullptr && !IsFinal(job->phase) && job->job.steps[key.step].gang) {
       BreakGang(*job, key, stop_cause::kGangBroken, now);
@@ -222,16 +224,16 @@
   }
 }
 
-void job_scheduler::DropLapsed(monotonic_time now) {
+void job_scheduler::DropExpired(monotonic_time now) {
   std::vector<std::string> forgotten;
   for (auto& [id, instance] : instances_) {
-    if (instance->silent > 0 && LeaseOver(*instance, now)) {
+    if (instance->silent > 0 && LeaseExpired(*instance, now)) {
       // Unreachable for longer than any lease: whatever ran there was killed by the instance.
       DropRuns(*instance, "lease over", now);
     }
     const bool idle = instance->runs.empty() && !instance->listing_in_flight;
     if (!instance->present && idle && now - instance->absent_since > kForgetAbsent &&
-        LeaseOver(*instance, now)) {
+        LeaseExpired(*instance, now)) {
       forgotten.push_back(id);
     }
   }
@@ -249,7 +251,7 @@
     if (run->job == nullptr || run->stopping != stop_cause::kNone) continue;
     const step_terms& terms = run->job->job.steps[run->key.step];
     if (terms.long_running) {
-      AskStop(*run, stop_cause::kEvacuated, now);
+      RequestStop(*run, stop_cause::kEvacuated, now);
       continue;
     }
     if (terms.gang) continue;
@@ -259,7 +261,7 @@
         step == nullptr ? terms.estimate : ExpectedRun(*run->job, *step, run->key.step);
     const auto left = std::max(takes - ran, milliseconds{0});
     const bool ends_in_time = left + kEvacuationMargin < instance.report.remaining;
-    if (!ends_in_time && terms.checkpointing) AskStop(*run, stop_cause::kEvacuated, now);
+    if (!ends_in_time && terms.checkpointing) RequestStop(*run, stop_cause::kEvacuated, now);
   }
 }
 
@@ -273,16 +275,16 @@
   }
 }
 
-void job_scheduler::Doubt(fleet_instance& instance, monotonic_time now) {
-  if (instance.doubted) return;
-  instance.doubted = true;
-  instance.doubted_since = now;
-  Note(scheduler_note::kind::kInstanceDoubted, instance.report.id,
-       absl::StrCat("patience_ms=", Patience().count(), " runs=", instance.runs.size()));
+void job_scheduler::MarkSuspect(fleet_instance& instance, monotonic_time now) {
+  if (instance.suspect) return;
+  instance.suspect = true;
+  instance.suspect_since = now;
+  LogEvent(scheduler_event::kind::kInstanceDoubted, instance.report.id,
+           absl::StrCat("patience_ms=", Timeout().count(), " runs=", instance.runs.size()));
 }
 
-void job_scheduler::Heard(fleet_instance& instance, monotonic_time sent) {
-  if (sent >= instance.doubted_since) instance.doubted = false;
+void job_scheduler::ClearSuspect(fleet_instance& instance, monotonic_time sent) {
+  if (sent >= instance.suspect_since) instance.suspect = false;
 }
 
 // An order may be held up for seconds, a waiting listing as well, and all ends at its instance
@@ -290,9 +292,9 @@
 // waits for no end and renews no lease: it may be the instance that is gone. Only if that goes
 // unanswered too is the instance silent.
 void job_scheduler::GiveUpOverdue(fleet_instance& instance, monotonic_time now) {
-  if (!instance.listed || now <= instance.listing_due + Patience()) return;
-  if (instance.probing || instance.silent > 0) return FallSilent(instance, "overdue", now);
-  Doubt(instance, now);
+  if (!instance.listed || now <= instance.listing_due + Timeout()) return;
+  if (instance.probing || instance.silent > 0) return MarkSilent(instance, "overdue", now);
+  MarkSuspect(instance, now);
   instance.listing_in_flight = false;
   instance.probing = true;
   instance.next_listing = now;
@@ -300,93 +302,93 @@
 
 // The waiting listing returns at an end, and a start that was never carried out has none: a second
 // listing shows that it is not there, and its task may start elsewhere.
-void job_scheduler::PlanCheck(fleet_instance& instance, scheduler_orders& orders) {
+void job_scheduler::PlanCheck(fleet_instance& instance, scheduler_commands& commands) {
   if (!instance.listed || instance.check_in_flight) return;
   const bool wanted = std::any_of(
       instance.runs.begin(), instance.runs.end(), [](const std::unique_ptr<graph_run>& run) {
         return run->stop_confirmed && !run->seen && run->stopping == stop_cause::kUnknownStart;
       });
   if (!wanted) return;
-  list_order order;
-  order.to = {instance.report.id, instance.report.address, instance.report.incarnation};
-  order.ends_seen = instance.ends_acked;
-  order.check = true;
+  list_command request;
+  request.to = {instance.report.id, instance.report.address, instance.report.incarnation};
+  request.ends_seen = instance.ends_acked;
+  request.check = true;
   instance.check_in_flight = true;
-  orders.listings.push_back(std::move(order));
+  commands.listings.push_back(std::move(request));
 }
 
-milliseconds job_scheduler::Patience() const {
-  const auto usual = static_cast<double>(answer_time_.Patience().count());
-  return milliseconds(static_cast<int64_t>(delay_factor_ * usual)) + own_delay_;
+milliseconds job_scheduler::Timeout() const {
+  const auto measured = static_cast<double>(answer_timeout_.Timeout().count());
+  return milliseconds(static_cast<int64_t>(timeout_factor_ * measured)) + local_delay_;
 }
 
-void job_scheduler::JudgeOwnDelay(monotonic_time now) {
-  if (now < next_delay_look_) return;
-  next_delay_look_ = now + kDelayLook;
+void job_scheduler::UpdateTimeoutFactor(monotonic_time now) {
+  if (now < next_timeout_factor_update_) return;
+  next_timeout_factor_update_ = now + kTimeoutFactorInterval;
   size_t waiting = 0;
   size_t overdue = 0;
   absl::flat_hash_map<std::string_view, size_t> of_domain;
-  const milliseconds patience = answer_time_.Patience() + own_delay_;
+  const milliseconds timeout = answer_timeout_.Timeout() + local_delay_;
   for (const auto& [id, instance] : instances_) {
     if (!instance->listing_in_flight || !instance->listed) continue;
     ++waiting;
     ++of_domain[instance->report.failure_domain];
-    if (now > instance->listing_due + patience) ++overdue;
+    if (now > instance->listing_due + timeout) ++overdue;
   }
   size_t largest = 0;
   for (const auto& [domain, count] : of_domain) largest = std::max(largest, count);
-  delay_factor_ = DelayFactor(waiting, largest, overdue);
+  timeout_factor_ = TimeoutFactor(waiting, largest, overdue);
 }
 
-void job_scheduler::PlanListings(scheduler_orders& orders, monotonic_time now) {
+void job_scheduler::PlanListings(scheduler_commands& commands, monotonic_time now) {
   auto fences = static_cast<uint32_t>(std::count_if(
       instances_.begin(), instances_.end(),
       [](const auto& item) { return !item.second->listed && item.second->listing_in_flight; }));
   for (auto& [id, instance] : instances_) {
     if (instance->replaced) continue;
     if (instance->listing_in_flight) GiveUpOverdue(*instance, now);
-    if (instance->listing_in_flight) PlanCheck(*instance, orders);
+    if (instance->listing_in_flight) PlanCheck(*instance, commands);
     if (instance->listing_in_flight || now < instance->next_listing) continue;
     AdvanceAcks(*instance);
     const bool fence = !instance->listed;
-    const bool back = instance->silent > 0 && instance->present;
+    const bool recheck = instance->silent > 0 && instance->present;
     const bool ack = instance->ends_acked > instance->acks_sent;
-    if (!fence && !back && !ack && instance->runs.empty()) continue;
-    if (!instance->present && instance->runs.empty() && LeaseOver(*instance, now)) continue;
+    if (!fence && !recheck && !ack && instance->runs.empty()) continue;
+    if (!instance->present && instance->runs.empty() && LeaseExpired(*instance, now)) continue;
     if (fence && fences++ >= options_.fences_in_flight) continue;
-    list_order order;
-    order.to = {id, instance->report.address, instance->report.incarnation};
-    order.ends_seen = instance->ends_acked;
+    list_command request;
+    request.to = {id, instance->report.address, instance->report.incarnation};
+    request.ends_seen = instance->ends_acked;
     // Not extended at an instance that does not answer: its runs could not be given up as long as
     // each try may have reached it, and a crashed instance's work would wait for ever.
     const bool renews = !fence && !instance->runs.empty() && instance->Reachable();
     if (renews && !instance->probing) {
-      order.lease_until_ms = instance->ClockAt(now) + options_.run_lease.count();
-      instance->lease_until_ms = std::max(instance->lease_until_ms, *order.lease_until_ms);
+      request.lease_until_ms = instance->ClockAt(now) + options_.run_lease.count();
+      instance->lease_until_ms = std::max(instance->lease_until_ms, *request.lease_until_ms);
       const bool waits_for_stop = std::any_of(
           instance->runs.begin(), instance->runs.end(), [](const std::unique_ptr<graph_run>& run) {
             return run->stop_confirmed || run->phase == run_phase::kUnknown;
           });
-      order.wait = waits_for_stop ? milliseconds{100} : listing_wait_.Wait();
+      request.wait = waits_for_stop ? milliseconds{100} : listing_wait_.Wait();
     }
     instance->listing_in_flight = true;
-    instance->listing_due = now + order.wait;
-    order.number = ++instance->listing_number;
-    orders.listings.push_back(std::move(order));
+    instance->listing_due = now + request.wait;
+    request.number = ++instance->listing_number;
+    commands.listings.push_back(std::move(request));
   }
 }
 
-void job_scheduler::OnListing(const list_order& order, const instance_listing& listing,
+void job_scheduler::OnListing(const list_command& request, const instance_listing& listing,
                               monotonic_time sent, monotonic_time now) {
-  const auto found = instances_.find(order.to.instance);
+  const auto found = instances_.find(request.to.instance);
   if (found == instances_.end()) return;
   fleet_instance& instance = *found->second;
-  if (order.check) instance.check_in_flight = false;
-  if (!order.check && order.number == instance.listing_number) {
+  if (request.check) instance.check_in_flight = false;
+  if (!request.check && request.number == instance.listing_number) {
     instance.listing_in_flight = false;
     // Early ones came back with an end: they say nothing of how long an answer takes.
-    if (now > sent + order.wait) {
-      answer_time_.OnAnswer(duration_cast<milliseconds>(now - sent - order.wait));
+    if (now > sent + request.wait) {
+      answer_timeout_.OnAnswer(duration_cast<milliseconds>(now - sent - request.wait));
     }
     if (std::exchange(instance.probing, false)) {
       listing_wait_.OnLost();
@@ -398,15 +400,15 @@
   if (listing.incarnation > instance.report.incarnation && listing.incarnation != 0) {
     instance_report report = instance.report;
     report.incarnation = listing.incarnation;
-    Reborn(instance, report, now);
+    OnRestart(instance, report, now);
   }
   if (instance.silent > 0) {
-    Note(scheduler_note::kind::kInstanceBack, order.to.instance, "answers again");
+    LogEvent(scheduler_event::kind::kInstanceBack, request.to.instance, "answers again");
   }
   instance.silent = 0;
-  Heard(instance, sent);
-  instance.acks_sent = std::max(instance.acks_sent, order.ends_seen);
-  NoteClock(instance, listing.clock_ms, now);
+  ClearSuspect(instance, sent);
+  instance.acks_sent = std::max(instance.acks_sent, request.ends_seen);
+  UpdateClock(instance, listing.clock_ms, now);
   std::vector<ended_row> ends = listing.ended;
   std::sort(ends.begin(), ends.end(),
             [](const ended_row& a, const ended_row& b) { return a.number < b.number; });
@@ -421,7 +423,7 @@
     seen.push_back(FindRun(instance, row.key, row.run));
   }
   // Ends are told so many at a time: a run that is not listed may have its end on the next page.
-  if (listing.ended.size() >= kEndsAtOnce) {
+  if (listing.ended.size() >= kMaxEndsPerListing) {
     instance.next_listing = now + options_.listing_pause;
     return;
   }
@@ -439,29 +441,31 @@
   instance.next_listing = now + options_.listing_pause;
 }
 
-void job_scheduler::OnNoListing(const list_order& order, order_result result, monotonic_time now) {
-  const auto found = instances_.find(order.to.instance);
+void job_scheduler::OnNoListing(const list_command& request, command_result result,
+                                monotonic_time now) {
+  const auto found = instances_.find(request.to.instance);
   if (found == instances_.end()) return;
   fleet_instance& instance = *found->second;
   // The waiting listing tells whether the instance is silent.
-  if (order.check) {
+  if (request.check) {
     instance.check_in_flight = false;
     return;
   }
   // Given up before: its answer was overdue.
-  if (!instance.listing_in_flight || order.number != instance.listing_number) return;
-  FallSilent(instance, ToText(result), now);
+  if (!instance.listing_in_flight || request.number != instance.listing_number) return;
+  MarkSilent(instance, ToText(result), now);
 }
 
-void job_scheduler::FallSilent(fleet_instance& instance, std::string_view why, monotonic_time now) {
+void job_scheduler::MarkSilent(fleet_instance& instance, std::string_view why, monotonic_time now) {
   instance.listing_in_flight = false;
   instance.probing = false;
   if (instance.silent++ == 0) {
-    Note(scheduler_note::kind::kInstanceSilent, instance.report.id,
-         absl::StrCat("result=", std::string(why), " runs=", instance.runs.size()));
+    LogEvent(scheduler_event::kind::kInstanceSilent, instance.report.id,
+             absl::StrCat("result=", std::string(why), " runs=", instance.runs.size()));
   }
-  const uint32_t doublings = std::min(instance.silent - 1, kLongestDoubling);
-  instance.next_listing = now + std::min(kLongestPause, kSilentPause * (1 << doublings));
+  const uint32_t doublings = std::min(instance.silent - 1, kMaxDoublings);
+  instance.next_listing =
+      now + std::min(kMaxSilentRetryDelay, kSilentRetryDelay * (1 << doublings));
 }
 
 }  // namespace catkinford
--- a/src/process/scheduling/scheduler_messages.h
+++ b/src/process/scheduling/scheduler_messages.h
@@ -14,14 +14,14 @@
 namespace catkinford {
 
 // Where an order goes. An instance of another life must refuse it.
-struct order_target {
+struct command_target {
   std::string instance;
   std::string address;
   int64_t incarnation = 0;
 };
 
-struct start_order {
-  order_target to;
+struct start_command {
+  command_target to;
   task_key key;
   uint32_t run = 0;
   std::string payload;
@@ -30,22 +30,22 @@
   std::string ticket;
 };
 
-struct stop_order {
-  order_target to;
+struct stop_command {
+  command_target to;
   task_key key;
   uint32_t run = 0;
 };
 
-struct pace_order {
-  order_target to;
+struct speed_command {
+  command_target to;
   task_key key;
   uint32_t run = 0;
   uint32_t percent = 100;
 };
 
 // Lists what runs and what has ended, and extends the lease of all that runs.
-struct list_order {
-  order_target to;
+struct list_command {
+  command_target to;
   std::optional<int64_t> lease_until_ms;
   uint64_t ends_seen = 0;             // the instance may forget ends up to here
   std::chrono::milliseconds wait{0};  // for an end
@@ -54,7 +54,7 @@
 };
 
 // Asks the policy of a queue which of these instances may run a step.
-struct advice_order {
+struct advice_query {
   std::string job;
   uint32_t occurrence = 0;
   uint32_t step = 0;
@@ -63,15 +63,15 @@
   bool urgent = false;
 };
 
-struct scheduler_orders {
-  std::vector<start_order> starts;
-  std::vector<stop_order> stops;
-  std::vector<pace_order> paces;
-  std::vector<list_order> listings;
-  std::vector<advice_order> advice;
+struct scheduler_commands {
+  std::vector<start_command> starts;
+  std::vector<stop_command> stops;
+  std::vector<speed_command> speeds;
+  std::vector<list_command> listings;
+  std::vector<advice_query> advice;
 };
 
-enum class order_result : uint8_t {
+enum class command_result : uint8_t {
   kDone,
   kNotDone,  // surely nothing was done: not sent, or turned away
   kFenced,   // a higher epoch was seen: another process owns the site
@@ -79,14 +79,14 @@
   kLate,     // the lease in the order is over
   kNoRoom,
   kNoTicket,
-  kOtherLife,  // the instance is not the one meant
+  kOtherIncarnation,  // the instance is not the one meant
   kMalformed,
   kUnknown  // no answer: it may have been done, or be done later
 };
-std::string_view ToText(order_result result);
+std::string_view ToText(command_result result);
 
-struct order_answer {
-  order_result result = order_result::kUnknown;
+struct command_answer {
+  command_result result = command_result::kUnknown;
   std::optional<int64_t> clock_ms;  // of the instance
 };
 
@@ -132,7 +132,7 @@
 };
 
 // A line for the log: something was decided about a job, or the view of an instance changed.
-struct scheduler_note {
+struct scheduler_event {
   enum class kind : uint8_t {
     kJobAdded,
     kJobFinal,
--- a/src/process/scheduling/scheduler_placing.cc
+++ b/src/process/scheduling/scheduler_placement.cc
@@ -13,27 +13,27 @@
 
 // An instance whose clock was read longer ago than this gets no start: the lease in the order could
 // be over on arrival, or run too long.
-constexpr milliseconds kOldestClock{30000};
+constexpr milliseconds kMaxClockAge{30000};
 // A run is overdue after this many times its estimate and a little more: estimates are off by half.
 constexpr double kCopyFactor = 1.6;
 constexpr milliseconds kCopySlack{300};
 
-double Share(uint32_t part, uint32_t whole) {
+double Fraction(uint32_t part, uint32_t whole) {
   return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
 // How full the instance is once the task runs there, by its scarcest resource.
-double FullnessWith(const fleet_instance& instance, const resources& room) {
+double FullnessWith(const fleet_instance& instance, const resources& demand) {
   const resources& capacity = instance.report.capacity;
   const resources& used = instance.used;
-  return std::max({Share(used.cpu_milli + room.cpu_milli, capacity.cpu_milli),
-                   Share(used.memory_mb + room.memory_mb, capacity.memory_mb),
-                   Share(used.accelerators + room.accelerators, capacity.accelerators)});
+  return std::max({Fraction(used.cpu_milli + demand.cpu_milli, capacity.cpu_milli),
+                   Fraction(used.memory_mb + demand.memory_mb, capacity.memory_mb),
+                   Fraction(used.accelerators + demand.accelerators, capacity.accelerators)});
 }
 
-bool ServedBefore(const step_progress& step) {
-  return std::any_of(step.tasks.begin(), step.tasks.end(), [](const task_state_slot& task) {
-    return task.phase == slot_phase::kWaiting && task.last_run > 0;
+bool RanBefore(const step_progress& step) {
+  return std::any_of(step.tasks.begin(), step.tasks.end(), [](const graph_task_state& task) {
+    return task.phase == graph_task_phase::kWaiting && task.last_run > 0;
   });
 }
 
@@ -45,9 +45,9 @@
   if (version_ == nullptr || entry.job.workspace.empty()) return true;
   const workspace_terms* workspace = version_->WorkspaceNamed(entry.job.workspace);
   if (workspace == nullptr) return true;
-  const auto found = running_of_workspace_.find(entry.job.workspace);
+  const auto found = usage_of_workspace_.find(entry.job.workspace);
   resources with = need;
-  if (found != running_of_workspace_.end()) with += found->second;
+  if (found != usage_of_workspace_.end()) with += found->second;
   return !Exceeds(with.cpu_milli, workspace->maximum.cpu_milli) &&
          !Exceeds(with.memory_mb, workspace->maximum.memory_mb) &&
          !Exceeds(with.accelerators, workspace->maximum.accelerators);
@@ -57,46 +57,46 @@
   std::vector<ready_step> out;
   for (job_entry* entry : active_) {
     for (auto& [number, occurrence] : entry->occurrences) {
-      job_place place;
+      job_order_key rank;
       for (uint32_t i = 0; i < occurrence->steps.size(); ++i) {
         const step_progress& step = occurrence->steps[i];
         if (!step.ready || step.waiting == 0) continue;
         if (entry->job.steps[i].long_running) {
           // It serves its users again from the moment when it is back.
           out.push_back(
-              {entry, occurrence.get(), i, {job_rank::kInTime, step.ready_at}, ServedBefore(step)});
+              {entry, occurrence.get(), i, {job_rank::kInTime, step.ready_at}, RanBefore(step)});
           continue;
         }
-        if (place.by == monotonic_time{}) {
+        if (rank.deadline == monotonic_time{}) {
           const milliseconds remaining = RemainingChain(*entry, *occurrence);
-          place = PlaceOf({entry->accepted_at, entry->objective, remaining}, now);
+          rank = OrderKeyOf({entry->accepted_at, entry->objective, remaining}, now);
         }
-        out.push_back({entry, occurrence.get(), i, place});
+        out.push_back({entry, occurrence.get(), i, rank});
       }
     }
   }
   std::stable_sort(out.begin(), out.end(), [this](const ready_step& a, const ready_step& b) {
     // These are few, and while starts are what is short they would wait behind every burst.
-    if (a.back != b.back) return a.back;
+    if (a.service_down != b.service_down) return a.service_down;
     if (a.entry->beyond_share != b.entry->beyond_share) return b.entry->beyond_share;
     const int first = TermsOf(*a.entry).priority;
     const int second = TermsOf(*b.entry).priority;
     if (first != second) return first < second;
-    return a.place < b.place;
+    return a.rank < b.rank;
   });
   return out;
 }
 
-bool job_scheduler::MayGetWork(const fleet_instance& instance, monotonic_time now) {
-  if (!instance.present || !instance.listed || !instance.noted) return false;
-  if (instance.report.draining || instance.doubted || instance.replaced) return false;
-  if (!instance.Reachable() || now < instance.shunned_until) return false;
-  return now - instance.clock_at <= kOldestClock;
+bool job_scheduler::AcceptsWork(const fleet_instance& instance, monotonic_time now) {
+  if (!instance.present || !instance.listed || !instance.registered) return false;
+  if (instance.report.draining || instance.suspect || instance.replaced) return false;
+  if (!instance.Reachable() || now < instance.quarantined_until) return false;
+  return now - instance.clock_at <= kMaxClockAge;
 }
 
 bool job_scheduler::MayRun(const fleet_instance& instance, const ready_step& ready,
                            monotonic_time now) const {
-  if (instance.service != ready.entry->service || !MayGetWork(instance, now)) return false;
+  if (instance.service != ready.entry->service || !AcceptsWork(instance, now)) return false;
   return HasLabel(instance, ready);
 }
 
@@ -107,25 +107,25 @@
   return std::find(labels.begin(), labels.end(), step.required_label) != labels.end();
 }
 
-fleet_instance* job_scheduler::Choose(const ready_step& ready, const task_state_slot& task,
-                                      monotonic_time now, const std::string* rack) {
+fleet_instance* job_scheduler::ChooseInstance(const ready_step& ready, const graph_task_state& task,
+                                              monotonic_time now, const std::string* rack) {
   const step_terms& terms = ready.entry->job.steps[ready.index];
   const step_progress& step = ready.occurrence->steps[ready.index];
   const bool advised = TermsOf(*ready.entry).needs_advice;
-  resources room = terms.need;
-  if (terms.fills) room.cpu_milli = 0;
-  const monotonic_time until = GivesBack(ready, now);
+  resources demand = terms.need;
+  if (terms.fills) demand.cpu_milli = 0;
+  const monotonic_time until = ExpectedRelease(ready, now);
   fleet_instance* best = nullptr;
   double best_score = -std::numeric_limits<double>::infinity();
   const auto consider = [&](fleet_instance& instance) {
     if (rack != nullptr && instance.report.rack != *rack) return;
     if (task.run != nullptr && task.run->instance == &instance) return;
-    if (!instance.Fits(room) || !MayRun(instance, ready, now)) return;
-    if (!DelaysNobody(instance, room, until)) return;
+    if (!instance.Fits(demand) || !MayRun(instance, ready, now)) return;
+    if (!RespectsReservations(instance, demand, until)) return;
     const auto placed = step.placed.find(&instance);
     const uint32_t here = placed == step.placed.end() ? 0 : placed->second;
     if (terms.most_per_instance > 0 && here >= terms.most_per_instance) return;
-    double score = FullnessWith(instance, room);
+    double score = FullnessWith(instance, demand);
     // Lasting tasks are spread, so that one loss takes few of them.
     if (terms.long_running) score = -score - here;
     if (terms.fills) score = -score;
@@ -154,10 +154,10 @@
   step_progress& step = ready.occurrence->steps[ready.index];
   for (uint32_t i = 0; i < step.tasks.size() && step.waiting > 0; ++i) {
     if (!MayPlanMore()) return;
-    task_state_slot& task = step.tasks[i];
-    if (task.phase != slot_phase::kWaiting) continue;
+    graph_task_state& task = step.tasks[i];
+    if (task.phase != graph_task_phase::kWaiting) continue;
     if (!WithinLimit(*ready.entry, terms.need)) return;
-    fleet_instance* instance = Choose(ready, task, now, nullptr);
+    fleet_instance* instance = ChooseInstance(ready, task, now, nullptr);
     if (instance == nullptr) return;
     Start(*instance, ready, i, NextRun(task), now);
   }
@@ -172,20 +172,20 @@
   for (size_t i = 0; i < step.tasks.size(); ++i) all += terms.need;
   if (!WithinLimit(*ready.entry, all)) return;
 
-  resources room = terms.need;
-  if (terms.fills) room.cpu_milli = 0;
+  resources demand = terms.need;
+  if (terms.fills) demand.cpu_milli = 0;
   const auto try_rack = [&](const std::string* rack) {
     std::vector<fleet_instance*> chosen;
-    for (const task_state_slot& task : step.tasks) {
-      fleet_instance* instance = Choose(ready, task, now, rack);
+    for (const graph_task_state& task : step.tasks) {
+      fleet_instance* instance = ChooseInstance(ready, task, now, rack);
       if (instance == nullptr) break;
       // Tentative, so that the next member sees the room as taken.
-      instance->used += room;
+      instance->used += demand;
       ++step.placed[instance];
       chosen.push_back(instance);
     }
     for (fleet_instance* instance : chosen) {
-      instance->used -= room;
+      instance->used -= demand;
       if (--step.placed[instance] == 0) step.placed.erase(instance);
     }
     return chosen;
@@ -207,7 +207,7 @@
   if (chosen.size() != step.tasks.size()) return;
   uint32_t number = 0;
   std::string checkpoint;
-  for (const task_state_slot& task : step.tasks) {
+  for (const graph_task_state& task : step.tasks) {
     number = std::max(number, NextRun(task));
     if (!task.checkpoint.empty()) checkpoint = task.checkpoint;
   }
@@ -219,16 +219,16 @@
 
 // A speculative task gets a copy where its run is overdue or its instance does not answer: a slow
 // or lost instance is noticed by the clock long before its lease is over.
-bool job_scheduler::WantsCopy(const task_state_slot& task, const step_terms& terms,
+bool job_scheduler::WantsCopy(const graph_task_state& task, const step_terms& terms,
                               milliseconds expected, monotonic_time now) const {
   if (!terms.speculative || terms.gang || terms.long_running) return false;
-  if (task.phase != slot_phase::kActive || task.run == nullptr || task.copy != nullptr)
+  if (task.phase != graph_task_phase::kActive || task.run == nullptr || task.copy != nullptr)
     return false;
   if (task.run->stopping != stop_cause::kNone) return false;
-  const auto patience =
+  const auto timeout =
       milliseconds(static_cast<int64_t>(kCopyFactor * static_cast<double>(expected.count()))) +
       kCopySlack;
-  return !task.run->instance->Reachable() || now - task.run->started > patience;
+  return !task.run->instance->Reachable() || now - task.run->started > timeout;
 }
 
 void job_scheduler::PlaceCopies(monotonic_time now) {
@@ -237,10 +237,10 @@
     step_progress& step = ready.occurrence->steps[ready.index];
     const milliseconds expected = ExpectedRun(*ready.entry, step, ready.index);
     for (uint32_t i = 0; i < step.tasks.size(); ++i) {
-      task_state_slot& task = step.tasks[i];
+      graph_task_state& task = step.tasks[i];
       if (!WantsCopy(task, terms, expected, now)) continue;
       if (!WithinLimit(*ready.entry, terms.need)) break;
-      fleet_instance* instance = Choose(ready, task, now, nullptr);
+      fleet_instance* instance = ChooseInstance(ready, task, now, nullptr);
       if (instance == nullptr) break;
       Start(*instance, ready, i, NextRun(task), now);
     }
@@ -258,7 +258,7 @@
         const milliseconds expected = ExpectedRun(*entry, step, i);
         const bool wanted = std::any_of(
             step.tasks.begin(), step.tasks.end(),
-            [&](const task_state_slot& task) { return WantsCopy(task, terms, expected, now); });
+            [&](const graph_task_state& task) { return WantsCopy(task, terms, expected, now); });
         if (wanted) out.push_back({entry, occurrence.get(), i, {}});
       }
     }
@@ -271,16 +271,16 @@
 bool job_scheduler::MustWaitForInheritance(const job_entry& entry, const resources& need) const {
   if (records_complete_) return false;
   if (entry.inherited) return true;
-  const auto possible = possible_of_workspace_.find(entry.job.workspace);
-  if (possible == possible_of_workspace_.end()) return false;
+  const auto possible = possible_usage_of_workspace_.find(entry.job.workspace);
+  if (possible == possible_usage_of_workspace_.end()) return false;
   return !WithinLimit(entry, need + possible->second);
 }
 
 void job_scheduler::CountPossibleRuns() {
-  possible_of_workspace_.clear();
+  possible_usage_of_workspace_.clear();
   for (const job_entry* entry : active_) {
     if (!entry->inherited) continue;
-    resources& sum = possible_of_workspace_[entry->job.workspace];
+    resources& sum = possible_usage_of_workspace_[entry->job.workspace];
     for (const auto& [number, occurrence] : entry->occurrences) {
       for (size_t i = 0; i < occurrence->steps.size(); ++i) {
         if (!occurrence->steps[i].ready) continue;
@@ -297,7 +297,7 @@
     inheritance_settled_ = InheritanceSettled(now);
     CountPossibleRuns();
   }
-  BeginHolds();
+  ResetReservations();
   for (const ready_step& ready : steps) {
     if (!MayPlanMore()) break;
     const step_terms& terms = ready.entry->job.steps[ready.index];
@@ -307,7 +307,7 @@
     } else {
       PlaceStep(ready, now);
     }
-    HoldRoom(ready, now);
+    ReserveCapacity(ready, now);
   }
   PlaceCopies(now);
 }
--- a/src/process/scheduling/scheduler_runs.cc
+++ b/src/process/scheduling/scheduler_runs.cc
@@ -11,15 +11,15 @@
 using std::chrono::milliseconds;
 
 // A stop is sent again this often until its end is listed.
-constexpr milliseconds kStopAgain{500};
+constexpr milliseconds kStopRetryInterval{500};
 // A run without progress for this many times its expected time, and at least this long, is stopped
 // and starts elsewhere: estimates are off by half and slow instances by a few times.
 constexpr double kStallFactor = 3.0;
-constexpr milliseconds kStallLeast{2500};
+constexpr milliseconds kMinStallTime{2500};
 // Failed runs in a row after which an instance gets nothing for a while; tasks that fail by
 // themselves are a few in a hundred.
-constexpr uint32_t kFaultsInARow = 3;
-constexpr milliseconds kShunTime{4000};
+constexpr uint32_t kMaxConsecutiveFaults = 3;
+constexpr milliseconds kQuarantineTime{4000};
 
 std::string NameOf(const task_key& key) {
   return absl::StrCat(key.job, ".", key.occurrence, ".", key.step, ".", key.index);
@@ -27,27 +27,27 @@
 
 }  // namespace
 
-std::string_view ToText(order_result result) {
+std::string_view ToText(command_result result) {
   switch (result) {
-    case order_result::kDone:
+    case command_result::kDone:
       return "done";
-    case order_result::kNotDone:
+    case command_result::kNotDone:
       return "not_done";
-    case order_result::kFenced:
+    case command_result::kFenced:
       return "fenced";
-    case order_result::kStale:
+    case command_result::kStale:
       return "stale";
-    case order_result::kLate:
+    case command_result::kLate:
       return "late";
-    case order_result::kNoRoom:
+    case command_result::kNoRoom:
       return "no_room";
-    case order_result::kNoTicket:
+    case command_result::kNoTicket:
       return "no_ticket";
-    case order_result::kOtherLife:
+    case command_result::kOtherIncarnation:
       return "other_life";
-    case order_result::kMalformed:
+    case command_result::kMalformed:
       return "malformed";
-    case order_result::kUnknown:
+    case command_result::kUnknown:
       return "unknown";
   }
   return "unknown";
@@ -94,25 +94,25 @@
   const step_terms& terms = job->job.steps[key.step];
   run.fills = terms.fills;
   run.serves = terms.tail_target.count() > 0;
-  run.room = terms.need;
-  if (terms.fills) run.room.cpu_milli = 0;
+  run.capacity = terms.need;
+  if (terms.fills) run.capacity.cpu_milli = 0;
   if (terms.fills) ++instance.filling;
-  HoldRoom(run, 1);
+  ReserveCapacity(run, 1);
   return run;
 }
 
-void job_scheduler::HoldRoom(graph_run& run, int sign) {
+void job_scheduler::ReserveCapacity(graph_run& run, int sign) {
   if (run.job == nullptr) return;
   const resources& need = run.job->job.steps[run.key.step].need;
-  resources& running = running_of_workspace_[run.job->job.workspace];
+  resources& running = usage_of_workspace_[run.job->job.workspace];
   step_progress* step = run.job->Find(run.key);
   if (sign > 0) {
-    run.instance->used += run.room;
+    run.instance->used += run.capacity;
     running += need;
     if (step != nullptr) ++step->placed[run.instance];
     return;
   }
-  run.instance->used -= run.room;
+  run.instance->used -= run.capacity;
   running -= need;
   if (step == nullptr) return;
   const auto placed = step->placed.find(run.instance);
@@ -120,25 +120,25 @@
 }
 
 void job_scheduler::Release(graph_run& run, monotonic_time now) {
-  HoldRoom(run, -1);
+  ReserveCapacity(run, -1);
   CloseRun(run, now);
   fleet_instance& instance = *run.instance;
   if (run.fills) --instance.filling;
-  const auto place =
+  const auto slot =
       std::find_if(instance.runs.begin(), instance.runs.end(),
                    [&](const std::unique_ptr<graph_run>& held) { return held.get() == &run; });
-  const std::unique_ptr<graph_run> released = std::move(*place);
-  std::swap(*place, instance.runs.back());
+  const std::unique_ptr<graph_run> released = std::move(*slot);
+  std::swap(*slot, instance.runs.back());
   instance.runs.pop_back();
   if (run.job != nullptr) {
     if (step_progress* step = run.job->Find(run.key)) {
-      task_state_slot& task = step->tasks[run.key.index];
+      graph_task_state& task = step->tasks[run.key.index];
       if (task.copy == &run) task.copy = nullptr;
       if (task.run == &run) {
         task.run = std::exchange(task.copy, nullptr);
         if (task.run == nullptr) task.run = AnyOpenRun(run.key);
-        if (task.run == nullptr && task.phase == slot_phase::kActive) {
-          task.phase = slot_phase::kWaiting;
+        if (task.run == nullptr && task.phase == graph_task_phase::kActive) {
+          task.phase = graph_task_phase::kWaiting;
           task.waiting_since = now;
           --step->active;
           ++step->waiting;
@@ -155,27 +155,27 @@
   for (uint32_t i = 0; i < step->tasks.size(); ++i) {
     // One end of a gang that is done stands for all of its members.
     if (!gang && i != key.index) continue;
-    task_state_slot& task = step->tasks[i];
-    if (task.phase == slot_phase::kDone) continue;
-    if (task.phase == slot_phase::kWaiting) --step->waiting;
-    if (task.phase == slot_phase::kActive) --step->active;
-    task.phase = slot_phase::kDone;
+    graph_task_state& task = step->tasks[i];
+    if (task.phase == graph_task_phase::kDone) continue;
+    if (task.phase == graph_task_phase::kWaiting) --step->waiting;
+    if (task.phase == graph_task_phase::kActive) --step->active;
+    task.phase = graph_task_phase::kDone;
     ++step->done;
     if (!gang) {
-      if (task.run != nullptr) AskStop(*task.run, stop_cause::kCopyLost, now);
-      if (task.copy != nullptr) AskStop(*task.copy, stop_cause::kCopyLost, now);
+      if (task.run != nullptr) RequestStop(*task.run, stop_cause::kCopyLost, now);
+      if (task.copy != nullptr) RequestStop(*task.copy, stop_cause::kCopyLost, now);
     }
   }
-  Touch(entry);
+  MarkChanged(entry);
   if (!step->Done()) return;
   RefreshReady(entry, now);
   const auto occurrence = entry.occurrences.find(key.occurrence);
   if (!occurrence->second->Done()) return;
   // Copies that still run point into the occurrence: they are cut loose, and stopped as strays.
   for (step_progress& each : occurrence->second->steps) {
-    for (task_state_slot& task : each.tasks) {
+    for (graph_task_state& task : each.tasks) {
       for (graph_run* run : {task.run, task.copy}) {
-        if (run != nullptr) AskStop(*run, stop_cause::kCopyLost, now);
+        if (run != nullptr) RequestStop(*run, stop_cause::kCopyLost, now);
       }
     }
   }
@@ -188,19 +188,19 @@
   step_progress* step = entry.Find(key);
   if (step == nullptr) return;
   const step_terms& terms = entry.job.steps[key.step];
-  task_state_slot& task = step->tasks[key.index];
-  if (task.phase == slot_phase::kDone) return;
+  graph_task_state& task = step->tasks[key.index];
+  if (task.phase == graph_task_phase::kDone) return;
   std::vector<uint32_t>& failed = terms.gang ? step->gang_failed_runs : task.failed_runs;
   if (std::find(failed.begin(), failed.end(), run) != failed.end()) return;
   // Tasks that last may fail as often as they like: only the latest matters.
   if (terms.long_running) failed.clear();
   failed.push_back(run);
-  Touch(entry);
+  MarkChanged(entry);
   // A task that failed elsewhere before is more likely at fault than the instance.
-  if (failed.size() == 1 && ++at.faults >= kFaultsInARow) {
+  if (failed.size() == 1 && ++at.faults >= kMaxConsecutiveFaults) {
     at.faults = 0;
-    at.shunned_until = now + kShunTime;
-    Note(scheduler_note::kind::kInstanceShunned, at.report.id, "failed runs in a row");
+    at.quarantined_until = now + kQuarantineTime;
+    LogEvent(scheduler_event::kind::kInstanceShunned, at.report.id, "failed runs in a row");
   }
   if (terms.long_running) return;
   if (failed.size() >= TermsOf(entry).max_attempts) Finish(entry, graph_phase::kFailed, now);
@@ -213,16 +213,17 @@
   job_entry* entry = found == jobs_.end() ? nullptr : found->second.get();
   graph_run* run = FindRun(instance, row.key, row.run);
   const stop_cause cause = run == nullptr ? stop_cause::kNone : run->stopping;
-  Note(scheduler_note::kind::kTaskEnd, NameOf(row.key),
-       absl::StrCat(
-           "run=", row.run, " instance=", instance.report.id, " end=", std::string(ToText(row.how)),
-           " held=", run != nullptr, " stop=", std::string(ToText(cause)),
-           run == nullptr ? std::string()
-                          : absl::StrCat(" ran_ms=",
-                                         duration_cast<milliseconds>(now - run->started).count())));
+  LogEvent(
+      scheduler_event::kind::kTaskEnd, NameOf(row.key),
+      absl::StrCat(
+          "run=", row.run, " instance=", instance.report.id, " end=", std::string(ToText(row.how)),
+          " held=", run != nullptr, " stop=", std::string(ToText(cause)),
+          run == nullptr
+              ? std::string()
+              : absl::StrCat(" ran_ms=", duration_cast<milliseconds>(now - run->started).count())));
   step_progress* step = entry == nullptr ? nullptr : entry->Find(row.key);
   if (step != nullptr) {
-    task_state_slot& task = step->tasks[row.key.index];
+    graph_task_state& task = step->tasks[row.key.index];
     task.last_run = std::max(task.last_run, row.run);
     if (!row.checkpoint.empty()) task.checkpoint = row.checkpoint;
   }
@@ -236,7 +237,7 @@
       OnTaskDone(*entry, row.key, now);
     } else {
       if (row.how == run_end::kFailed) OnTaskFailed(*entry, row.key, row.run, instance, now);
-      if (!IsFinal(entry->phase) && !row.checkpoint.empty()) Touch(*entry);
+      if (!IsFinal(entry->phase) && !row.checkpoint.empty()) MarkChanged(*entry);
       if (!IsFinal(entry->phase) && entry->job.steps[row.key.step].gang) {
         BreakGang(*entry, row.key, stop_cause::kGangBroken, now);
       }
@@ -249,8 +250,8 @@
                               monotonic_time now) {
   step_progress* step = entry.Find(member);
   if (step == nullptr) return;
-  for (task_state_slot& task : step->tasks) {
-    if (task.run != nullptr) AskStop(*task.run, cause, now);
+  for (graph_task_state& task : step->tasks) {
+    if (task.run != nullptr) RequestStop(*task.run, cause, now);
   }
 }
 
@@ -266,29 +267,29 @@
   step_progress* step = entry == nullptr ? nullptr : entry->Find(row.key);
   const bool wanted = step != nullptr && !IsFinal(entry->phase);
   if (step != nullptr) {
-    task_state_slot& task = step->tasks[row.key.index];
+    graph_task_state& task = step->tasks[row.key.index];
     task.last_run = std::max(task.last_run, row.run);
     // Also one that is not wanted: until it is gone, the task must not start elsewhere.
-    if (task.phase != slot_phase::kDone) {
+    if (task.phase != graph_task_phase::kDone) {
       task.open_runs.push_back({row.run, instance.report.id, {}});
-      Touch(*entry);
+      MarkChanged(*entry);
     }
-    if (wanted && task.phase == slot_phase::kWaiting) {
-      task.phase = slot_phase::kActive;
+    if (wanted && task.phase == graph_task_phase::kWaiting) {
+      task.phase = graph_task_phase::kActive;
       task.run = &run;
       --step->waiting;
       ++step->active;
       entry->started = true;
       if (entry->phase == graph_phase::kQueued) entry->phase = graph_phase::kRunning;
-      Note(scheduler_note::kind::kRunAdopted, NameOf(row.key),
-           absl::StrCat("run=", row.run, " instance=", instance.report.id));
+      LogEvent(scheduler_event::kind::kRunAdopted, NameOf(row.key),
+               absl::StrCat("run=", row.run, " instance=", instance.report.id));
       return;
     }
   }
-  Note(scheduler_note::kind::kTaskStop, NameOf(row.key),
-       absl::StrCat("run=", row.run, " instance=", instance.report.id,
-                    " cause=stray known=", entry != nullptr));
-  AskStop(run, stop_cause::kStray, now);
+  LogEvent(scheduler_event::kind::kTaskStop, NameOf(row.key),
+           absl::StrCat("run=", row.run, " instance=", instance.report.id,
+                        " cause=stray known=", entry != nullptr));
+  RequestStop(run, stop_cause::kStray, now);
 }
 
 void job_scheduler::HandleRunning(fleet_instance& instance, const running_row& row,
@@ -299,8 +300,8 @@
   if (run->phase == run_phase::kSent || run->phase == run_phase::kUnknown ||
       run->phase == run_phase::kInherited) {
     if (run->phase == run_phase::kInherited) {
-      Note(scheduler_note::kind::kRunAdopted, NameOf(row.key),
-           absl::StrCat("run=", row.run, " instance=", instance.report.id));
+      LogEvent(scheduler_event::kind::kRunAdopted, NameOf(row.key),
+               absl::StrCat("run=", row.run, " instance=", instance.report.id));
     }
     run->phase = run_phase::kRunning;
     run->confirmed = now;
@@ -321,21 +322,21 @@
 void job_scheduler::HandleMissing(fleet_instance& instance,
                                   const std::vector<const graph_run*>& seen, monotonic_time sent,
                                   monotonic_time now) {
-  std::vector<graph_run*> gone;
+  std::vector<graph_run*> missing;
   for (const auto& run : instance.runs) {
     if (std::find(seen.begin(), seen.end(), run.get()) != seen.end()) continue;
     // A listing that was asked for before the run was known to be there says nothing of it.
     const bool known = (run->phase == run_phase::kRunning && run->confirmed < sent);
     // A run that is not there once its stop was answered will never be there.
-    const bool stopped = run->stop_confirmed && run->stop_answered < sent;
+    const bool stopped = run->stop_confirmed && run->stop_answered_at < sent;
     // This owner's listing shuts out all orders of earlier ones.
     const bool inherited = run->phase == run_phase::kInherited;
-    if (known || stopped || inherited) gone.push_back(run.get());
+    if (known || stopped || inherited) missing.push_back(run.get());
   }
-  for (graph_run* run : gone) {
-    Note(scheduler_note::kind::kRunVanished, NameOf(run->key),
-         absl::StrCat("run=", run->number, " instance=", instance.report.id,
-                      " stop=", std::string(ToText(run->stopping))));
+  for (graph_run* run : missing) {
+    LogEvent(scheduler_event::kind::kRunVanished, NameOf(run->key),
+             absl::StrCat("run=", run->number, " instance=", instance.report.id,
+                          " stop=", std::string(ToText(run->stopping))));
     if (run->stopping == stop_cause::kUnknownStart) {
       instance.undelivered.push_back({run->key, run->number, run->started});
     }
@@ -348,7 +349,7 @@
   }
 }
 
-void job_scheduler::SendStop(graph_run& run, scheduler_orders& orders, monotonic_time now) {
+void job_scheduler::SendStop(graph_run& run, scheduler_commands& commands, monotonic_time now) {
   if (run.stop_in_flight || now < run.next_stop) return;
   // More would only wait for a connection, and hold up calls to others there.
   const auto& runs = run.instance->runs;
@@ -356,47 +357,47 @@
                                        [](const auto& each) { return each->stop_in_flight; });
   if (static_cast<uint32_t>(under_way) >= options_.stops_at_instance) return;
   run.stop_in_flight = true;
-  run.next_stop = now + kStopAgain;
+  run.next_stop = now + kStopRetryInterval;
   const instance_report& report = run.instance->report;
-  orders.stops.push_back({{report.id, report.address, report.incarnation}, run.key, run.number});
-  Note(scheduler_note::kind::kTaskStop, NameOf(run.key),
-       absl::StrCat("run=", run.number, " instance=", report.id,
-                    " cause=", std::string(ToText(run.stopping))));
+  commands.stops.push_back({{report.id, report.address, report.incarnation}, run.key, run.number});
+  LogEvent(scheduler_event::kind::kTaskStop, NameOf(run.key),
+           absl::StrCat("run=", run.number, " instance=", report.id,
+                        " cause=", std::string(ToText(run.stopping))));
 }
 
-void job_scheduler::CheckRun(graph_run& run, scheduler_orders& orders, monotonic_time now) {
+void job_scheduler::CheckRun(graph_run& run, scheduler_commands& commands, monotonic_time now) {
   const bool unanswered = run.phase == run_phase::kUnknown || run.phase == run_phase::kSent;
-  if (unanswered && now - run.started >= Patience()) {
-    if (run.stopping == stop_cause::kNone) Doubt(*run.instance, now);
-    AskStop(run, stop_cause::kUnknownStart, now);
+  if (unanswered && now - run.started >= Timeout()) {
+    if (run.stopping == stop_cause::kNone) MarkSuspect(*run.instance, now);
+    RequestStop(run, stop_cause::kUnknownStart, now);
   }
   const bool works = run.phase == run_phase::kRunning && run.stopping == stop_cause::kNone &&
-                     run.job != nullptr && run.pace == 100;
+                     run.job != nullptr && run.speed_percent == 100;
   // Most runs made progress lately: what they should take need not be looked up.
-  const bool quiet = now - run.progressed > kStallLeast;
+  const bool quiet = now - run.progressed > kMinStallTime;
   if (works && quiet && !run.job->job.steps[run.key.step].long_running &&
       run.instance->Reachable()) {
     const step_progress* step = run.job->Find(run.key);
     const auto expected =
-        step == nullptr ? kStallLeast : ExpectedRun(*run.job, *step, run.key.step);
-    const auto patience =
-        std::max(kStallLeast, milliseconds(static_cast<int64_t>(
-                                  kStallFactor * static_cast<double>(expected.count()) / 100)));
-    if (now - run.progressed > patience) AskStop(run, stop_cause::kStalled, now);
+        step == nullptr ? kMinStallTime : ExpectedRun(*run.job, *step, run.key.step);
+    const auto timeout =
+        std::max(kMinStallTime, milliseconds(static_cast<int64_t>(
+                                    kStallFactor * static_cast<double>(expected.count()) / 100)));
+    if (now - run.progressed > timeout) RequestStop(run, stop_cause::kStalled, now);
   }
   // What was never sent needs no stop: it is taken back when its turn to be sent comes.
   if (run.stopping == stop_cause::kNone || run.phase == run_phase::kPlanned) return;
-  SendStop(run, orders, now);
+  SendStop(run, commands, now);
 }
 
-void job_scheduler::CheckRuns(scheduler_orders& orders, monotonic_time now) {
+void job_scheduler::CheckRuns(scheduler_commands& commands, monotonic_time now) {
   for (auto& [id, instance] : instances_) {
     if (instance->report.draining) Evacuate(*instance, now);
     for (const auto& run : instance->runs) {
       const bool gang = run->job != nullptr && run->key.step < run->job->job.steps.size() &&
                         run->job->job.steps[run->key.step].gang;
       const stop_cause before = run->stopping;
-      CheckRun(*run, orders, now);
+      CheckRun(*run, commands, now);
       if (gang && before == stop_cause::kNone && run->stopping != stop_cause::kNone) {
         BreakGang(*run->job, run->key, stop_cause::kGangBroken, now);
       }
@@ -404,21 +405,21 @@
   }
 }
 
-void job_scheduler::OnStartAnswer(const start_order& order, const order_answer& answer,
+void job_scheduler::OnStartAnswer(const start_command& request, const command_answer& answer,
                                   monotonic_time now) {
   if (starts_in_flight_ > 0) --starts_in_flight_;
-  const auto found = instances_.find(order.to.instance);
+  const auto found = instances_.find(request.to.instance);
   if (found == instances_.end()) return;
   fleet_instance& instance = *found->second;
   if (instance.starts_in_flight > 0) --instance.starts_in_flight;
-  if (answer.clock_ms) NoteClock(instance, *answer.clock_ms, now);
-  graph_run* run = FindRun(instance, order.key, order.run);
+  if (answer.clock_ms) UpdateClock(instance, *answer.clock_ms, now);
+  graph_run* run = FindRun(instance, request.key, request.run);
   if (run == nullptr) return;
   if (answer.clock_ms) {
-    answer_time_.OnAnswer(duration_cast<milliseconds>(now - run->started));
-    Heard(instance, run->started);
+    answer_timeout_.OnAnswer(duration_cast<milliseconds>(now - run->started));
+    ClearSuspect(instance, run->started);
   }
-  if (answer.result == order_result::kDone) {
+  if (answer.result == command_result::kDone) {
     if (run->phase != run_phase::kSent && run->phase != run_phase::kUnknown) return;
     run->phase = run_phase::kRunning;
     run->seen = true;
@@ -426,57 +427,58 @@
     run->progressed = now;
     return;
   }
-  Note(scheduler_note::kind::kTaskRefused, NameOf(order.key),
-       absl::StrCat("run=", order.run, " instance=", order.to.instance,
-                    " result=", std::string(ToText(answer.result))));
-  if (answer.result == order_result::kUnknown) {
+  LogEvent(scheduler_event::kind::kTaskRefused, NameOf(request.key),
+           absl::StrCat("run=", request.run, " instance=", request.to.instance,
+                        " result=", std::string(ToText(answer.result))));
+  if (answer.result == command_result::kUnknown) {
     if (run->phase == run_phase::kSent) run->phase = run_phase::kUnknown;
     return;
   }
   if (run->phase == run_phase::kRunning) return;  // a listing has shown it: believed before this
   job_entry* entry = run->job;
-  step_progress* step = entry == nullptr ? nullptr : entry->Find(order.key);
-  if (answer.result == order_result::kNoTicket && step != nullptr) {
-    step->advice.Forget(instance.ordinal);
+  step_progress* step = entry == nullptr ? nullptr : entry->Find(request.key);
+  if (answer.result == command_result::kNoTicket && step != nullptr) {
+    step->advice.RemoveVerdict(instance.ordinal);
   }
-  if (answer.result == order_result::kNotDone || answer.result == order_result::kOtherLife ||
-      answer.result == order_result::kNoRoom) {
-    instance.shunned_until = now + milliseconds{500};
+  if (answer.result == command_result::kNotDone ||
+      answer.result == command_result::kOtherIncarnation ||
+      answer.result == command_result::kNoRoom) {
+    instance.quarantined_until = now + milliseconds{500};
   }
-  const bool gang = step != nullptr && entry->job.steps[order.key.step].gang;
+  const bool gang = step != nullptr && entry->job.steps[request.key.step].gang;
   Release(*run, now);
-  if (gang) BreakGang(*entry, order.key, stop_cause::kGangBroken, now);
+  if (gang) BreakGang(*entry, request.key, stop_cause::kGangBroken, now);
 }
 
-void job_scheduler::OnStopAnswer(const stop_order& order, const order_answer& answer,
+void job_scheduler::OnStopAnswer(const stop_command& request, const command_answer& answer,
                                  monotonic_time now) {
-  const auto found = instances_.find(order.to.instance);
+  const auto found = instances_.find(request.to.instance);
   if (found == instances_.end()) return;
-  if (answer.clock_ms) NoteClock(*found->second, *answer.clock_ms, now);
-  graph_run* run = FindRun(*found->second, order.key, order.run);
+  if (answer.clock_ms) UpdateClock(*found->second, *answer.clock_ms, now);
+  graph_run* run = FindRun(*found->second, request.key, request.run);
   if (run == nullptr) return;
   run->stop_in_flight = false;
-  if (answer.clock_ms) Heard(*found->second, run->next_stop - kStopAgain);
-  if (answer.result != order_result::kDone) return;
+  if (answer.clock_ms) ClearSuspect(*found->second, run->next_stop - kStopRetryInterval);
+  if (answer.result != command_result::kDone) return;
   if (!run->stop_confirmed) {
     run->stop_confirmed = true;
-    run->stop_answered = now;
+    run->stop_answered_at = now;
     run->phase = run_phase::kStopping;
     // The end is listed by itself; a run that never began has none, and needs a listing to show it.
     found->second->next_listing = std::min(found->second->next_listing, now);
   }
-  run->next_stop = now + options_.stop_limit + kStopAgain;
+  run->next_stop = now + options_.stop_limit + kStopRetryInterval;
 }
 
-void job_scheduler::OnPaceAnswer(const pace_order& order, const order_answer& answer,
-                                 monotonic_time now) {
-  const auto found = instances_.find(order.to.instance);
+void job_scheduler::OnSpeedAnswer(const speed_command& request, const command_answer& answer,
+                                  monotonic_time now) {
+  const auto found = instances_.find(request.to.instance);
   if (found == instances_.end()) return;
-  if (answer.clock_ms) NoteClock(*found->second, *answer.clock_ms, now);
-  graph_run* run = FindRun(*found->second, order.key, order.run);
+  if (answer.clock_ms) UpdateClock(*found->second, *answer.clock_ms, now);
+  graph_run* run = FindRun(*found->second, request.key, request.run);
   if (run == nullptr) return;
-  run->pace_in_flight = false;
-  if (answer.result == order_result::kDone) run->pace = order.percent;
+  run->speed_in_flight = false;
+  if (answer.result == command_result::kDone) run->speed_percent = request.percent;
 }
 
 }  // namespace catkinford
--- a/src/process/scheduling/scheduler_pace.cc
+++ b/src/process/scheduling/scheduler_speed.cc
@@ -13,14 +13,14 @@
 // Share of the target at which the tasks that fill stop, and below which they may speed up.
 constexpr double kSlowDownAt = 0.85;
 constexpr double kSpeedUpBelow = 0.6;
-constexpr uint32_t kFullPace = 100;
-constexpr uint32_t kPaceStep = 25;           // percent; up again in four steps
+constexpr uint32_t kFullSpeed = 100;
+constexpr uint32_t kSpeedStep = 25;          // percent; up again in four steps
 constexpr milliseconds kSpeedUpPause{1500};  // a tail is a figure over the last half second
 constexpr milliseconds kSlowDownPause{400};
 
 }  // namespace
 
-void job_scheduler::PaceInstance(fleet_instance& instance, scheduler_orders& orders,
+void job_scheduler::AdjustSpeeds(fleet_instance& instance, scheduler_commands& commands,
                                  monotonic_time now) {
   double worst = 0;
   bool serves = false;
@@ -35,28 +35,28 @@
   }
   if (!fills) return;
   for (const auto& run : instance.runs) {
-    if (!run->fills || run->phase != run_phase::kRunning || run->pace_in_flight) continue;
-    if (run->stopping != stop_cause::kNone || now < run->next_pace) continue;
-    uint32_t wanted = run->pace;
+    if (!run->fills || run->phase != run_phase::kRunning || run->speed_in_flight) continue;
+    if (run->stopping != stop_cause::kNone || now < run->next_speed_change) continue;
+    uint32_t wanted = run->speed_percent;
     if (serves && worst >= 1) {
       wanted = 0;
     } else if (serves && worst >= kSlowDownAt) {
-      wanted = run->pace / 2;
+      wanted = run->speed_percent / 2;
     } else if (!serves || worst < kSpeedUpBelow) {
-      wanted = std::min(kFullPace, run->pace + kPaceStep);
+      wanted = std::min(kFullSpeed, run->speed_percent + kSpeedStep);
     }
-    if (wanted == run->pace) continue;
-    run->next_pace = now + (wanted > run->pace ? kSpeedUpPause : kSlowDownPause);
-    run->pace_in_flight = true;
+    if (wanted == run->speed_percent) continue;
+    run->next_speed_change = now + (wanted > run->speed_percent ? kSpeedUpPause : kSlowDownPause);
+    run->speed_in_flight = true;
     const instance_report& report = instance.report;
-    orders.paces.push_back(
+    commands.speeds.push_back(
         {{report.id, report.address, report.incarnation}, run->key, run->number, wanted});
   }
 }
 
-void job_scheduler::PlanPaces(scheduler_orders& orders, monotonic_time now) {
+void job_scheduler::PlanSpeeds(scheduler_commands& commands, monotonic_time now) {
   for (auto& [id, instance] : instances_) {
-    if (instance->filling > 0 && instance->Reachable()) PaceInstance(*instance, orders, now);
+    if (instance->filling > 0 && instance->Reachable()) AdjustSpeeds(*instance, commands, now);
   }
 }
 
--- a/src/process/scheduling/scheduler_starts.cc
+++ b/src/process/scheduling/scheduler_starts.cc
@@ -14,12 +14,12 @@
 using std::chrono::milliseconds;
 
 // Runs of one owner are numbered within this range, so that a later owner's are always higher.
-constexpr uint32_t kRunsOfOwner = 1000;
+constexpr uint32_t kMaxRunsPerOwner = 1000;
 
 }  // namespace
 
-uint32_t job_scheduler::NextRun(const task_state_slot& task) const {
-  const auto base = static_cast<uint32_t>((epoch_ - 1) * kRunsOfOwner);
+uint32_t job_scheduler::NextRun(const graph_task_state& task) const {
+  const auto base = static_cast<uint32_t>((epoch_ - 1) * kMaxRunsPerOwner);
   return std::max(task.last_run, base) + 1;
 }
 
@@ -27,7 +27,7 @@
 
 void job_scheduler::OnEarlierOwnerDead() {
   options_.earlier_owner = milliseconds{0};
-  options_.unvouched_owner = milliseconds{0};
+  options_.unconfirmed_owner = milliseconds{0};
 }
 
 void job_scheduler::SetUnrecordedStarts(bool allowed) {
@@ -48,13 +48,13 @@
                           uint32_t number, monotonic_time now) {
   job_entry& entry = *ready.entry;
   step_progress& step = ready.occurrence->steps[ready.index];
-  task_state_slot& task = step.tasks[index];
+  graph_task_state& task = step.tasks[index];
   const task_key key{entry.job.id, ready.occurrence->number, ready.index, index};
   graph_run& run = AddRun(instance, &entry, key, number);
   run.phase = run_phase::kPlanned;
   run.resumed = !task.checkpoint.empty();
   if (instance.ordinal < forecasts_.size() && forecasts_[instance.ordinal] != nullptr) {
-    forecasts_[instance.ordinal]->Start(run.room, GivesBack(ready, now));
+    forecasts_[instance.ordinal]->Start(run.capacity, ExpectedRelease(ready, now));
   }
   run.started = now;
   run.progressed = now;
@@ -63,54 +63,54 @@
     return open.may_arrive_until != monotonic_time{} && open.may_arrive_until < now;
   });
   task.open_runs.push_back({number, instance.report.id, {}});
-  if (task.phase == slot_phase::kActive) {
+  if (task.phase == graph_task_phase::kActive) {
     task.copy = &run;
   } else {
     task.run = &run;
-    task.phase = slot_phase::kActive;
+    task.phase = graph_task_phase::kActive;
     --step.waiting;
     ++step.active;
   }
   entry.started = true;
   if (entry.phase == graph_phase::kQueued) entry.phase = graph_phase::kRunning;
 
-  start_order order;
-  order.to = {instance.report.id, instance.report.address, instance.report.incarnation};
-  order.key = key;
-  order.run = number;
-  order.payload = entry.job.payload;
-  order.checkpoint = task.checkpoint;
-  const advice_verdict* verdict = step.advice.Of(instance.ordinal);
-  if (verdict != nullptr) order.ticket = verdict->ticket;
-  Touch(entry);
-  planned_.push_back({std::move(order), entry.change});
-  Note(scheduler_note::kind::kTaskStart, entry.job.id,
-       absl::StrCat(
-           "task=", key.occurrence, ".", key.step, ".", key.index, " run=", number,
-           " instance=", instance.report.id, " free_cpu=", instance.Free().cpu_milli,
-           " waited_ms=", std::chrono::duration_cast<milliseconds>(now - step.ready_at).count()));
+  start_command request;
+  request.to = {instance.report.id, instance.report.address, instance.report.incarnation};
+  request.key = key;
+  request.run = number;
+  request.payload = entry.job.payload;
+  request.checkpoint = task.checkpoint;
+  const advice_verdict* verdict = step.advice.FindVerdict(instance.ordinal);
+  if (verdict != nullptr) request.ticket = verdict->ticket;
+  MarkChanged(entry);
+  planned_.push_back({std::move(request), entry.change});
+  LogEvent(scheduler_event::kind::kTaskStart, entry.job.id,
+           absl::StrCat("task=", key.occurrence, ".", key.step, ".", key.index, " run=", number,
+                        " instance=", instance.report.id, " free_cpu=", instance.Free().cpu_milli,
+                        " waited_ms=",
+                        std::chrono::duration_cast<milliseconds>(now - step.ready_at).count()));
 }
 
 // What was true when the start was decided on may have changed while its record was stored.
-bool job_scheduler::StillGood(const start_order& order, const fleet_instance& instance,
-                              monotonic_time now) const {
+bool job_scheduler::StillValid(const start_command& request, const fleet_instance& instance,
+                               monotonic_time now) const {
   const instance_report& report = instance.report;
-  if (report.incarnation != order.to.incarnation || !instance.listed) return false;
+  if (report.incarnation != request.to.incarnation || !instance.listed) return false;
   if (!instance.present || report.draining || !instance.Reachable()) return false;
-  if (instance.doubted) return false;
-  if (order.ticket.empty()) return true;
-  const auto found = jobs_.find(order.key.job);
+  if (instance.suspect) return false;
+  if (request.ticket.empty()) return true;
+  const auto found = jobs_.find(request.key.job);
   if (found == jobs_.end()) return false;
-  const step_progress* step = found->second->Find(order.key);
+  const step_progress* step = found->second->Find(request.key);
   if (step == nullptr) return false;
-  const advice_verdict* verdict = step->advice.Of(instance.ordinal);
-  return verdict != nullptr && verdict->ticket == order.ticket &&
+  const advice_verdict* verdict = step->advice.FindVerdict(instance.ordinal);
+  return verdict != nullptr && verdict->ticket == request.ticket &&
          verdict->expires > now + kTicketMargin / 2;
 }
 
 bool job_scheduler::Stored(const planned_start& planned) const {
   if (unrecorded_starts_) return true;
-  const auto found = jobs_.find(planned.order.key.job);
+  const auto found = jobs_.find(planned.request.key.job);
   // Of a job that is forgotten nothing starts; it is taken out with those that are stored.
   return found == jobs_.end() || found->second->stored >= planned.change;
 }
@@ -120,33 +120,34 @@
          instance.starts_in_flight < options_.starts_at_instance;
 }
 
-std::vector<start_order> job_scheduler::TakeStarts(monotonic_time now) {
-  std::vector<start_order> out;
+std::vector<start_command> job_scheduler::TakeStarts(monotonic_time now) {
+  std::vector<start_command> out;
   std::deque<planned_start> later;
   for (planned_start& planned : planned_) {
     if (!Stored(planned)) {
       later.push_back(std::move(planned));
       continue;
     }
-    start_order& order = planned.order;
-    const auto found = instances_.find(order.to.instance);
+    start_command& request = planned.request;
+    const auto found = instances_.find(request.to.instance);
     if (found == instances_.end()) continue;
     fleet_instance& instance = *found->second;
-    graph_run* run = FindRun(instance, order.key, order.run);
+    graph_run* run = FindRun(instance, request.key, request.run);
     if (run == nullptr || run->phase != run_phase::kPlanned) continue;
     if (run->stopping == stop_cause::kNone && !MaySendTo(instance)) {
       later.push_back(std::move(planned));
       continue;
     }
-    if (run->stopping != stop_cause::kNone || !StillGood(order, instance, now)) {
+    if (run->stopping != stop_cause::kNone || !StillValid(request, instance, now)) {
       job_entry* entry = run->job;
-      Note(scheduler_note::kind::kTaskRefused, order.key.job,
-           absl::StrCat("task=", order.key.occurrence, ".", order.key.step, ".", order.key.index,
-                        " run=", order.run, " instance=", order.to.instance, " result=not_sent",
-                        " stop=", std::string(ToText(run->stopping))));
+      LogEvent(
+          scheduler_event::kind::kTaskRefused, request.key.job,
+          absl::StrCat("task=", request.key.occurrence, ".", request.key.step, ".",
+                       request.key.index, " run=", request.run, " instance=", request.to.instance,
+                       " result=not_sent", " stop=", std::string(ToText(run->stopping))));
       Release(*run, now);
-      if (entry != nullptr && !IsFinal(entry->phase) && entry->job.steps[order.key.step].gang) {
-        BreakGang(*entry, order.key, stop_cause::kGangBroken, now);
+      if (entry != nullptr && !IsFinal(entry->phase) && entry->job.steps[request.key.step].gang) {
+        BreakGang(*entry, request.key, stop_cause::kGangBroken, now);
       }
       continue;
     }
@@ -155,9 +156,9 @@
     run->phase = run_phase::kSent;
     run->started = now;
     run->progressed = now;
-    order.lease_until_ms = instance.ClockAt(now) + options_.run_lease.count();
-    instance.lease_until_ms = std::max(instance.lease_until_ms, order.lease_until_ms);
-    out.push_back(std::move(order));
+    request.lease_until_ms = instance.ClockAt(now) + options_.run_lease.count();
+    instance.lease_until_ms = std::max(instance.lease_until_ms, request.lease_until_ms);
+    out.push_back(std::move(request));
   }
   planned_ = std::move(later);
   return out;
@@ -165,16 +166,16 @@
 
 // The runs that an earlier owner recorded, each as one that may be at work until its instance is
 // listed. An instance that neither the registry nor the stored fleet knows has none of them.
-void job_scheduler::ExpectRecorded(job_entry& entry, monotonic_time now) {
+void job_scheduler::RestoreRecordedRuns(job_entry& entry, monotonic_time now) {
   for (auto& [number, occurrence] : entry.occurrences) {
     for (uint32_t i = 0; i < occurrence->steps.size(); ++i) {
       step_progress& step = occurrence->steps[i];
       for (uint32_t k = 0; k < step.tasks.size(); ++k) {
-        task_state_slot& task = step.tasks[k];
+        graph_task_state& task = step.tasks[k];
         std::erase_if(task.open_runs, [&](const open_run& open) {
           return !instances_.contains(open.instance) || instances_.at(open.instance)->listed;
         });
-        if (task.phase == slot_phase::kDone) task.open_runs.clear();
+        if (task.phase == graph_task_phase::kDone) task.open_runs.clear();
         for (const open_run& open : task.open_runs) {
           const task_key key{entry.job.id, number, i, k};
           graph_run& run = AddRun(*instances_.at(open.instance), &entry, key, open.number);
@@ -189,7 +190,7 @@
           }
         }
         if (task.run == nullptr) continue;
-        task.phase = slot_phase::kActive;
+        task.phase = graph_task_phase::kActive;
         --step.waiting;
         ++step.active;
       }
@@ -208,8 +209,8 @@
   });
   if (found == open.end()) return;
   const bool unanswered = !run.seen && run.stopping == stop_cause::kUnknownStart;
-  if (unanswered && now < run.started + kLatestArrival) {
-    found->may_arrive_until = run.started + kLatestArrival;
+  if (unanswered && now < run.started + kMaxCommandDelay) {
+    found->may_arrive_until = run.started + kMaxCommandDelay;
     return;
   }
   open.erase(found);
--- a/src/process/site/advice_spread.cc
+++ b/src/process/site/advice_spread.cc
@@ -19,7 +19,7 @@
   }
 }
 
-void advice_spread::Add(advice_order order) {
+void advice_spread::Add(advice_query order) {
   (order.urgent ? urgent_ : slow_).push_back(std::move(order));
 }
 
@@ -30,10 +30,10 @@
   }));
 }
 
-std::optional<std::pair<advice_order, std::string>> advice_spread::Next() {
+std::optional<std::pair<advice_query, std::string>> advice_spread::Next() {
   const size_t free = Free();
   if (free == 0) return std::nullopt;
-  std::deque<advice_order>* from = nullptr;
+  std::deque<advice_query>* from = nullptr;
   if (!urgent_.empty()) {
     from = &urgent_;
   } else if (!slow_.empty() && free > listed_.size() / kEntriesForOneQuick) {
@@ -44,7 +44,7 @@
     bool& busy = busy_[name];
     if (busy) continue;
     busy = true;
-    std::pair<advice_order, std::string> out(std::move(from->front()), name);
+    std::pair<advice_query, std::string> out(std::move(from->front()), name);
     from->pop_front();
     return out;
   }
--- a/src/process/site/advice_spread.h
+++ b/src/process/site/advice_spread.h
@@ -19,9 +19,9 @@
  public:
   // The entries that may ask; one that is gone gets nothing new.
   void SetEntries(const std::vector<std::string>& names);
-  void Add(advice_order order);
+  void Add(advice_query order);
   // The next question and the entry that asks it; nothing while no entry is free for one.
-  std::optional<std::pair<advice_order, std::string>> Next();
+  std::optional<std::pair<advice_query, std::string>> Next();
   void OnAnswered(const std::string& entry);
   size_t Waiting() const { return urgent_.size() + slow_.size(); }
 
@@ -30,8 +30,8 @@
 
   std::map<std::string, bool> busy_;  // by entry
   std::map<std::string, bool> listed_;
-  std::deque<advice_order> urgent_;
-  std::deque<advice_order> slow_;
+  std::deque<advice_query> urgent_;
+  std::deque<advice_query> slow_;
 };
 
 }  // namespace catkinford
--- a/src/process/site/peer_words.cc
+++ b/src/process/site/peer_words.cc
@@ -142,7 +142,7 @@
 }
 
 std::string PeerQuestionToText(const peer_question& question) {
-  const advice_order& order = question.order;
+  const advice_query& order = question.order;
   const json out{{"job", order.job},
                  {"occurrence", order.occurrence},
                  {"step", order.step},
--- a/src/process/site/peer_words.h
+++ b/src/process/site/peer_words.h
@@ -73,7 +73,7 @@
   std::string text;  // empty: not newer than what was asked for, or not given
 };
 struct peer_question {
-  advice_order order;
+  advice_query order;
   std::chrono::milliseconds timeout{0};
 };
 
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -103,8 +103,8 @@
     resigning_ = true;
     if (owns_) Lose("resigned");
     if (lease_.empty()) return done();
-    store_.EndLease(std::exchange(lease_, {}),
-                    Here([done = std::move(done)](const store_reply&) { done(); }));
+    store_.RevokeLease(std::exchange(lease_, {}),
+                       Here([done = std::move(done)](const store_reply&) { done(); }));
   }
 
   // The owner of this epoch is dead, as this entry and others see it: its lease is not waited for.
@@ -206,12 +206,12 @@
                         }));
       return;
     }
-    store_.KeepLease(lease_, Here([this, sent, kept = lease_](const store_reply& reply) {
-                       keep_in_flight_ = false;
-                       if (kept != lease_) return;
-                       if (reply.status == store_status::kDone) kept_ = std::max(kept_, sent);
-                       if (reply.status == store_status::kAbsent) OnLeaseEnded();
-                     }));
+    store_.RenewLease(lease_, Here([this, sent, kept = lease_](const store_reply& reply) {
+                        keep_in_flight_ = false;
+                        if (kept != lease_) return;
+                        if (reply.status == store_status::kDone) kept_ = std::max(kept_, sent);
+                        if (reply.status == store_status::kAbsent) OnLeaseEnded();
+                      }));
   }
 
   void OnLeaseEnded() {
@@ -376,7 +376,7 @@
     stronger_since_ = monotonic_time::max();
     registered_ = monotonic_time::max();
     Lose("a much stronger entry is there");
-    store_.EndLease(std::exchange(lease_, {}), Here([](const store_reply&) {}));
+    store_.RevokeLease(std::exchange(lease_, {}), Here([](const store_reply&) {}));
     keep_in_flight_ = false;
     Keep();
   }
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -135,7 +135,7 @@
   owner_witness Witness() const;
   void SeekWitness();
   void SpreadAdvice();
-  void AskAdvice(const advice_order& order, const std::string& entry);
+  void AskAdvice(const advice_query& order, const std::string& entry);
   void TellReadiness();
   void WatchReadiness();
   void UpdateAges();
@@ -459,10 +459,10 @@
 void site_node<Platform>::AdviseFor(http_server::token token, const http_request& request) {
   const auto question = PeerQuestionFromText(request.body);
   if (!question) return peer_server_->Respond(token, {.status = front_status::kBadRequest});
-  platform_.Advisor().Ask(question->order, question->timeout,
-                          [this, token](const advice_answer& answer) {
-                            peer_server_->Respond(token, {.body = PeerAdviceToText(answer)});
-                          });
+  platform_.Advisor().QueryAdvice(
+      question->order, question->timeout, [this, token](const advice_answer& answer) {
+        peer_server_->Respond(token, {.body = PeerAdviceToText(answer)});
+      });
 }
 
 template <site_platform Platform>
@@ -639,12 +639,12 @@
   hooks.version_confirmed = [this](monotonic_time now) {
     return versions_.Trust(now) != version_trust::kUnconfirmed;
   };
-  hooks.ask_advice = [this](advice_order order) {
+  hooks.ask_advice = [this](advice_query order) {
     advice_.Add(std::move(order));
     SpreadAdvice();
   };
   const uint64_t epoch = membership_.Epoch();
-  hooks.start = [this, epoch](start_order order, const std::string& accepted_by,
+  hooks.start = [this, epoch](start_command order, const std::string& accepted_by,
                               order_callback done) {
     relay_.Send(std::move(order), accepted_by, epoch, std::move(done));
   };
@@ -906,7 +906,7 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::AskAdvice(const advice_order& order, const std::string& entry) {
+void site_node<Platform>::AskAdvice(const advice_query& order, const std::string& entry) {
   const auto timeout = order.expected + kAdviceSlack;
   const monotonic_time asked = BootNow();
   const auto finish = [this, order, entry, asked](const advice_answer& answer) {
@@ -924,7 +924,7 @@
   };
   const auto found = membership_.View().entries.find(entry);
   if (entry == settings_.name || found == membership_.View().entries.end()) {
-    platform_.Advisor().Ask(order, timeout, [this, finish](advice_answer answer) {
+    platform_.Advisor().QueryAdvice(order, timeout, [this, finish](advice_answer answer) {
       loop_.Post([finish, answer = std::move(answer)] { finish(answer); });
     });
     return;
--- a/src/process/site/site_owner.cc
+++ b/src/process/site/site_owner.cc
@@ -3,8 +3,8 @@
 namespace catkinford {
 namespace {
 
-site_event EventOf(scheduler_note::kind what) {
-  using kind = scheduler_note::kind;
+site_event EventOf(scheduler_event::kind what) {
+  using kind = scheduler_event::kind;
   switch (what) {
     case kind::kJobAdded:
       return site_event::kJobAdded;
@@ -46,8 +46,8 @@
 
 }  // namespace
 
-void WriteNotes(const std::vector<scheduler_note>& notes, site_log& log, monotonic_time now) {
-  for (const scheduler_note& note : notes) {
+void WriteNotes(const std::vector<scheduler_event>& notes, site_log& log, monotonic_time now) {
+  for (const scheduler_event& note : notes) {
     log.Write(EventOf(note.what), now,
               absl::StrCat("id=", LogField(note.subject), " ", note.detail));
   }
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -45,15 +45,15 @@
   // True while the configuration here is known to be in force.
   std::function<bool(monotonic_time now)> version_confirmed;
   // A question to a queue's policy; answered by OnAdvice().
-  std::function<void(advice_order)> ask_advice;
+  std::function<void(advice_query)> ask_advice;
   // Brings a start to its instance, from here or by the entry that accepted the job.
-  std::function<void(start_order, const std::string& accepted_by, order_callback)> start;
+  std::function<void(start_command, const std::string& accepted_by, order_callback)> start;
   // What this entry still bears.
   std::function<const owner_budget&(monotonic_time now)> budget;
 };
 
 // Writes a scheduler's notes to the log and counts them.
-void WriteNotes(const std::vector<scheduler_note>& notes, site_log& log, monotonic_time now);
+void WriteNotes(const std::vector<scheduler_event>& notes, site_log& log, monotonic_time now);
 
 template <site_platform Platform>
 class site_owner : public std::enable_shared_from_this<site_owner<Platform>> {
@@ -113,7 +113,7 @@
     return entry->VisiblePhase();
   }
   size_t Pending(const std::string& queue) const { return scheduler_.Pending(queue); }
-  void OnAdvice(const advice_order& order, const advice_answer& answer) {
+  void OnAdvice(const advice_query& order, const advice_answer& answer) {
     scheduler_.OnAdvice(order, answer, BootNow());
     Soon();
   }
@@ -163,7 +163,7 @@
     out.gang_limit = settings.bounds.gang_limit;
     out.keep_final = settings.bounds.keep_final;
     if (early) out.earlier_owner += settings.timing.owner_lease;
-    out.unvouched_owner = kOwnerGoesOnAlone;
+    out.unconfirmed_owner = kOwnerGoesOnAlone;
     out.early_limit = settings.bounds.early_limit;
     out.remote_factor = settings.bounds.remote_factor;
     return out;
@@ -184,8 +184,8 @@
   store_callback OnReply(std::function<void(self_type&, store_reply)> done) {
     return Here<store_reply>(std::move(done));
   }
-  order_callback OnAnswer(std::function<void(self_type&, order_answer)> done) {
-    return Here<order_answer>(std::move(done));
+  order_callback OnAnswer(std::function<void(self_type&, command_answer)> done) {
+    return Here<command_answer>(std::move(done));
   }
   void Later(std::chrono::milliseconds delay, std::function<void(self_type&)> task) {
     std::weak_ptr<self_type> weak = this->weak_from_this();
@@ -440,15 +440,15 @@
     scheduler_.SetListingPause(budget.ListingPause(kListingPause));
     // A call waits for its turn, and its answer to be read.
     const auto late = 2 * std::max(loop_.Delay(), platform_.Instances().Delay());
-    scheduler_.SetOwnDelay(late < kOwnDelayMatters ? std::chrono::milliseconds{0}
-                                                   : std::min(late, kMostOwnDelay));
-    scheduler_orders orders = scheduler_.Decide(WallNow(), now);
-    for (const start_order& order : orders.starts) SendStart(order);
-    for (const stop_order& order : orders.stops) SendStop(order);
-    for (const pace_order& order : orders.paces) SendPace(order);
-    for (const list_order& order : orders.listings) SendListing(order);
-    for (advice_order& order : orders.advice) hooks_.ask_advice(std::move(order));
-    WriteNotes(scheduler_.TakeNotes(), log_, now);
+    scheduler_.SetLocalDelay(late < kOwnDelayMatters ? std::chrono::milliseconds{0}
+                                                     : std::min(late, kMostOwnDelay));
+    scheduler_commands orders = scheduler_.Decide(WallNow(), now);
+    for (const start_command& order : orders.starts) SendStart(order);
+    for (const stop_command& order : orders.stops) SendStop(order);
+    for (const speed_command& order : orders.speeds) SendPace(order);
+    for (const list_command& order : orders.listings) SendListing(order);
+    for (advice_query& order : orders.advice) hooks_.ask_advice(std::move(order));
+    WriteNotes(scheduler_.TakeEvents(), log_, now);
     const auto spent = BootNow() - now;
     // A round costs more the more waits. Without a pause after it, a backlog would take all the
     // processor, answers would be read too late, and what they were about would be given up.
@@ -465,49 +465,49 @@
   }
 
   // True when the answer ends this ownership.
-  bool Fenced(order_result result, const order_target& to) {
-    if (result != order_result::kFenced) return false;
+  bool Fenced(command_result result, const command_target& to) {
+    if (result != command_result::kFenced) return false;
     hooks_.superseded(absl::StrCat("instance ", to.instance, " has seen a higher epoch"));
     return true;
   }
 
-  void SendStart(const start_order& order) {
-    start_order remembered = order;
+  void SendStart(const start_command& order) {
+    start_command remembered = order;
     remembered.payload.clear();
     const job_entry* entry = scheduler_.Find(order.key.job);
     hooks_.start(order, entry == nullptr ? std::string() : entry->job.accepted_by,
-                 OnAnswer([order = std::move(remembered)](self_type& self, order_answer answer) {
+                 OnAnswer([order = std::move(remembered)](self_type& self, command_answer answer) {
                    self.numbers_.CountOrder("start", std::string(ToText(answer.result)));
                    if (self.Fenced(answer.result, order.to)) return;
                    self.scheduler_.OnStartAnswer(order, answer, BootNow());
                    if (self.scheduler_.StartsPlanned()) self.SendRecordedStarts(BootNow());
-                   if (answer.result != order_result::kDone) self.Soon();
+                   if (answer.result != command_result::kDone) self.Soon();
                  }));
   }
 
-  void SendStop(const stop_order& order) {
+  void SendStop(const stop_command& order) {
     platform_.Instances().Stop(
-        order, epoch_, OnAnswer([order](self_type& self, order_answer answer) {
+        order, epoch_, OnAnswer([order](self_type& self, command_answer answer) {
           self.numbers_.CountOrder("stop", std::string(ToText(answer.result)));
           if (self.Fenced(answer.result, order.to)) return;
           self.scheduler_.OnStopAnswer(order, answer, BootNow());
         }));
   }
 
-  void SendPace(const pace_order& order) {
-    platform_.Instances().Pace(
-        order, epoch_, OnAnswer([order](self_type& self, order_answer answer) {
+  void SendPace(const speed_command& order) {
+    platform_.Instances().SetSpeed(
+        order, epoch_, OnAnswer([order](self_type& self, command_answer answer) {
           self.numbers_.CountOrder("pace", std::string(ToText(answer.result)));
           if (self.Fenced(answer.result, order.to)) return;
-          self.scheduler_.OnPaceAnswer(order, answer, BootNow());
+          self.scheduler_.OnSpeedAnswer(order, answer, BootNow());
         }));
   }
 
-  void SendListing(const list_order& order) {
+  void SendListing(const list_command& order) {
     const monotonic_time sent = BootNow();
-    std::function<void(self_type&, std::optional<instance_listing>, order_result)> done =
+    std::function<void(self_type&, std::optional<instance_listing>, command_result)> done =
         [order, sent](self_type& self, std::optional<instance_listing> listing,
-                      order_result result) {
+                      command_result result) {
           self.numbers_.CountOrder("list", std::string(ToText(result)));
           if (self.Fenced(result, order.to)) return;
           if (!listing) {
@@ -521,7 +521,7 @@
           self.Soon();
         };
     platform_.Instances().List(
-        order, epoch_, Here<std::optional<instance_listing>, order_result>(std::move(done)));
+        order, epoch_, Here<std::optional<instance_listing>, command_result>(std::move(done)));
   }
 
   // --- storing -----------------------------------------------------------------------------------
@@ -543,7 +543,7 @@
         scheduler_.StartsPlanned() ? budget.RoundPause(kBetweenStartCommits) : kBetweenCommits;
     if (committing_ || now < next_commit_ || now < last_commit_ + pause) return;
     NoteFleet(now);
-    const size_t most = Platform::kMostInOneChange - kOwnEntries;
+    const size_t most = Platform::kMaxEntriesPerChange - kOwnEntries;
     std::vector<job_progress_write> writes = scheduler_.TakeUnstored(most, budget.RecordBytes());
     const bool declares = mode_.WantsDeclared();
     const bool withdraws = !declares && mode_.WantsWithdrawn(scheduler_.RecordsKnown());
@@ -646,7 +646,7 @@
     const bool store_down = hooks_.store_down_for_all(now);
     scheduler_.SetUnrecordedStarts(!mode_.StartsWait() || store_down);
     // With the store down for all, nothing newer can have been acknowledged.
-    scheduler_.HoldStarts(!hooks_.version_confirmed(now) && !store_down);
+    scheduler_.PauseStarts(!hooks_.version_confirmed(now) && !store_down);
   }
 
   void OnModeStored(std::chrono::milliseconds took, monotonic_time now) {
@@ -665,7 +665,7 @@
 
   void SendRecordedStarts(monotonic_time now) {
     if (!hooks_.may_act(now)) return;
-    for (const start_order& order : scheduler_.TakeStarts(now)) SendStart(order);
+    for (const start_command& order : scheduler_.TakeStarts(now)) SendStart(order);
   }
 
   void Expire() {
--- a/src/process/site/site_ports.h
+++ b/src/process/site/site_ports.h
@@ -27,8 +27,8 @@
 }
 
 using store_callback = std::function<void(store_reply)>;
-using order_callback = std::function<void(order_answer)>;
-using listing_callback = std::function<void(std::optional<instance_listing>, order_result)>;
+using order_callback = std::function<void(command_answer)>;
+using listing_callback = std::function<void(std::optional<instance_listing>, command_result)>;
 using advice_callback = std::function<void(advice_answer)>;
 
 // Callbacks may come on any thread, each exactly once.
@@ -41,25 +41,25 @@
       store.Watch(text, revision, time, done, way);
       store.Commit(write, done);
       store.GrantLease(time, done);
-      store.KeepLease(text, done);
-      store.EndLease(text, done);
+      store.RenewLease(text, done);
+      store.RevokeLease(text, done);
     };
 
 template <typename Endpoints>
 concept instance_endpoints =
-    requires(Endpoints to, start_order start, stop_order stop, pace_order pace, list_order list,
-             uint64_t epoch, order_callback done, listing_callback listed) {
+    requires(Endpoints to, start_command start, stop_command stop, speed_command pace,
+             list_command list, uint64_t epoch, order_callback done, listing_callback listed) {
       to.Start(start, epoch, done);
       to.Stop(stop, epoch, done);
-      to.Pace(pace, epoch, done);
+      to.SetSpeed(pace, epoch, done);
       to.List(list, epoch, listed);
       { to.Delay() } -> std::same_as<std::chrono::milliseconds>;
     };
 
 template <typename Advisor>
 concept queue_advisor =
-    requires(Advisor advisor, advice_order order, std::chrono::milliseconds timeout,
-             advice_callback done) { advisor.Ask(order, timeout, done); };
+    requires(Advisor advisor, advice_query order, std::chrono::milliseconds timeout,
+             advice_callback done) { advisor.QueryAdvice(order, timeout, done); };
 
 // The whole platform: its calls, the keys that its operator and its instances write, and the
 // decoding of what they and the callers say.
@@ -72,7 +72,7 @@
   { Platform::kVersionKeyName } -> std::convertible_to<std::string>;
   { Platform::kVersionKeyPrefix } -> std::convertible_to<std::string>;
   { Platform::kInstanceKeyPrefix } -> std::convertible_to<std::string>;
-  { Platform::kMostInOneChange } -> std::convertible_to<size_t>;
+  { Platform::kMaxEntriesPerChange } -> std::convertible_to<size_t>;
   {
     Platform::DecodeVersion(view)
   } -> std::same_as<leaf::result<std::shared_ptr<const site_version>>>;
--- a/src/process/site/start_carrier.h
+++ b/src/process/site/start_carrier.h
@@ -55,7 +55,7 @@
     all->respond = respond;
     if (message->epoch < epoch_()) {
       for (const given_start& start : message->starts) {
-        OnResult(all, {start.number, true, {order_result::kFenced, std::nullopt}});
+        OnResult(all, {start.number, true, {command_result::kFenced, std::nullopt}});
       }
       return;
     }
@@ -102,7 +102,7 @@
     item.start.order.payload = payload;
     platform_.Instances().Start(
         item.start.order, item.from->epoch,
-        [this, from = item.from, number = item.start.number](const order_answer& answer) {
+        [this, from = item.from, number = item.start.number](const command_answer& answer) {
           loop_.Post([this, from, number, answer] { OnResult(from, {number, true, answer}); });
         });
   }
--- a/src/process/site/start_relay.h
+++ b/src/process/site/start_relay.h
@@ -56,7 +56,7 @@
     batches_.clear();
   }
 
-  void Send(start_order order, const std::string& accepted_by, uint64_t epoch,
+  void Send(start_command order, const std::string& accepted_by, uint64_t epoch,
             order_callback done) {
     const monotonic_time now = BootNow();
     const uint32_t group =
@@ -82,7 +82,7 @@
  private:
   struct given {
     std::string carrier;
-    start_order order;
+    start_command order;
     uint64_t epoch = 0;
     monotonic_time sent{};
     monotonic_time due{};  // unheard by then, it counts as unanswered
@@ -103,7 +103,7 @@
   static constexpr size_t kGivenBytes = 330;
   static constexpr size_t kHeadBytes = 400;  // of a start's own call without the payload, about
 
-  void SendHere(const start_order& order, uint64_t epoch, order_callback done) {
+  void SendHere(const start_command& order, uint64_t epoch, order_callback done) {
     budget_.OnStart(order.payload.size() + kHeadBytes);
     platform_.Instances().Start(order, epoch, std::move(done));
   }
@@ -175,7 +175,7 @@
   void SendInstead(given item) {
     const monotonic_time now = BootNow();
     if (now - item.sent > kFresh || !hooks_.may_send(item.epoch, now)) {
-      return item.done({order_result::kNotDone, std::nullopt});
+      return item.done({command_result::kNotDone, std::nullopt});
     }
     SendHere(item.order, item.epoch, std::move(item.done));
   }
@@ -187,7 +187,7 @@
     while (!given_.empty() && given_.begin()->second.due <= now) {
       const given item = std::move(given_.extract(given_.begin()).mapped());
       route_.Unheard(item.carrier, now);
-      item.done({order_result::kUnknown, std::nullopt});
+      item.done({command_result::kUnknown, std::nullopt});
     }
     if (given_.empty() || std::exchange(sweep_planned_, true)) return;
     loop_.After(kSweepEvery, [this] { Sweep(); });
--- a/src/process/site/start_words.cc
+++ b/src/process/site/start_words.cc
@@ -24,7 +24,7 @@
 };
 
 json RowOf(const given_start& start) {
-  const start_order& order = start.order;
+  const start_command& order = start.order;
   return {start.number,  order.to.instance,    order.to.address, order.to.incarnation,
           order.key.job, order.key.occurrence, order.key.step,   order.key.index,
           order.run,     order.lease_until_ms, order.checkpoint, order.ticket};
@@ -32,7 +32,7 @@
 
 given_start StartFrom(const json& row) {
   given_start out;
-  start_order& order = out.order;
+  start_command& order = out.order;
   row_reader(row) >> out.number >> order.to.instance >> order.to.address >> order.to.incarnation >>
       order.key.job >> order.key.occurrence >> order.key.step >> order.key.index >> order.run >>
       order.lease_until_ms >> order.checkpoint >> order.ticket;
@@ -40,9 +40,9 @@
 }
 
 // What a result means that only a later program knows is not known here.
-order_result ResultFrom(int number) {
-  const bool known = number >= 0 && number <= static_cast<int>(order_result::kUnknown);
-  return known ? static_cast<order_result>(number) : order_result::kUnknown;
+command_result ResultFrom(int number) {
+  const bool known = number >= 0 && number <= static_cast<int>(command_result::kUnknown);
+  return known ? static_cast<command_result>(number) : command_result::kUnknown;
 }
 
 }  // namespace
--- a/src/process/site/start_words.h
+++ b/src/process/site/start_words.h
@@ -22,7 +22,7 @@
 
 struct given_start {
   uint64_t number = 0;  // of the owner's; the result names it
-  start_order order;    // its payload is the carrier's to fill in
+  start_command order;  // its payload is the carrier's to fill in
 };
 struct given_starts {
   uint64_t epoch = 0;  // of the owner
@@ -33,7 +33,7 @@
 struct start_result {
   uint64_t number = 0;
   bool sent = false;  // false: nothing was sent, and nothing will be
-  order_answer answer;
+  command_answer answer;
 };
 
 // Parsing answers nothing for other text.
--- a/test/answer_time_test.cc
+++ b/test/answer_timeout_test.cc
@@ -1,4 +1,4 @@
-#include "process/scheduling/answer_time.h"
+#include "process/scheduling/answer_timeout.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -14,17 +14,17 @@
 using std::chrono::seconds;
 
 TEST_CASE("answer time, quick answers, doubts after a small part of the timeout") {
-  answer_time answers;
+  answer_timeout answers;
   for (int i = 0; i < 100; ++i) answers.OnAnswer(milliseconds{8});
-  CHECK(answers.Patience() <= milliseconds{200});
+  CHECK(answers.Timeout() <= milliseconds{200});
 }
 
 // The owner is short of processor time and reads answers late. If it kept its short patience, it
 // would stop and send again everything that it has just started, and nothing would end.
 TEST_CASE("answer time, answers read late, becomes patient") {
-  answer_time answers;
+  answer_timeout answers;
   for (int i = 0; i < 40; ++i) answers.OnAnswer(milliseconds{i % 2 == 0 ? 300 : 600});
-  CHECK(answers.Patience() > milliseconds{600});
+  CHECK(answers.Timeout() > milliseconds{600});
 }
 
 class two_instances_fixture {
@@ -46,20 +46,20 @@
     owner.OnFleetStored(owner.Fleet());
   }
 
-  std::vector<start_order> StartsAt(monotonic_time when) {
-    scheduler_orders orders = owner.Decide(wall_time{}, when);
-    stops = orders.stops;
-    listings = orders.listings;
+  std::vector<start_command> StartsAt(monotonic_time when) {
+    scheduler_commands commands = owner.Decide(wall_time{}, when);
+    stops = commands.stops;
+    listings = commands.listings;
     owner.OnStored(owner.TakeUnstored(10));
-    std::vector<start_order> starts = std::move(orders.starts);
-    for (start_order& order : owner.TakeStarts(when)) starts.push_back(std::move(order));
+    std::vector<start_command> starts = std::move(commands.starts);
+    for (start_command& request : owner.TakeStarts(when)) starts.push_back(std::move(request));
     return starts;
   }
 
   const monotonic_time now{seconds(100)};
   job_scheduler owner{scheduler_options{}, 1, monotonic_time{}};
-  std::vector<stop_order> stops;
-  std::vector<list_order> listings;
+  std::vector<stop_command> stops;
+  std::vector<list_command> listings;
 };
 
 // A start gets no answer: the instance is cut off, or carries the order out seconds later. Until it
@@ -76,17 +76,17 @@
   const auto second = StartsAt(later);
   REQUIRE(stops.size() == 1);
   CHECK(stops[0].to.instance == first[0].to.instance);
-  for (const start_order& order : second) CHECK(order.to.instance != first[0].to.instance);
+  for (const start_command& request : second) CHECK(request.to.instance != first[0].to.instance);
 
   // Its stop is answered and a listing shows that it never began: it starts again at once.
   const monotonic_time answered = later + milliseconds{5};
-  owner.OnStopAnswer(stops[0], {order_result::kDone, 5300}, answered);
+  owner.OnStopAnswer(stops[0], {command_result::kDone, 5300}, answered);
   owner.Decide(wall_time{}, answered);
   const monotonic_time listed = answered + milliseconds{5};
   owner.OnListing({{first[0].to.instance, "", 0}, {}, 0, {}}, {5310, 0, {}, {}}, listed, listed);
   bool again = false;
-  for (const start_order& order : StartsAt(listed + milliseconds{5})) {
-    again = again || (order.key.job == JobId(1) && order.run > first[0].run);
+  for (const start_command& request : StartsAt(listed + milliseconds{5})) {
+    again = again || (request.key.job == JobId(1) && request.run > first[0].run);
   }
   CHECK(again);
 }
@@ -101,11 +101,11 @@
   const monotonic_time later = now + milliseconds{200};
   StartsAt(later);
   REQUIRE(stops.size() == 1);
-  owner.OnStopAnswer(stops[0], {order_result::kDone, 5300}, later + milliseconds{5});
+  owner.OnStopAnswer(stops[0], {command_result::kDone, 5300}, later + milliseconds{5});
   StartsAt(later + milliseconds{6});
   bool checks = false;
-  for (const list_order& order : listings)
-    checks = checks || (order.check && order.wait.count() == 0);
+  for (const list_command& request : listings)
+    checks = checks || (request.check && request.wait.count() == 0);
   CHECK(checks);
 }
 
@@ -118,8 +118,8 @@
   const auto first = StartsAt(now);
   REQUIRE(first.size() == 1);
   REQUIRE(listings.size() == 1);
-  owner.OnStartAnswer(first[0], {order_result::kDone, 5010}, now);
-  const list_order waiting = listings[0];
+  owner.OnStartAnswer(first[0], {command_result::kDone, 5010}, now);
+  const list_command waiting = listings[0];
   REQUIRE(waiting.wait.count() > 0);
   REQUIRE(waiting.lease_until_ms);
   const monotonic_time overdue = now + waiting.wait + milliseconds{300};
@@ -132,12 +132,12 @@
   // The first one's timeout comes later and says nothing new.
   owner.OnListing(listings[0], {6500, 0, {}, {{1, first[0].key, 1, run_end::kDone, ""}}}, overdue,
                   overdue);
-  owner.OnNoListing(waiting, order_result::kUnknown, overdue + milliseconds{500});
+  owner.OnNoListing(waiting, command_result::kUnknown, overdue + milliseconds{500});
   CHECK(owner.Find(JobId(1))->phase == graph_phase::kCompleted);
   owner.OnJob(Job(2, {Tasks(16, 1000, milliseconds(300))}), "", false, wall_time{}, overdue);
   size_t there = 0;
-  for (const start_order& order : StartsAt(overdue + milliseconds{501})) {
-    there += order.to.instance == waiting.to.instance ? 1 : 0;
+  for (const start_command& request : StartsAt(overdue + milliseconds{501})) {
+    there += request.to.instance == waiting.to.instance ? 1 : 0;
   }
   CHECK(there > 0);
 }
@@ -149,7 +149,7 @@
   owner.OnJob(Job(1, {Tasks(1, 8000, seconds(5))}), "", false, wall_time{}, now);
   const auto first = StartsAt(now);
   REQUIRE(first.size() == 1);
-  owner.OnStartAnswer(first[0], {order_result::kDone, 5010}, now);
+  owner.OnStartAnswer(first[0], {command_result::kDone, 5010}, now);
   const monotonic_time later = now + milliseconds{500};
   instance_report newcomer;
   newcomer.id = "newcomer";
--- a/test/room_forecast_test.cc
+++ b/test/capacity_forecast_test.cc
@@ -1,4 +1,4 @@
-#include "process/scheduling/room_forecast.h"
+#include "process/scheduling/capacity_forecast.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -21,7 +21,7 @@
     for (int i = 1; i <= 8; ++i) forecast.AddEnd(now + seconds(i), Accelerators(1));
   }
   const monotonic_time now{seconds(100)};
-  room_forecast forecast;
+  capacity_forecast forecast;
 };
 
 TEST_CASE_METHOD(busy_instance_fixture, "room forecast, wide task, fits when enough have ended") {
@@ -37,20 +37,20 @@
 // instance empty.
 TEST_CASE_METHOD(busy_instance_fixture,
                  "room forecast, held for a wide task, keeps long runs out") {
-  forecast.Hold(Accelerators(8), now + seconds(8));
+  forecast.Reserve(Accelerators(8), now + seconds(8));
   CHECK_FALSE(forecast.MayUse(Accelerators(1), now + seconds(9)));
   CHECK(forecast.MayUse(Accelerators(1), now + seconds(7)));
 }
 
 TEST_CASE_METHOD(busy_instance_fixture, "room forecast, fits beside what is held, may start") {
-  forecast.Hold(Accelerators(4), now + seconds(4));
+  forecast.Reserve(Accelerators(4), now + seconds(4));
   CHECK_FALSE(forecast.MayUse(Accelerators(1), now + seconds(60)));
   forecast.AddEnd(now + seconds(4), Accelerators(1));
   CHECK(forecast.MayUse(Accelerators(1), now + seconds(60)));
 }
 
 TEST_CASE_METHOD(busy_instance_fixture, "room forecast, held once, the next one comes later") {
-  forecast.Hold(Accelerators(4), now + seconds(4));
+  forecast.Reserve(Accelerators(4), now + seconds(4));
   CHECK(forecast.EarliestFor(Accelerators(4), now) == now + seconds(8));
 }
 
--- a/test/full_floor_test.cc
+++ b/test/full_floor_test.cc
@@ -63,7 +63,7 @@
   }
 
   bool AsksFor(uint32_t number) {
-    for (const advice_order& order : owner.Decide(wall_time{}, now).advice) {
+    for (const advice_query& order : owner.Decide(wall_time{}, now).advice) {
       if (order.job == JobId(number)) return true;
     }
     return false;
--- a/test/job_order_test.cc
+++ b/test/job_order_test.cc
@@ -14,13 +14,13 @@
 
 const monotonic_time kStart{seconds(100)};
 
-job_outlook Outlook(milliseconds allowed, milliseconds remaining) {
+job_timing Timing(milliseconds allowed, milliseconds remaining) {
   return {kStart, kStart + allowed, remaining};
 }
 
 TEST_CASE("job order, enough time left, is in time and the nearest objective goes first") {
-  const job_place near = PlaceOf(Outlook(seconds(3), seconds(1)), kStart);
-  const job_place far = PlaceOf(Outlook(seconds(9), seconds(1)), kStart);
+  const job_order_key near = OrderKeyOf(Timing(seconds(3), seconds(1)), kStart);
+  const job_order_key far = OrderKeyOf(Timing(seconds(9), seconds(1)), kStart);
   CHECK(near.rank == job_rank::kInTime);
   CHECK(near < far);
 }
@@ -28,15 +28,15 @@
 // Its objective has passed, or will before the work is done. Served first, it would make the next
 // one late as well.
 TEST_CASE("job order, objective can't be made, goes behind those that can") {
-  const job_place late = PlaceOf(Outlook(seconds(3), seconds(4)), kStart);
-  const job_place other = PlaceOf(Outlook(seconds(60), seconds(1)), kStart);
+  const job_order_key late = OrderKeyOf(Timing(seconds(3), seconds(4)), kStart);
+  const job_order_key other = OrderKeyOf(Timing(seconds(60), seconds(1)), kStart);
   CHECK(late.rank == job_rank::kLate);
   CHECK(other < late);
 }
 
 TEST_CASE("job order, too late to be of use, goes last") {
-  const job_place place = PlaceOf(Outlook(seconds(3), seconds(1)), kStart + seconds(9));
-  CHECK(place.rank == job_rank::kHopeless);
+  const job_order_key place = OrderKeyOf(Timing(seconds(3), seconds(1)), kStart + seconds(9));
+  CHECK(place.rank == job_rank::kTooLate);
 }
 
 // A backlog on a floor that can just keep up with what comes. By objectives alone everybody waits
@@ -44,18 +44,18 @@
 TEST_CASE("job order, backlog on a full floor, most of what comes later is in time") {
   constexpr int kJobs = 400;
   constexpr milliseconds kRun{100};  // one at a time; one comes in each such time
-  std::vector<job_outlook> waiting;
-  const auto come = [&](monotonic_time now) {
+  std::vector<job_timing> waiting;
+  const auto arrive = [&](monotonic_time now) {
     waiting.push_back({now, now + milliseconds{500}, kRun});
   };
-  for (int i = 0; i < 10; ++i) come(kStart);
+  for (int i = 0; i < 10; ++i) arrive(kStart);
   int in_time = 0;
   monotonic_time now = kStart;
   for (int i = 0; i < kJobs; ++i, now += kRun) {
-    come(now);
+    arrive(now);
     const auto next = std::min_element(waiting.begin(), waiting.end(),
-                                       [&](const job_outlook& a, const job_outlook& b) {
-                                         return PlaceOf(a, now) < PlaceOf(b, now);
+                                       [&](const job_timing& a, const job_timing& b) {
+                                         return OrderKeyOf(a, now) < OrderKeyOf(b, now);
                                        });
     if (now + kRun <= next->objective) ++in_time;
     waiting.erase(next);
--- a/test/job_scheduler_test.cc
+++ b/test/job_scheduler_test.cc
@@ -94,12 +94,12 @@
   world.Submit(Job(1, {Tasks(2, 1000, seconds(60))}));
   world.Run(seconds(1));
   REQUIRE(world.Running(JobId(1)) == 2);
-  world.HoldStarts(true);
+  world.PauseStarts(true);
   world.Submit(Job(2, {Tasks(2, 1000, milliseconds(300))}));
   world.Run(seconds(8));
   CHECK(world.Running(JobId(1)) == 2);
   CHECK(world.Starts() == 2);
-  world.HoldStarts(false);
+  world.PauseStarts(false);
   world.Run(seconds(2));
   CHECK(world.Phase(JobId(2)) == graph_phase::kCompleted);
   CheckNothingViolated();
@@ -166,19 +166,19 @@
   report.service = "service";
   report.capacity = kSmallInstance;
   const task_key key{JobId(1), 0, 0, 0};
-  const list_order order{{"instance", "", 0}, {}, 0, {}};
+  const list_command request{{"instance", "", 0}, {}, 0, {}};
   const instance_listing failed{5000, 0, {}, {{1, key, 1, run_end::kFailed, ""}}};
 
   first.OnRegistry({report}, now);
   first.OnJob(job, "", false, wall, now);
-  first.OnListing(order, failed, now, now);
+  first.OnListing(request, failed, now, now);
   const auto writes = first.TakeUnstored(10);
   REQUIRE(writes.size() == 1);
 
   job_scheduler second(scheduler_options{}, 2, now);
   second.OnRegistry({report}, now);
   second.OnJob(job, writes.front().text, true, wall, now);
-  second.OnListing(order, failed, now, now);
+  second.OnListing(request, failed, now, now);
   CHECK(second.Find(JobId(1))->phase != graph_phase::kFailed);
 }
 
@@ -287,16 +287,16 @@
   report.id = "instance";
   report.service = "service";
   report.capacity = kSmallInstance;
-  const list_order list{{"instance", "", 0}, {}, 0, {}};
+  const list_command list{{"instance", "", 0}, {}, 0, {}};
   owner.OnRegistry({report}, now);
   owner.OnListing(list, {5000, 0, {}, {}}, now, now);
   owner.OnFleetStored(owner.Fleet());
   const auto next_start = [&](monotonic_time when) {
     auto starts = owner.Decide(wall_time{}, when).starts;
     owner.OnStored(owner.TakeUnstored(10));
-    for (start_order& start : owner.TakeStarts(when)) starts.push_back(std::move(start));
+    for (start_command& start : owner.TakeStarts(when)) starts.push_back(std::move(start));
     REQUIRE(starts.size() == 1);
-    owner.OnStartAnswer(starts.front(), {order_result::kDone, 5000}, when);
+    owner.OnStartAnswer(starts.front(), {command_result::kDone, 5000}, when);
     return starts.front().key;
   };
 
@@ -400,14 +400,15 @@
     owner.OnJob(Job(i, {Tasks(50, 1000, seconds(1))}), "", true, wall_time{}, now);
   }
   size_t sent = 0;
-  std::deque<start_order> in_flight;
+  std::deque<start_command> in_flight;
   for (int round = 0; round < 400 && sent < 2000; ++round) {
-    for (start_order& order : owner.Decide(wall_time{}, now).starts) in_flight.push_back(order);
+    for (start_command& request : owner.Decide(wall_time{}, now).starts)
+      in_flight.push_back(request);
     owner.OnStored(owner.TakeUnstored(100));
-    for (start_order& order : owner.TakeStarts(now)) in_flight.push_back(order);
+    for (start_command& request : owner.TakeStarts(now)) in_flight.push_back(request);
     REQUIRE(in_flight.size() <= options.starts_in_flight);
     for (int answered = 0; answered < 40 && !in_flight.empty(); ++answered, ++sent) {
-      owner.OnStartAnswer(in_flight.front(), {order_result::kDone, 5000}, now);
+      owner.OnStartAnswer(in_flight.front(), {command_result::kDone, 5000}, now);
       in_flight.pop_front();
     }
   }
@@ -415,13 +416,16 @@
 }
 
 // One course of random work under random faults.
-class random_course {
+class random_faults_run {
  public:
   static constexpr uint32_t kJobs = 30;
   static constexpr uint32_t kInstances = 6;
 
-  random_course(uint64_t seed, bool recorded)
-      : random_(seed * 977), world_(seed, Faults()), cancelled_(kJobs), poisoned_(kJobs) {
+  random_faults_run(uint64_t seed, bool recorded)
+      : random_(seed * 977),
+        world_(seed, RandomFaults()),
+        cancelled_(kJobs),
+        always_failing_(kJobs) {
     for (uint32_t i = 0; i < kInstances; ++i) {
       world_.AddInstance(Instance(i), kSmallInstance, absl::StrCat("r", i / 2));
     }
@@ -433,7 +437,7 @@
     world_.Run(seconds(1));
     for (uint32_t i = 0; i < kJobs; ++i) {
       SubmitOne(i);
-      BringTrouble();
+      InjectFault();
       world_.Run(milliseconds(Pick(50, 700)));
     }
     world_.CutStore(false);
@@ -446,9 +450,10 @@
     CHECK(world_.Violations().empty());
     for (uint32_t i = 0; i < kJobs; ++i) {
       if (cancelled_[i]) continue;
-      const graph_phase wanted = poisoned_[i] ? graph_phase::kFailed : graph_phase::kCompleted;
+      const graph_phase wanted =
+          always_failing_[i] ? graph_phase::kFailed : graph_phase::kCompleted;
       if (world_.Phase(JobId(i)) == wanted) continue;
-      for (const std::string& note : world_.NotesOn(JobId(i))) UNSCOPED_INFO(note);
+      for (const std::string& note : world_.EventsOf(JobId(i))) UNSCOPED_INFO(note);
       UNSCOPED_INFO("job " << i << " is " << std::string(ToText(world_.Phase(JobId(i)))));
       CHECK(world_.Phase(JobId(i)) == wanted);
     }
@@ -460,10 +465,10 @@
   }
   static std::string Instance(uint32_t number) { return absl::StrCat("instance-", number); }
 
-  scheduling_faults Faults() {
+  scheduling_faults RandomFaults() {
     scheduling_faults faults;
     faults.lost_answer = Pick(0, 4) * 0.01;
-    faults.late_order = Pick(0, 4) * 0.01;
+    faults.late_command = Pick(0, 4) * 0.01;
     faults.lost_commit = Pick(0, 10) * 0.01;
     return faults;
   }
@@ -475,8 +480,8 @@
       steps.push_back(Tasks(Pick(1, 4), Pick(500, 3000), milliseconds(Pick(200, 1500)), {0}));
     }
     if (Pick(0, 5) == 0) steps[0].gang = true;
-    poisoned_[number] = Pick(0, 9) == 0;
-    if (poisoned_[number]) world_.SetFailing(JobId(number), 100);
+    always_failing_[number] = Pick(0, 9) == 0;
+    if (always_failing_[number]) world_.SetFailing(JobId(number), 100);
     world_.Submit(Job(number, steps));
     if (Pick(0, 9) != 0) return;
     cancelled_[number] = true;
@@ -484,7 +489,7 @@
     world_.Cancel(JobId(number));
   }
 
-  void BringTrouble() {
+  void InjectFault() {
     const std::string instance = Instance(Pick(0, kInstances - 1));
     switch (Pick(0, 11)) {
       case 0:
@@ -505,7 +510,7 @@
   std::mt19937_64 random_;
   scheduling_world world_;
   std::vector<bool> cancelled_;
-  std::vector<bool> poisoned_;
+  std::vector<bool> always_failing_;
 };
 
 // Lost answers, orders carried out seconds late, instances that crash and come back under their id,
@@ -515,7 +520,7 @@
   constexpr uint64_t kSeeds = 300;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
-    random_course course(seed, true);
+    random_faults_run course(seed, true);
     course.Run();
     course.Check();
   }
@@ -526,7 +531,7 @@
   constexpr uint64_t kSeeds = 300;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
-    random_course course(seed, false);
+    random_faults_run course(seed, false);
     course.Run();
     course.Check();
   }
--- a/test/platform_codec_test.cc
+++ b/test/platform_codec_test.cc
@@ -5,7 +5,7 @@
 
 #include "platform/codecs.h"
 #include "platform/instance_calls.h"
-#include "process/scheduling/arrival_meter.h"
+#include "process/scheduling/arrival_rate_limit.h"
 #include "process/site/advice_spread.h"
 #include "process/site/peer_words.h"
 #include "process/site/site_membership.h"
@@ -188,20 +188,20 @@
 // One workspace sends many times its share. Its jobs beyond it are told apart, and those within it
 // still count as owed; the others' jobs do not wait behind the flood.
 TEST_CASE_METHOD(site_parts_fixture, "arrival meter, flood of one workspace, finds the excess") {
-  arrival_meter meter;
+  arrival_rate_limit limit;
   const wall_time start{milliseconds(1000000)};
   int within = 0;
   for (int i = 0; i < 1000; ++i) {
-    if (!meter.Exceeds(5, start + milliseconds(10 * i))) ++within;
+    if (!limit.Exceeds(5, start + milliseconds(10 * i))) ++within;
   }
   CHECK(within >= 50);
   CHECK(within <= 56);
 }
 
 TEST_CASE_METHOD(site_parts_fixture, "arrival meter, usual load, finds no excess") {
-  arrival_meter meter;
+  arrival_rate_limit limit;
   for (int i = 0; i < 100; ++i) {
-    CHECK_FALSE(meter.Exceeds(5, wall_time{milliseconds(1000000 + 250 * i)}));
+    CHECK_FALSE(limit.Exceeds(5, wall_time{milliseconds(1000000 + 250 * i)}));
   }
 }
 
@@ -214,7 +214,7 @@
   int slow = 0;
   while (spread.Next()) ++slow;
   CHECK(slow == 4);
-  advice_order quick;
+  advice_query quick;
   quick.urgent = true;
   spread.Add(quick);
   const auto next = spread.Next();
--- a/test/run_times_test.cc
+++ b/test/run_times_test.cc
@@ -15,11 +15,11 @@
 class run_times_fixture {
  protected:
   // `spread` of the logarithm; `told`: what part of it callers declare.
-  void Run(const std::string& queue, int steps, double spread, double told, double noise) {
+  void Run(const std::string& queue, int steps, double spread, double correlation, double noise) {
     std::normal_distribution<double> normal;
     for (int i = 0; i < steps; ++i) {
       const double real = spread * normal(random_);
-      const double declared = told * real + noise * normal(random_);
+      const double declared = correlation * real + noise * normal(random_);
       times_.OnRun(queue, Millis(declared), Millis(real), 1);
     }
   }
