--- a/test/scheduling_world.cc
+++ b/test/scheduling_world.cc
@@ -12,9 +12,9 @@
 
 constexpr milliseconds kTick{20};
 constexpr milliseconds kRegistryPoll{700};
-constexpr milliseconds kHeartbeatsUntilGone{4500};
-constexpr milliseconds kOrderTimeout{800};
-constexpr milliseconds kStopTakes{300};
+constexpr milliseconds kRegistryExpiry{4500};
+constexpr milliseconds kCommandTimeout{800};
+constexpr milliseconds kStopDuration{300};
 constexpr milliseconds kGangLimit{3000};
 constexpr size_t kMostInCommit = 28;
 constexpr int64_t kLongestLease = 6000;  // instances shorten a longer one
@@ -42,7 +42,7 @@
   events_.emplace(std::max(time, now_), std::move(task));
 }
 
-void scheduling_world::Violate(const std::string& what) {
+void scheduling_world::AddViolation(const std::string& what) {
   violations_.push_back(absl::StrCat(now_.count(), " ms: ", what));
 }
 
@@ -89,12 +89,12 @@
   instance.up = false;
   instance.runs.clear();
   instance.ended.clear();
-  instance.over.clear();
+  instance.highest_over.clear();
   instance.last_end = 0;
   instance.fence = 0;
   instance.lease_until = 0;
   if (!same_id_again) {
-    At(now_ + kHeartbeatsUntilGone, [this, id] { instances_[id].registered = false; });
+    At(now_ + kRegistryExpiry, [this, id] { instances_[id].registered = false; });
     return;
   }
   At(now_ + milliseconds{1500}, [this, id] {
@@ -114,7 +114,7 @@
 
 void scheduling_world::KillOwner(milliseconds until_next) {
   owner_.reset();
-  ++owner_life_;
+  ++owner_incarnation_;
   committing_ = false;
   At(now_ + until_next, [this] { BeginOwner(); });
 }
@@ -127,10 +127,10 @@
   return entry.phase;
 }
 
-std::vector<std::string> scheduling_world::NotesOn(const std::string& job) const {
+std::vector<std::string> scheduling_world::EventsOf(const std::string& job) const {
   std::vector<std::string> out;
-  for (const std::string& note : notes_) {
-    if (note.find(job) != std::string::npos) out.push_back(note);
+  for (const std::string& event : log_) {
+    if (event.find(job) != std::string::npos) out.push_back(event);
   }
   return out;
 }
@@ -148,7 +148,7 @@
 void scheduling_world::EndRun(live_instance& instance, size_t index, run_end how) {
   const live_run run = instance.runs[index];
   instance.runs.erase(instance.runs.begin() + static_cast<std::ptrdiff_t>(index));
-  instance.over[run.key] = std::max(instance.over[run.key], run.run);
+  instance.highest_over[run.key] = std::max(instance.highest_over[run.key], run.run);
   if (how == run_end::kDone) ended_done_.insert(run.key);
   instance.ended.push_back({++instance.last_end, run.key, run.run, how, {}});
 }
@@ -170,10 +170,10 @@
   }
   const step_terms& terms = store_.at(run.key.job).job.steps[run.key.step];
   if (present < terms.count) {
-    if (run.together) return run_end::kBroken;
+    if (run.complete) return run_end::kBroken;
     return now_ - run.began > kGangLimit ? std::optional(run_end::kAlone) : std::nullopt;
   }
-  run.together = true;
+  run.complete = true;
   if (now_ < last + (run.ends - run.began)) return std::nullopt;
   const auto failing = failing_.find(run.key.job);
   if (failing != failing_.end() && failures_[gang] < failing->second) return run_end::kFailed;
@@ -185,7 +185,7 @@
   if (Clock(instance) > instance.lease_until) return run_end::kLapsed;
   if (run.stopping) return run.ends <= now_ ? std::optional(run_end::kStopped) : std::nullopt;
   if (run.gang) return EndOfGangMember(run);
-  if (run.lasting || run.ends > now_) return std::nullopt;
+  if (run.long_running || run.ends > now_) return std::nullopt;
   const auto failing = failing_.find(run.key.job);
   const bool fails = failing != failing_.end() && failures_[run.key] < failing->second;
   return fails ? run_end::kFailed : run_end::kDone;
@@ -203,164 +203,167 @@
   }
 }
 
-void scheduling_world::CheckStart(const live_instance& instance, const start_order& order) {
+void scheduling_world::CheckStart(const live_instance& instance, const start_command& request) {
   for (auto& [id, other] : instances_) Advance(other);
-  const graph_job& job = store_.at(order.key.job).job;
-  const step_terms& terms = job.steps[order.key.step];
+  const graph_job& job = store_.at(request.key.job).job;
+  const step_terms& terms = job.steps[request.key.step];
   resources used = terms.need;
-  for (const live_run& run : instance.runs) used += run.room;
-  const resources& room = instance.report.capacity;
-  if (used.cpu_milli > room.cpu_milli || used.memory_mb > room.memory_mb) {
-    Violate(absl::StrCat("over capacity on ", instance.report.id, ": ", NameOf(order.key), " run ",
-                         order.run));
+  for (const live_run& run : instance.runs) used += run.capacity;
+  const resources& capacity = instance.report.capacity;
+  if (used.cpu_milli > capacity.cpu_milli || used.memory_mb > capacity.memory_mb) {
+    AddViolation(absl::StrCat("over capacity on ", instance.report.id, ": ", NameOf(request.key),
+                              " run ", request.run));
   }
   resources of_workspace = terms.need;
   for (const auto& [id, other] : instances_) {
     if (!other.up) continue;
     for (const live_run& run : other.runs) {
-      if (store_.at(run.key.job).job.workspace == job.workspace) of_workspace += run.room;
-      if (run.key == order.key && !terms.speculative) {
-        Violate(absl::StrCat("twice at a time: ", NameOf(order.key), " on ", instance.report.id,
-                             " and ", id));
+      if (store_.at(run.key.job).job.workspace == job.workspace) of_workspace += run.capacity;
+      if (run.key == request.key && !terms.speculative) {
+        AddViolation(absl::StrCat("twice at a time: ", NameOf(request.key), " on ",
+                                  instance.report.id, " and ", id));
       }
     }
   }
   const auto maximum = maximum_.find(job.workspace);
   if (maximum != maximum_.end() && of_workspace.cpu_milli > maximum->second.cpu_milli) {
-    Violate(absl::StrCat("over the limit of ", job.workspace, ": ", NameOf(order.key), " run ",
-                         order.run));
+    AddViolation(absl::StrCat("over the limit of ", job.workspace, ": ", NameOf(request.key),
+                              " run ", request.run));
   }
-  if (done_.contains(order.key)) Violate(absl::StrCat("started after done: ", NameOf(order.key)));
-  if (!terms.long_running && failures_[order.key] >= job.terms.max_attempts) {
-    Violate(absl::StrCat("one attempt too many: ", NameOf(order.key)));
+  if (done_.contains(request.key))
+    AddViolation(absl::StrCat("started after done: ", NameOf(request.key)));
+  if (!terms.long_running && failures_[request.key] >= job.terms.max_attempts) {
+    AddViolation(absl::StrCat("one attempt too many: ", NameOf(request.key)));
   }
   for (const uint32_t earlier : terms.after) {
     for (uint32_t i = 0; i < job.steps[earlier].count; ++i) {
-      const task_key before{order.key.job, order.key.occurrence, earlier, i};
+      const task_key before{request.key.job, request.key.occurrence, earlier, i};
       if (gangs_done_.contains({before.job, before.occurrence, before.step, 0})) continue;
       if (!ended_done_.contains(before))
-        Violate(absl::StrCat("before its turn: ", NameOf(order.key)));
+        AddViolation(absl::StrCat("before its turn: ", NameOf(request.key)));
     }
   }
 }
 
-order_answer scheduling_world::CarryOutStart(live_instance& instance, const start_order& order,
-                                             uint64_t epoch) {
+command_answer scheduling_world::CarryOutStart(live_instance& instance,
+                                               const start_command& request, uint64_t epoch) {
   Advance(instance);
   const int64_t clock = Clock(instance);
-  if (epoch < instance.fence) return {order_result::kFenced, clock};
+  if (epoch < instance.fence) return {command_result::kFenced, clock};
   instance.fence = epoch;
   for (const live_run& run : instance.runs) {
-    if (run.key == order.key && run.run == order.run) return {order_result::kDone, clock};
+    if (run.key == request.key && run.run == request.run) return {command_result::kDone, clock};
   }
-  const auto over = instance.over.find(order.key);
-  if (over != instance.over.end() && order.run <= over->second) {
-    return {order_result::kStale, clock};
+  const auto highest_over = instance.highest_over.find(request.key);
+  if (highest_over != instance.highest_over.end() && request.run <= highest_over->second) {
+    return {command_result::kStale, clock};
   }
-  if (order.lease_until_ms <= clock) return {order_result::kLate, clock};
+  if (request.lease_until_ms <= clock) return {command_result::kLate, clock};
   instance.lease_until =
-      std::max(instance.lease_until, std::min(order.lease_until_ms, clock + kLongestLease));
-  CheckStart(instance, order);
-  const step_terms& terms = store_.at(order.key.job).job.steps[order.key.step];
-  const auto duration = durations_.find(order.key.job);
+      std::max(instance.lease_until, std::min(request.lease_until_ms, clock + kLongestLease));
+  CheckStart(instance, request);
+  const step_terms& terms = store_.at(request.key.job).job.steps[request.key.step];
+  const auto duration = durations_.find(request.key.job);
   live_run run;
-  run.key = order.key;
-  run.run = order.run;
-  run.room = terms.need;
+  run.key = request.key;
+  run.run = request.run;
+  run.capacity = terms.need;
   run.began = now_;
   run.ends = now_ + (duration == durations_.end() ? terms.estimate : duration->second);
-  run.lasting = terms.long_running;
+  run.long_running = terms.long_running;
   run.gang = terms.gang;
   instance.runs.push_back(run);
-  starts_.push_back({order.key, order.run, instance.report.id, now_});
-  return {order_result::kDone, clock};
+  starts_.push_back({request.key, request.run, instance.report.id, now_});
+  return {command_result::kDone, clock};
 }
 
-order_answer scheduling_world::CarryOutStop(live_instance& instance, const stop_order& order,
-                                            uint64_t epoch) {
+command_answer scheduling_world::CarryOutStop(live_instance& instance, const stop_command& request,
+                                              uint64_t epoch) {
   Advance(instance);
   const int64_t clock = Clock(instance);
-  if (epoch < instance.fence) return {order_result::kFenced, clock};
+  if (epoch < instance.fence) return {command_result::kFenced, clock};
   instance.fence = epoch;
-  instance.over[order.key] = std::max(instance.over[order.key], order.run);
+  instance.highest_over[request.key] = std::max(instance.highest_over[request.key], request.run);
   for (live_run& run : instance.runs) {
-    if (run.key != order.key || run.run > order.run || run.stopping) continue;
+    if (run.key != request.key || run.run > request.run || run.stopping) continue;
     run.stopping = true;
-    run.ends = now_ + kStopTakes;
+    run.ends = now_ + kStopDuration;
   }
-  return {order_result::kDone, clock};
-}
-
-template <typename Order>
-void scheduling_world::Deliver(const Order& order,
-                               const std::function<order_answer(live_instance&)>& carry_out,
-                               const std::function<void(const order_answer&)>& answer) {
-  const uint64_t life = owner_life_;
-  const auto reply = [this, life, answer](milliseconds when, const order_answer& what) {
-    At(when, [this, life, answer, what] {
-      if (life == owner_life_ && owner_ != nullptr) answer(what);
+  return {command_result::kDone, clock};
+}
+
+template <typename Command>
+void scheduling_world::Deliver(const Command& request,
+                               const std::function<command_answer(live_instance&)>& carry_out,
+                               const std::function<void(const command_answer&)>& answer) {
+  const uint64_t owner_incarnation = owner_incarnation_;
+  const auto reply = [this, owner_incarnation, answer](milliseconds when,
+                                                       const command_answer& what) {
+    At(when, [this, owner_incarnation, answer, what] {
+      if (owner_incarnation == owner_incarnation_ && owner_ != nullptr) answer(what);
     });
   };
-  const bool late = Chance(faults_.late_order);
+  const bool late = Chance(faults_.late_command);
   const milliseconds arrives =
       now_ + (late ? Between(500, faults_.late_by.count()) : Between(1, 3));
   const bool answered = !late && !Chance(faults_.lost_answer);
-  const std::string id = order.to.instance;
+  const std::string id = request.to.instance;
   // An order that was held up is refused by another life of the instance; one that arrives at once
   // is not, as the owner knows the instance by its id.
-  const int64_t life_meant = instances_[id].report.incarnation;
-  At(arrives, [this, id, carry_out, reply, answered, late, life_meant] {
+  const int64_t expected_incarnation = instances_[id].report.incarnation;
+  At(arrives, [this, id, carry_out, reply, answered, late, expected_incarnation] {
     live_instance& instance = instances_[id];
-    if (late && instance.report.incarnation != life_meant) return;
+    if (late && instance.report.incarnation != expected_incarnation) return;
     if (!instance.up || instance.cut) {
-      if (answered) reply(now_ + kOrderTimeout, {order_result::kUnknown, {}});
+      if (answered) reply(now_ + kCommandTimeout, {command_result::kUnknown, {}});
       return;
     }
-    const order_answer what = carry_out(instance);
+    const command_answer what = carry_out(instance);
     if (answered) reply(now_ + milliseconds{1}, what);
   });
-  if (!answered) reply(now_ + kOrderTimeout, {order_result::kUnknown, {}});
+  if (!answered) reply(now_ + kCommandTimeout, {command_result::kUnknown, {}});
 }
 
 uint32_t scheduling_world::PercentOf(const live_run& run) const {
-  if (run.lasting) return 100;
+  if (run.long_running) return 100;
   const auto all = std::max(milliseconds{1}, run.ends - run.began);
   return static_cast<uint32_t>(std::min<int64_t>(100, 100 * (now_ - run.began) / all));
 }
 
-void scheduling_world::SendListing(const list_order& order) {
-  const uint64_t life = owner_life_;
+void scheduling_world::SendListing(const list_command& request) {
+  const uint64_t owner_incarnation = owner_incarnation_;
   const uint64_t epoch = epoch_;
   const milliseconds sent = now_;
-  const auto fail = [this, life, order](order_result result) {
-    At(now_ + kOrderTimeout, [this, life, order, result] {
-      if (life == owner_life_ && owner_ != nullptr) owner_->OnNoListing(order, result, Mono());
+  const auto fail = [this, owner_incarnation, request](command_result result) {
+    At(now_ + kCommandTimeout, [this, owner_incarnation, request, result] {
+      if (owner_incarnation == owner_incarnation_ && owner_ != nullptr)
+        owner_->OnNoListing(request, result, Mono());
     });
   };
-  At(now_ + Between(1, 3), [this, life, epoch, order, sent, fail] {
-    live_instance& instance = instances_[order.to.instance];
-    if (!instance.up || instance.cut) return fail(order_result::kUnknown);
+  At(now_ + Between(1, 3), [this, owner_incarnation, epoch, request, sent, fail] {
+    live_instance& instance = instances_[request.to.instance];
+    if (!instance.up || instance.cut) return fail(command_result::kUnknown);
     if (epoch < instance.fence) return;
     Advance(instance);
     instance.fence = epoch;
-    if (order.lease_until_ms) {
+    if (request.lease_until_ms) {
       instance.lease_until = std::max(
-          instance.lease_until, std::min(*order.lease_until_ms, Clock(instance) + kLongestLease));
+          instance.lease_until, std::min(*request.lease_until_ms, Clock(instance) + kLongestLease));
     }
     // What is acknowledged stands for good.
-    while (!instance.ended.empty() && instance.ended.front().number <= order.ends_seen) {
+    while (!instance.ended.empty() && instance.ended.front().number <= request.ends_seen) {
       const ended_row row = instance.ended.front();
       instance.ended.erase(instance.ended.begin());
       if (row.how == run_end::kDone) done_[row.key] = row.run;
       if (row.how == run_end::kFailed) ++failures_[row.key];
     }
-    const auto wait = std::min<milliseconds>(order.wait, milliseconds{40});
-    At(now_ + wait, [this, life, order, sent] {
-      live_instance& later = instances_[order.to.instance];
+    const auto wait = std::min<milliseconds>(request.wait, milliseconds{40});
+    At(now_ + wait, [this, owner_incarnation, request, sent] {
+      live_instance& later = instances_[request.to.instance];
       if (!later.up || later.cut) {
-        At(now_ + kOrderTimeout, [this, life, order] {
-          if (life != owner_life_ || owner_ == nullptr) return;
-          owner_->OnNoListing(order, order_result::kUnknown, Mono());
+        At(now_ + kCommandTimeout, [this, owner_incarnation, request] {
+          if (owner_incarnation != owner_incarnation_ || owner_ == nullptr) return;
+          owner_->OnNoListing(request, command_result::kUnknown, Mono());
         });
         return;
       }
@@ -372,9 +375,9 @@
         listing.running.push_back({run.key, run.run, {}, PercentOf(run), 0});
       }
       listing.ended = later.ended;
-      At(now_ + milliseconds{1}, [this, life, order, listing, sent] {
-        if (life != owner_life_ || owner_ == nullptr) return;
-        owner_->OnListing(order, listing, monotonic_time(std::chrono::seconds(1000) + sent),
+      At(now_ + milliseconds{1}, [this, owner_incarnation, request, listing, sent] {
+        if (owner_incarnation != owner_incarnation_ || owner_ == nullptr) return;
+        owner_->OnListing(request, listing, monotonic_time(std::chrono::seconds(1000) + sent),
                           Mono());
       });
     });
@@ -387,9 +390,9 @@
   if (owner_ != nullptr) return;
   if (store_cut_) return At(now_ + milliseconds{200}, [this] { BeginOwner(); });
   committing_ = false;
-  told_fleet_ = 0;
+  stored_fleet_size_ = 0;
   ++epoch_;
-  const uint64_t life = ++owner_life_;
+  const uint64_t owner_incarnation = ++owner_incarnation_;
   scheduler_options options;
   owner_ = std::make_unique<job_scheduler>(options, epoch_, Mono());
   std::vector<workspace_terms> workspaces;
@@ -406,18 +409,18 @@
     owner_->OnJob(kept.job, kept.progress, true, Wall(), Mono());
     if (kept.cancelled) owner_->OnCancel(id, Mono());
   }
-  At(now_ + kTick, [this, life] {
-    if (life == owner_life_) Decide();
+  At(now_ + kTick, [this, owner_incarnation] {
+    if (owner_incarnation == owner_incarnation_) Decide();
   });
-  At(now_ + kRegistryPoll, [this, life] {
-    if (life == owner_life_) ReadRegistry();
+  At(now_ + kRegistryPoll, [this, owner_incarnation] {
+    if (owner_incarnation == owner_incarnation_) ReadRegistry();
   });
 }
 
 void scheduling_world::ReadRegistry() {
-  const uint64_t life = owner_life_;
-  At(now_ + kRegistryPoll, [this, life] {
-    if (life == owner_life_) ReadRegistry();
+  const uint64_t owner_incarnation = owner_incarnation_;
+  At(now_ + kRegistryPoll, [this, owner_incarnation] {
+    if (owner_incarnation == owner_incarnation_) ReadRegistry();
   });
   if (store_cut_ || owner_ == nullptr) return;
   std::vector<instance_report> reports;
@@ -428,29 +431,33 @@
 }
 
 void scheduling_world::Decide() {
-  const uint64_t life = owner_life_;
-  At(now_ + kTick, [this, life] {
-    if (life == owner_life_) Decide();
+  const uint64_t owner_incarnation = owner_incarnation_;
+  At(now_ + kTick, [this, owner_incarnation] {
+    if (owner_incarnation == owner_incarnation_) Decide();
   });
   if (owner_ == nullptr) return;
   const uint64_t epoch = epoch_;
-  const scheduler_orders orders = owner_->Decide(Wall(), Mono());
-  for (const scheduler_note& note : owner_->TakeNotes()) {
-    notes_.push_back(absl::StrCat(now_.count(), " ms: ", note.subject, " ", note.detail));
+  const scheduler_commands commands = owner_->Decide(Wall(), Mono());
+  for (const scheduler_event& event : owner_->TakeEvents()) {
+    log_.push_back(absl::StrCat(now_.count(), " ms: ", event.subject, " ", event.detail));
   }
-  for (const start_order& order : orders.starts) {
+  for (const start_command& request : commands.starts) {
     Deliver(
-        order, [this, order, epoch](live_instance& at) { return CarryOutStart(at, order, epoch); },
-        [this, order](const order_answer& answer) {
-          owner_->OnStartAnswer(order, answer, Mono());
+        request,
+        [this, request, epoch](live_instance& at) { return CarryOutStart(at, request, epoch); },
+        [this, request](const command_answer& answer) {
+          owner_->OnStartAnswer(request, answer, Mono());
         });
   }
-  for (const stop_order& order : orders.stops) {
+  for (const stop_command& request : commands.stops) {
     Deliver(
-        order, [this, order, epoch](live_instance& at) { return CarryOutStop(at, order, epoch); },
-        [this, order](const order_answer& answer) { owner_->OnStopAnswer(order, answer, Mono()); });
+        request,
+        [this, request, epoch](live_instance& at) { return CarryOutStop(at, request, epoch); },
+        [this, request](const command_answer& answer) {
+          owner_->OnStopAnswer(request, answer, Mono());
+        });
   }
-  for (const list_order& order : orders.listings) SendListing(order);
+  for (const list_command& request : commands.listings) SendListing(request);
   Commit();
 }
 
@@ -458,27 +465,28 @@
   if (committing_ || store_cut_) return;
   const std::vector<job_progress_write> writes = owner_->TakeUnstored(kMostInCommit);
   const std::vector<instance_report> fleet = owner_->Fleet();
-  if (writes.empty() && fleet.size() == told_fleet_) return;
+  if (writes.empty() && fleet.size() == stored_fleet_size_) return;
   committing_ = true;
-  const uint64_t life = owner_life_;
+  const uint64_t owner_incarnation = owner_incarnation_;
   const uint64_t epoch = epoch_;
   const bool answered = !Chance(faults_.lost_commit);
-  At(now_ + Between(2, 8), [this, life, epoch, writes, fleet, answered] {
+  At(now_ + Between(2, 8), [this, owner_incarnation, epoch, writes, fleet, answered] {
     // The store does nothing for an owner that another one has followed.
     if (epoch != epoch_) return;
     for (const job_progress_write& write : writes) store_[write.job].progress = write.text;
     fleet_ = fleet;
-    At(now_ + (answered ? milliseconds{2} : kOrderTimeout), [this, life, writes, fleet, answered] {
-      if (life != owner_life_ || owner_ == nullptr) return;
-      committing_ = false;
-      if (answered) {
-        owner_->OnStored(writes);
-        owner_->OnFleetStored(fleet);
-        told_fleet_ = fleet.size();
-      } else {
-        owner_->OnNotStored(writes);
-      }
-    });
+    At(now_ + (answered ? milliseconds{2} : kCommandTimeout),
+       [this, owner_incarnation, writes, fleet, answered] {
+         if (owner_incarnation != owner_incarnation_ || owner_ == nullptr) return;
+         committing_ = false;
+         if (answered) {
+           owner_->OnStored(writes);
+           owner_->OnFleetStored(fleet);
+           stored_fleet_size_ = fleet.size();
+         } else {
+           owner_->OnNotStored(writes);
+         }
+       });
   });
 }
 
--- a/test/scheduling_world.h
+++ b/test/scheduling_world.h
@@ -19,8 +19,8 @@
 namespace catkinford {
 
 struct scheduling_faults {
-  double lost_answer = 0;  // share of orders that are carried out and not answered
-  double late_order = 0;   // share that is not answered and carried out up to `late_by` later
+  double lost_answer = 0;   // share of orders that are carried out and not answered
+  double late_command = 0;  // share that is not answered and carried out up to `late_by` later
   std::chrono::milliseconds late_by{6000};
   double lost_commit = 0;  // share of changes that are done and not answered
 };
@@ -53,7 +53,7 @@
   void KillOwner(std::chrono::milliseconds until_next);
   // Owners that send starts without waiting for their records, and whose successors know that.
   void SetUnrecordedStarts() { recorded_ = false; }
-  void HoldStarts(bool held) { owner_->HoldStarts(held); }
+  void PauseStarts(bool paused) { owner_->PauseStarts(paused); }
   void CutStore(bool cut) { store_cut_ = cut; }
 
   void Run(std::chrono::milliseconds time);
@@ -62,7 +62,7 @@
   graph_phase Phase(const std::string& job) const;  // as stored
   const std::vector<std::string>& Violations() const { return violations_; }
   // What the owners noted of a job, to explain a violation.
-  std::vector<std::string> NotesOn(const std::string& job) const;
+  std::vector<std::string> EventsOf(const std::string& job) const;
   size_t Starts() const { return starts_.size(); }
   const std::vector<world_run>& StartLog() const { return starts_; }
   size_t Running(const std::string& job) const;
@@ -73,12 +73,12 @@
   struct live_run {
     task_key key;
     uint32_t run = 0;
-    resources room;
+    resources capacity;
     std::chrono::milliseconds ends{0};
     std::chrono::milliseconds began{0};
-    bool lasting = false;
+    bool long_running = false;
     bool gang = false;
-    bool together = false;  // all members of its gang were there
+    bool complete = false;  // all members of its gang were there
     bool stopping = false;
   };
   struct live_instance {
@@ -92,7 +92,7 @@
     uint64_t last_end = 0;
     std::vector<live_run> runs;
     std::vector<ended_row> ended;
-    std::map<task_key, uint32_t> over;  // highest run stopped or ended here
+    std::map<task_key, uint32_t> highest_over;  // highest run stopped or ended here
   };
   struct durable {
     graph_job job;
@@ -114,21 +114,23 @@
   std::optional<run_end> EndOf(live_instance& instance, live_run& run);
   std::optional<run_end> EndOfGangMember(live_run& run);
   void Advance(live_instance& instance);
-  void Violate(const std::string& what);
+  void AddViolation(const std::string& what);
 
   void BeginOwner();
   void Decide();
   void Commit();
   void ReadRegistry();
-  template <typename Order>
-  void Deliver(const Order& order, const std::function<order_answer(live_instance&)>& carry_out,
-               const std::function<void(const order_answer&)>& answer);
-  order_answer CarryOutStart(live_instance& instance, const start_order& order, uint64_t epoch);
-  order_answer CarryOutStop(live_instance& instance, const stop_order& order, uint64_t epoch);
+  template <typename Command>
+  void Deliver(const Command& request,
+               const std::function<command_answer(live_instance&)>& carry_out,
+               const std::function<void(const command_answer&)>& answer);
+  command_answer CarryOutStart(live_instance& instance, const start_command& request,
+                               uint64_t epoch);
+  command_answer CarryOutStop(live_instance& instance, const stop_command& request, uint64_t epoch);
   // Of its work that is done.
   uint32_t PercentOf(const live_run& run) const;
-  void SendListing(const list_order& order);
-  void CheckStart(const live_instance& instance, const start_order& order);
+  void SendListing(const list_command& request);
+  void CheckStart(const live_instance& instance, const start_command& request);
 
   std::mt19937_64 random_;
   scheduling_faults faults_;
@@ -145,14 +147,14 @@
   std::map<task_key, uint32_t> failures_;  // acknowledged failures
   std::unique_ptr<job_scheduler> owner_;
   uint64_t epoch_ = 0;
-  uint64_t owner_life_ = 0;  // answers for an earlier owner are dropped
+  uint64_t owner_incarnation_ = 0;  // answers for an earlier owner are dropped
   bool committing_ = false;
   std::vector<instance_report> fleet_;  // as stored
-  size_t told_fleet_ = 0;               // size of the one that the owner knows to be stored
+  size_t stored_fleet_size_ = 0;        // size of the one that the owner knows to be stored
   bool store_cut_ = false;
   bool recorded_ = true;
   std::vector<std::string> violations_;
-  std::vector<std::string> notes_;
+  std::vector<std::string> log_;
   std::vector<world_run> starts_;
 };
 
--- a/test/start_route_test.cc
+++ b/test/start_route_test.cc
@@ -74,7 +74,7 @@
 
 // Guards against a start that reaches another task, instance or life than the one decided on.
 TEST_CASE("given starts, written and read, are the same without their payload") {
-  start_order order;
+  start_command order;
   order.to = {"i-1", "10.0.0.1:80", 1'700'000'000'000};
   order.key = {"0123456789abcdef", 2, 3, 41};
   order.run = 2007;
@@ -88,7 +88,7 @@
   CHECK(read->owner == "10.0.0.2:81");
   REQUIRE(read->starts.size() == 1);
   CHECK(read->starts[0].number == 77);
-  const start_order& again = read->starts[0].order;
+  const start_command& again = read->starts[0].order;
   CHECK(again.key == order.key);
   CHECK(again.to.instance == order.to.instance);
   CHECK(again.to.address == order.to.address);
@@ -105,12 +105,12 @@
 
 TEST_CASE("start results, written and read, are the same") {
   const auto read = StartResultsFromText(
-      StartResultsToText({{7, true, {order_result::kStale, 482'113}}, {8, false, {}}}));
+      StartResultsToText({{7, true, {command_result::kStale, 482'113}}, {8, false, {}}}));
   REQUIRE(read);
   REQUIRE(read->size() == 2);
   CHECK(read->at(0).number == 7);
   CHECK(read->at(0).sent);
-  CHECK(read->at(0).answer.result == order_result::kStale);
+  CHECK(read->at(0).answer.result == command_result::kStale);
   CHECK(read->at(0).answer.clock_ms == 482'113);
   CHECK_FALSE(read->at(1).sent);
   CHECK_FALSE(read->at(1).answer.clock_ms);
@@ -119,7 +119,7 @@
   // What only a later program knows may have been done or not.
   const auto later = StartResultsFromText("[[1,true,99]]");
   REQUIRE(later);
-  CHECK(later->at(0).answer.result == order_result::kUnknown);
+  CHECK(later->at(0).answer.result == command_result::kUnknown);
 }
 
 // Guards against payloads of all jobs of a long day in memory.
