--- a/src/process/scheduling/job_scheduler.cc
+++ b/src/process/scheduling/job_scheduler.cc
@@ -90,27 +90,27 @@
     advice = queue->advice->base +
              duration_cast<milliseconds>(queue->advice->per_instance * kTypicalQueryInstances);
   }
-  std::vector<milliseconds> durations;
+  std::vector<milliseconds> step_durations;
   const occurrence_state* first =
       entry.occurrences.empty() ? nullptr : entry.occurrences.begin()->second.get();
   for (uint32_t i = 0; i < entry.job.steps.size(); ++i) {
     const milliseconds run =
         first == nullptr ? entry.job.steps[i].estimate : ExpectedRun(entry, first->steps[i], i);
-    durations.push_back(run + advice);
+    step_durations.push_back(run + advice);
   }
-  const auto chain = static_cast<double>(LongestChain(entry.job.steps, durations).count());
+  const auto chain = static_cast<double>(LongestChain(entry.job.steps, step_durations).count());
   const milliseconds allowed(static_cast<int64_t>(entry.job.terms.stretch * chain));
   entry.objective = entry.accepted_at + allowed + entry.job.terms.target_latency;
 }
 
 milliseconds job_scheduler::RemainingChain(const job_entry& entry,
                                            const occurrence_state& occurrence) const {
-  std::vector<milliseconds> durations;
+  std::vector<milliseconds> step_durations;
   for (uint32_t i = 0; i < entry.job.steps.size(); ++i) {
     const step_progress& step = occurrence.steps[i];
-    durations.push_back(step.Done() ? milliseconds{0} : ExpectedRun(entry, step, i));
+    step_durations.push_back(step.Done() ? milliseconds{0} : ExpectedRun(entry, step, i));
   }
-  return LongestChain(entry.job.steps, durations);
+  return LongestChain(entry.job.steps, step_durations);
 }
 
 void job_scheduler::LearnRun(job_entry& entry, step_progress& step, const graph_run& run,
--- a/src/process/scheduling/job_scheduler.h
+++ b/src/process/scheduling/job_scheduler.h
@@ -202,7 +202,7 @@
                        monotonic_time now);
   void DropExpired(monotonic_time now);
   // Nothing runs there any more.
-  void DropRuns(fleet_instance& instance, const char* why, monotonic_time now);
+  void DropRuns(fleet_instance& instance, const char* reason, monotonic_time now);
   void FindReplaced(const fleet_instance& newcomer, monotonic_time now);
   bool LeaseExpired(const fleet_instance& instance, monotonic_time now) const;
   void PlanListings(scheduler_commands& commands, monotonic_time now);
@@ -211,7 +211,7 @@
   void UpdateTimeoutFactor(monotonic_time now);
   void GiveUpOverdue(fleet_instance& instance, monotonic_time now);
   // A listing that went unanswered.
-  void MarkSilent(fleet_instance& instance, std::string_view why, monotonic_time now);
+  void MarkSilent(fleet_instance& instance, std::string_view reason, monotonic_time now);
   void PlanCheck(fleet_instance& instance, scheduler_commands& commands);
   // It answered an order that was sent at `sent`.
   static void ClearSuspect(fleet_instance& instance, monotonic_time sent);
--- a/src/process/scheduling/scheduler_advice.cc
+++ b/src/process/scheduling/scheduler_advice.cc
@@ -97,12 +97,12 @@
     if (!verdict.allowed) continue;  // for good
     const uint32_t rank = round.rank[verdict.instance];
     if (rank == 0) continue;
-    unclaimed_capacity& there = round.capacities[rank - 1];
-    if (!MayRun(*there.instance, ready, now)) continue;
-    const uint32_t most = MaxTasksAt(ready, *there.instance, wanted);
+    unclaimed_capacity& candidate = round.capacities[rank - 1];
+    if (!MayRun(*candidate.instance, ready, now)) continue;
+    const uint32_t most = MaxTasksAt(ready, *candidate.instance, wanted);
     const bool good = verdict.expires > now + kTicketMargin &&
-                      verdict.incarnation == there.instance->report.incarnation;
-    options.push_back({&there, TasksThatFit(there.unclaimed, capacity, most), good});
+                      verdict.incarnation == candidate.instance->report.incarnation;
+    options.push_back({&candidate, TasksThatFit(candidate.unclaimed, capacity, most), good});
   }
   std::sort(options.begin(), options.end(), [](const advice_option& a, const advice_option& b) {
     if (a.tasks != b.tasks) return a.tasks > b.tasks;
@@ -139,13 +139,13 @@
   const resources capacity = CapacityOf(ready.entry->job.steps[ready.index]);
   const size_t known_count = out.size();
   bool free_at_unknown = false;
-  for (const unclaimed_capacity& there : round.capacities) {
+  for (const unclaimed_capacity& candidate : round.capacities) {
     if (out.size() >= most) break;
-    if (there.instance->service != ready.entry->service) continue;
-    if (advice.FindVerdict(there.instance->ordinal) != nullptr) continue;
-    if (!HasLabel(*there.instance, ready)) continue;
-    free_at_unknown = free_at_unknown || TasksThatFit(there.unclaimed, capacity, 1) > 0;
-    out.push_back(there.instance->report.id);
+    if (candidate.instance->service != ready.entry->service) continue;
+    if (advice.FindVerdict(candidate.instance->ordinal) != nullptr) continue;
+    if (!HasLabel(*candidate.instance, ready)) continue;
+    free_at_unknown = free_at_unknown || TasksThatFit(candidate.unclaimed, capacity, 1) > 0;
+    out.push_back(candidate.instance->report.id);
   }
   if (!free_at_unknown) out.resize(known_count);
   return out;
@@ -211,14 +211,14 @@
     Claim(option.capacity->unclaimed, capacity, tasks);
     wanted -= tasks;
   }
-  for (unclaimed_capacity& there : round.capacities) {
+  for (unclaimed_capacity& candidate : round.capacities) {
     if (wanted == 0) return;
-    if (there.instance->service != ready.entry->service) continue;
-    const uint32_t most = MaxTasksAt(ready, *there.instance, wanted);
-    const uint32_t tasks = TasksThatFit(there.unclaimed, capacity, most);
-    if (tasks == 0 || advice.FindVerdict(there.instance->ordinal) != nullptr) continue;
-    if (!HasLabel(*there.instance, ready)) continue;
-    Claim(there.unclaimed, capacity, tasks);
+    if (candidate.instance->service != ready.entry->service) continue;
+    const uint32_t most = MaxTasksAt(ready, *candidate.instance, wanted);
+    const uint32_t tasks = TasksThatFit(candidate.unclaimed, capacity, most);
+    if (tasks == 0 || advice.FindVerdict(candidate.instance->ordinal) != nullptr) continue;
+    if (!HasLabel(*candidate.instance, ready)) continue;
+    Claim(candidate.unclaimed, capacity, tasks);
     wanted -= tasks;
   }
 }
--- a/src/process/scheduling/scheduler_instances.cc
+++ b/src/process/scheduling/scheduler_instances.cc
@@ -189,7 +189,7 @@
   });
 }
 
-void job_scheduler::DropRuns(fleet_instance& instance, const char* why, monotonic_time now) {
+void job_scheduler::DropRuns(fleet_instance& instance, const char* reason, monotonic_time now) {
   instance.lease_unknown = false;
   while (!instance.runs.empty()) {
     graph_run& run = *instance.runs.front();
@@ -197,7 +197,7 @@
     const task_key key = run.key;
     LogEvent(scheduler_event::kind::kRunVanished, key.job,
              absl::StrCat("step=", key.step, " index=", key.index, " run=", run.number,
-                          " instance=", instance.report.id, " ", why));
+                          " instance=", instance.report.id, " ", reason));
     Release(run, now);
     if (job != nullptr && !IsFinal(job->phase) && job->job.steps[key.step].gang) {
       BreakGang(*job, key, stop_cause::kGangBroken, now);
@@ -318,8 +318,8 @@
 }
 
 milliseconds job_scheduler::Timeout() const {
-  const auto measured = static_cast<double>(answer_timeout_.Timeout().count());
-  return milliseconds(static_cast<int64_t>(timeout_factor_ * measured)) + local_delay_;
+  const auto measured_timeout = static_cast<double>(answer_timeout_.Timeout().count());
+  return milliseconds(static_cast<int64_t>(timeout_factor_ * measured_timeout)) + local_delay_;
 }
 
 void job_scheduler::UpdateTimeoutFactor(monotonic_time now) {
@@ -456,12 +456,13 @@
   MarkSilent(instance, ToText(result), now);
 }
 
-void job_scheduler::MarkSilent(fleet_instance& instance, std::string_view why, monotonic_time now) {
+void job_scheduler::MarkSilent(fleet_instance& instance, std::string_view reason,
+                               monotonic_time now) {
   instance.listing_in_flight = false;
   instance.probing = false;
   if (instance.silent++ == 0) {
     LogEvent(scheduler_event::kind::kInstanceSilent, instance.report.id,
-             absl::StrCat("result=", std::string(why), " runs=", instance.runs.size()));
+             absl::StrCat("result=", std::string(reason), " runs=", instance.runs.size()));
   }
   const uint32_t doublings = std::min(instance.silent - 1, kMaxDoublings);
   instance.next_listing =
--- a/src/process/scheduling/scheduler_runs.cc
+++ b/src/process/scheduling/scheduler_runs.cc
@@ -374,8 +374,8 @@
   const bool works = run.phase == run_phase::kRunning && run.stopping == stop_cause::kNone &&
                      run.job != nullptr && run.speed_percent == 100;
   // Most runs made progress lately: what they should take need not be looked up.
-  const bool quiet = now - run.progressed > kMinStallTime;
-  if (works && quiet && !run.job->job.steps[run.key.step].long_running &&
+  const bool progress_overdue = now - run.progressed > kMinStallTime;
+  if (works && progress_overdue && !run.job->job.steps[run.key.step].long_running &&
       run.instance->Reachable()) {
     const step_progress* step = run.job->Find(run.key);
     const auto expected =
--- a/test/job_scheduler_test.cc
+++ b/test/job_scheduler_test.cc
@@ -107,10 +107,10 @@
 
 TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, lasting task that ends, is started again") {
   AddInstances(2);
-  step_terms lasting = Tasks(2, 1000, milliseconds(300));
-  lasting.long_running = true;
+  step_terms service_step = Tasks(2, 1000, milliseconds(300));
+  service_step.long_running = true;
   world.Run(seconds(1));
-  world.Submit(Job(1, {lasting}));
+  world.Submit(Job(1, {service_step}));
   world.Run(seconds(1));
   REQUIRE(world.Running(JobId(1)) == 2);
   world.Crash("instance-0", true);
@@ -300,11 +300,11 @@
     return starts.front().key;
   };
 
-  step_terms lasting = Tasks(1, 1000, milliseconds(300));
-  lasting.long_running = true;
-  graph_job standing = Job(9, {lasting});
-  standing.terms.priority = 2;
-  owner.OnJob(standing, "", false, wall_time{}, now);
+  step_terms service_step = Tasks(1, 1000, milliseconds(300));
+  service_step.long_running = true;
+  graph_job service_job = Job(9, {service_step});
+  service_job.terms.priority = 2;
+  owner.OnJob(service_job, "", false, wall_time{}, now);
   const task_key served = next_start(now);
   REQUIRE(served.job == JobId(9));
   const monotonic_time later = now + seconds(1);
@@ -453,7 +453,7 @@
       const graph_phase wanted =
           always_failing_[i] ? graph_phase::kFailed : graph_phase::kCompleted;
       if (world_.Phase(JobId(i)) == wanted) continue;
-      for (const std::string& note : world_.EventsOf(JobId(i))) UNSCOPED_INFO(note);
+      for (const std::string& event : world_.EventsOf(JobId(i))) UNSCOPED_INFO(event);
       UNSCOPED_INFO("job " << i << " is " << std::string(ToText(world_.Phase(JobId(i)))));
       CHECK(world_.Phase(JobId(i)) == wanted);
     }
@@ -520,9 +520,9 @@
   constexpr uint64_t kSeeds = 300;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
-    random_faults_run course(seed, true);
-    course.Run();
-    course.Check();
+    random_faults_run scenario(seed, true);
+    scenario.Run();
+    scenario.Check();
   }
 }
 
@@ -531,9 +531,9 @@
   constexpr uint64_t kSeeds = 300;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
-    random_faults_run course(seed, false);
-    course.Run();
-    course.Check();
+    random_faults_run scenario(seed, false);
+    scenario.Run();
+    scenario.Check();
   }
 }
 
