--- a/src/process/scheduling/answer_timeout.h
+++ b/src/process/scheduling/answer_timeout.h
@@ -1,10 +1,10 @@
-// How long an order may go unanswered before its instance is doubted: the smoothed time of recent
-// answers and four times their deviation, as a TCP sender sets its retransmission timer.
+// Time-out for an instance's answer to a command, after which the instance is suspect: the smoothed
+// time of recent answers plus four times their deviation, as in a TCP retransmission timer.
 //
-// The load it answers: a domain is cut off, or orders are delayed by seconds. Found only by the
-// call's timeout, each start that goes there keeps its task from running elsewhere for as long,
-// several times the length of a quick task. A fixed short limit would doubt every instance whenever
-// the owner itself is slow to read answers.
+// It covers failure domains that are cut off and commands that are delayed by seconds. If only the
+// call's time-out revealed a lost start, its task could not run elsewhere for several times the
+// length of a quick task. A fixed short limit would make every instance suspect whenever the owner
+// itself is slow to read answers.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIMEOUT_H_
 #define CATKINFORD_PROCESS_SCHEDULING_ANSWER_TIMEOUT_H_
 
--- a/src/process/scheduling/arrival_rate_limit.h
+++ b/src/process/scheduling/arrival_rate_limit.h
@@ -1,8 +1,8 @@
-// Tells the jobs that a workspace sends beyond its share from those within: the rate that its
-// weight gives, with a second's worth at once.
+// Rate limit on the arrivals of one workspace: separates jobs within its share from those beyond.
+// The workspace's weight is its rate, and it may send one second's worth at once.
 //
-// The load it answers: one workspace sends many times its usual, and without this everybody's quick
-// work would wait in one line behind it. Its jobs beyond the share run when nobody else waits.
+// Without it, one workspace that sends many times its usual load delays the quick work of all
+// others in a common queue. Jobs beyond the share run when no others wait.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_ARRIVAL_RATE_LIMIT_H_
 #define CATKINFORD_PROCESS_SCHEDULING_ARRIVAL_RATE_LIMIT_H_
 
@@ -15,8 +15,8 @@
 
 class arrival_rate_limit {
  public:
-  // Counts a job that came at `now`; `rate`: jobs a second. True when it is beyond the share; such
-  // a job does not use the share up.
+  // Counts a job that arrived at `now`; `rate` is in jobs per second. Returns true if the job is
+  // beyond the share; such a job does not use up the share.
   bool Exceeds(double rate, wall_time now) {
     const std::chrono::milliseconds interval(static_cast<int64_t>(kMillisPerSecond / rate));
     const wall_time begin = std::max(next_within_, now - kBurst);
@@ -29,7 +29,7 @@
   static constexpr double kMillisPerSecond = 1000;
   static constexpr std::chrono::milliseconds kBurst{1000};
 
-  wall_time next_within_{};  // when the next job is within the share
+  wall_time next_within_{};  // the next job is within the share from then on
 };
 
 }  // namespace catkinford
--- a/src/process/scheduling/capacity_forecast.h
+++ b/src/process/scheduling/capacity_forecast.h
@@ -1,10 +1,10 @@
-// What an instance will have free, and the room in it that is held for work next in line.
+// Forecast of an instance's free capacity, with reservations for the steps that are next in order.
 //
-// The load it answers: wide tasks, which need most of an instance, and narrow ones that fit
-// anywhere share a service. Each time a narrow task ends another one takes its place, no instance
-// is ever empty enough, and the wide ones wait for ever though they come first. Here those next in
-// line hold the instance that will have room for them soonest; others start there only if they fit
-// beside or will have ended by then.
+// Wide tasks need most of an instance, and narrow tasks that fit anywhere share its service. If
+// each narrow task that ends is replaced by another, no instance is ever empty enough and the wide
+// tasks starve although they come first. The steps that are next in order therefore reserve the
+// instance that will have capacity for them soonest; other tasks start there only if they fit
+// beside the reservation or are expected to end before it begins.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_CAPACITY_FORECAST_H_
 #define CATKINFORD_PROCESS_SCHEDULING_CAPACITY_FORECAST_H_
 
@@ -20,18 +20,19 @@
  public:
   explicit capacity_forecast(const resources& free) { Add(free_, free, 1); }
 
-  // A run is expected to end at `when`. Runs that last have no end.
+  // A run is expected to end at `when`. Long-running tasks have no end.
   void AddEnd(monotonic_time when, const resources& demand);
-  // Work that starts now and is expected to end at `until`.
+  // A task starts now and is expected to end at `until`.
   void Start(const resources& demand, monotonic_time until);
-  // When `room` is free beside all that is held, `now` at the earliest; nothing: never.
+  // Earliest time, not before `now`, at which `demand` is free beside all reservations; nothing if
+  // there is none.
   std::optional<monotonic_time> EarliestFor(const resources& demand, monotonic_time now) const;
   void Reserve(const resources& demand, monotonic_time from);
-  // True if `room`, taken now and given back at `until`, delays nothing that holds room here.
+  // True if using `demand` from now until `until` delays no reservation.
   bool MayUse(const resources& demand, monotonic_time until) const;
 
  private:
-  // Signed: what is held may exceed what is free until its time comes.
+  // Signed: reservations may exceed the free capacity until their time comes.
   struct amounts {
     int64_t cpu_milli = 0;
     int64_t memory_mb = 0;
@@ -44,7 +45,7 @@
 
   static void Add(amounts& sum, const resources& demand, int sign);
   static bool Covers(const amounts& sum, const resources& demand);
-  // What is free at `when` less all that is held from then or earlier.
+  // Free capacity at `when`, less the reservations that begin by then.
   amounts FreeAt(monotonic_time when) const;
 
   amounts free_;  // now
--- a/src/process/scheduling/graph_state.cc
+++ b/src/process/scheduling/graph_state.cc
@@ -28,8 +28,8 @@
   out += ']';
 }
 
-// Written by hand: records are made some hundred times a second, and a tree of values for each
-// would take most of the time.
+// Serialized without a JSON tree: some hundred records are written a second, and building a tree
+// for each would take most of the time.
 void AppendStep(const step_progress& step, std::string& out) {
   out += R"({"done":)";
   AppendDoneRanges(step, out);
@@ -178,7 +178,7 @@
 bool job_entry::AllDone() const { return done_below >= job.Occurrences(); }
 
 graph_phase job_entry::VisiblePhase() const {
-  // A final phase that is only in memory would be taken back if this process died now.
+  // A final phase that is not stored would be lost if this process died now.
   if (IsFinal(phase) && stored < change) return graph_phase::kRunning;
   return phase;
 }
--- a/src/process/scheduling/graph_state.h
+++ b/src/process/scheduling/graph_state.h
@@ -1,4 +1,4 @@
-// What the scheduler knows of each job: its tasks, how far they are, and what of that is stored.
+// The scheduler's state of each job: its tasks, their progress, and which part of it is stored.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_GRAPH_STATE_H_
 #define CATKINFORD_PROCESS_SCHEDULING_GRAPH_STATE_H_
 
@@ -20,7 +20,7 @@
 struct graph_run;
 struct queue_terms;
 
-// Names one task everywhere: in orders, listings and records.
+// Identifies a task in commands, listings and records.
 struct task_key {
   std::string job;
   uint32_t occurrence = 0;
@@ -36,52 +36,52 @@
 
 enum class graph_task_phase : uint8_t { kWaiting, kActive, kDone };
 
-// A run that may be at work. It is stored before its start is sent, so that the next owner looks
-// for it there, and need not wait for instances that have nothing to do with the task.
+// A run that may exist. It is stored before its start is sent, so that the next owner looks for it
+// there and need not wait for instances that have nothing to do with the task.
 struct open_run {
   uint32_t number = 0;
   std::string instance;
-  // Proved not to have begun, but its start got no answer: it may still reach the next life of the
-  // instance up to here. Not stored.
+  // Set if the run was proved not to have begun but its start got no answer: the start may reach
+  // the next incarnation of the instance until then. Not stored.
   monotonic_time may_arrive_until{};
 };
 
 struct graph_task_state {
   graph_task_phase phase = graph_task_phase::kWaiting;
   std::vector<open_run> open_runs;
-  // The runs that failed by themselves, each once: an end that was stored but not yet acknowledged
-  // when its owner died is listed to the next owner again, and in any order. Counted twice, a sound
-  // job would fail early; missed, a task would start once too often.
+  // Runs that failed by themselves, each once. An end that was stored but not yet acknowledged when
+  // its owner died is listed to the next owner again, in any order. Counting it twice would fail a
+  // sound job early; missing one would start a task once too often.
   std::vector<uint32_t> failed_runs;
-  uint32_t last_run = 0;      // the highest run number used, or seen in a listing
-  std::string checkpoint;     // of the latest run that told one
-  graph_run* run = nullptr;   // the run that holds the task; a copy hangs on it
+  uint32_t last_run = 0;      // highest run number used or seen in a listing
+  std::string checkpoint;     // of the latest run that reported one
+  graph_run* run = nullptr;   // the run that holds the task; a copy may run beside it
   graph_run* copy = nullptr;  // a second run of a speculative task
   monotonic_time waiting_since{};
 };
 
-// What a policy said of the instances that may run a step. The verdict never changes; the ticket
-// ends with its time or with the instance's life.
+// A policy's verdict on one instance for a step. The verdict never changes; the ticket expires, and
+// it is void if the instance restarts.
 struct advice_verdict {
   uint32_t instance = 0;  // its ordinal
   bool allowed = false;
   std::string ticket;
-  int64_t incarnation = 0;  // of the instance: the ticket is good for that life only
+  int64_t incarnation = 0;  // of the instance: the ticket is valid for this incarnation only
   monotonic_time expires{};
 };
 struct step_advice {
   std::vector<advice_verdict> verdicts;  // by ordinal, ascending
   bool in_flight = false;
-  uint32_t failed_queries = 0;  // in a row
+  uint32_t failed_queries = 0;  // consecutive
   monotonic_time next_query{};
 
-  // Null: never asked about.
+  // Returns null if the policy was never asked about the instance.
   const advice_verdict* FindVerdict(uint32_t instance) const;
   advice_verdict& MakeVerdict(uint32_t instance);
   void RemoveVerdict(uint32_t instance);
 };
 
-// An instance that will have room for a task.
+// An instance that is expected to have capacity for a task.
 struct capacity_reservation {
   uint32_t instance = 0;  // its ordinal
   monotonic_time from{};
@@ -92,17 +92,17 @@
   uint32_t waiting = 0;
   uint32_t active = 0;
   uint32_t done = 0;
-  std::vector<uint32_t> gang_failed_runs;  // as failed_runs of a task
-  bool ready = false;                      // all steps before it are done, and its time has come
+  std::vector<uint32_t> gang_failed_runs;  // like failed_runs of a task
+  bool ready = false;                      // all steps before it are done and the occurrence is due
   monotonic_time ready_at{};
   step_advice advice;
-  // How long tasks of the step really took, from beginning to end: they are alike.
+  // Actual run times of the step's tasks, which are alike.
   std::chrono::milliseconds run_time_sum{0};
   uint32_t run_time_count = 0;
-  // Instances that are held for its waiting tasks; as of the round `reserved_round`.
+  // Reservations for the step's waiting tasks; valid in the round `reserved_round` only.
   std::vector<capacity_reservation> reserved;
   uint64_t reserved_round = 0;
-  absl::flat_hash_map<const fleet_instance*, uint32_t> placed;  // tasks that hold room there
+  absl::flat_hash_map<const fleet_instance*, uint32_t> placed;  // tasks that occupy capacity there
 
   bool Done() const { return done == tasks.size(); }
 };
@@ -116,42 +116,42 @@
 
 struct job_entry {
   graph_job job;
-  // As the version in force says, looked up once: each decision needs them many times.
+  // Queue in the version in effect, cached as each decision needs it many times.
   const queue_terms* queue = nullptr;
   uint32_t service = 0;  // ordinal of the service whose instances run it
   graph_phase phase = graph_phase::kQueued;
   std::map<uint32_t, std::unique_ptr<occurrence_state>> occurrences;  // due and not done
-  uint32_t next_occurrence = 0;    // the first that is not due yet
+  uint32_t next_occurrence = 0;    // first occurrence that is not due yet
   std::vector<uint32_t> finished;  // done occurrences at or above `done_below`
   uint32_t done_below = 0;         // all occurrences below are done
-  bool started = false;            // some task has started, ever
-  bool beyond_share = false;       // its workspace sent more than its share when it came
-  bool inherited = false;          // known before this owner: its tasks may run where it cannot see
-  uint64_t change = 0;             // counts changes of what must last
+  bool started = false;            // some task has ever started
+  bool beyond_share = false;       // exceeded the workspace's share on arrival
+  bool inherited = false;          // older than this ownership: may have unlisted runs
+  uint64_t change = 0;             // counts changes of the durable state
   uint64_t stored = 0;             // the last change that the store has
-  uint64_t unrecorded = 0;         // the last change that may hold starts which left before it
-  uint64_t being_stored = 0;       // the change that is on its way there
-  monotonic_time objective{};      // when it starts to count as late, as far as is known
+  uint64_t unrecorded = 0;  // the last change whose starts may have been sent before it was stored
+  uint64_t being_stored = 0;   // the change that is being written
+  monotonic_time objective{};  // counts as late after this; an estimate
   monotonic_time accepted_at{};
   monotonic_time arrived{};
   monotonic_time finished_at{};
 
   bool AllDone() const;
-  // Phase as it may be told: a final one only once it is stored.
+  // The phase that may be reported: a final phase only once it is stored.
   graph_phase VisiblePhase() const;
   step_progress* Find(const task_key& key);
 };
 
-// Makes the occurrence's tasks, all waiting.
+// Creates the occurrence's tasks, all waiting.
 std::unique_ptr<occurrence_state> MakeOccurrence(const graph_job& job, uint32_t number,
                                                  monotonic_time now);
-// Notes that all of an occurrence is done and forgets its tasks.
+// Marks an occurrence as done and drops its tasks.
 void FinishOccurrence(job_entry& entry, uint32_t number);
 
-// The durable progress: final phase, done tasks, failures, checkpoints.
+// Serializes the durable progress: final phase, done tasks, failures, checkpoints, open runs.
 std::string ProgressToText(const job_entry& entry);
-// Applies a stored progress to a fresh entry. False, with the entry as it was, for bytes that are
-// no progress of this job.
+// Applies stored progress to a fresh entry. Returns false and leaves the entry unchanged if `text`
+// is not valid progress.
 bool ApplyProgress(job_entry& entry, std::string_view text, monotonic_time now);
 
 }  // namespace catkinford
--- a/src/process/scheduling/job_order.h
+++ b/src/process/scheduling/job_order.h
@@ -1,9 +1,9 @@
-// In which order waiting work gets room: by what can still be saved.
+// The order in which waiting jobs get capacity.
 //
-// The load it answers: a floor that is a little more than full. In the order of their objectives, a
-// job that is late already comes before one that could still be in time and makes it late too; once
-// there is a backlog, everybody waits as long as it is deep. Here those that can still make their
-// objective come first, and those that are late use what they leave.
+// With a plain earliest-objective order, under a load slightly above capacity, a job that is
+// already late comes before one that could still be in time and makes it late too; once there is a
+// backlog, every job waits for as long as it is deep. Here jobs that can still meet their objective
+// come first, and late ones use the capacity that is left.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_JOB_ORDER_H_
 #define CATKINFORD_PROCESS_SCHEDULING_JOB_ORDER_H_
 
@@ -15,25 +15,25 @@
 
 namespace catkinford {
 
-// What callers were promised, and how much of a job is still to be done.
+// The objective that callers were promised, and the work that is left.
 struct job_timing {
   monotonic_time accepted{};
   monotonic_time objective{};           // late after this
-  std::chrono::milliseconds remaining;  // its longest chain of work, if nothing waits
+  std::chrono::milliseconds remaining;  // longest chain of work left, without waiting
 };
 
 enum class job_rank : uint8_t {
-  kInTime,  // can make its objective
+  kInTime,  // can meet its objective
   kLate,
-  kTooLate  // can't end before it is of no use
+  kTooLate  // can't end while the result is still useful
 };
 
-// A job is of no use to its caller after this many times its objective.
+// A job's result is useless to its caller after this many times the time to its objective.
 constexpr int kUsefulFactor = 3;
 
 struct job_order_key {
   job_rank rank = job_rank::kInTime;
-  monotonic_time deadline{};  // within a rank
+  monotonic_time deadline{};  // earlier first within a rank
 
   auto operator<=>(const job_order_key&) const = default;
 };
--- a/src/process/scheduling/job_scheduler.cc
+++ b/src/process/scheduling/job_scheduler.cc
@@ -10,11 +10,10 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// Callers' objectives allow for one question to the queue's policy a step, about this many
-// instances.
+// Objectives allow for one policy query a step, about this many instances.
 constexpr int64_t kTypicalQueryInstances = 30;
 constexpr double kSpeedDecay = 0.8;   // weight of the past in an instance's learned speed
-constexpr size_t kMaxEvents = 20000;  // between two calls of TakeEvents(); more are left out
+constexpr size_t kMaxEvents = 20000;  // between two calls of TakeEvents(); further ones are dropped
 
 }  // namespace
 
@@ -82,7 +81,7 @@
   return run_times_.Expected(entry.job.queue, entry.job.steps[index].estimate);
 }
 
-// What callers are promised follows from how long the work really takes, which shows step by step.
+// The objective depends on actual run times, which become known step by step.
 void job_scheduler::SetObjective(job_entry& entry) {
   const queue_terms* queue = entry.queue;
   milliseconds advice{0};
@@ -127,7 +126,7 @@
   ++step.run_time_count;
 }
 
-// By the time at which the job was accepted, so that the next owner finds the same.
+// Uses the time at which the job was accepted, so that the next owner computes the same.
 bool job_scheduler::BeyondShare(const graph_job& job) {
   if (version_ == nullptr || job.workspace.empty()) return false;
   const workspace_terms* workspace = version_->WorkspaceNamed(job.workspace);
@@ -239,7 +238,7 @@
     if (found == jobs_.end()) continue;
     found->second->stored = std::max(found->second->stored, write.change);
   }
-  // The next listing of each tells it what it may forget.
+  // The next listing of each instance acknowledges them.
   for (auto& [id, instance] : instances_) AdvanceAcks(*instance);
 }
 
@@ -248,7 +247,7 @@
     const auto found = jobs_.find(write.job);
     if (found == jobs_.end()) continue;
     job_entry& entry = *found->second;
-    // Still the newest change: put it back; a newer one has done so itself.
+    // Still the newest change: queue it again. A newer one has queued itself.
     if (entry.change == write.change) unstored_.push_back(&entry);
     entry.being_stored = entry.stored;
   }
@@ -268,7 +267,7 @@
     const job_entry& entry = *jobs_.at(id);
     if (now - entry.finished_at < options_.keep_final) break;
     final_.pop_front();
-    // What is not settled yet is looked at again after the others.
+    // Jobs that are not settled yet are checked again after the others.
     if (entry.stored < entry.change || HoldsRuns(entry)) {
       final_.push_back(id);
       break;
--- a/src/process/scheduling/job_scheduler.h
+++ b/src/process/scheduling/job_scheduler.h
@@ -1,8 +1,8 @@
-// The decisions of the process that owns the site: which task starts where and when, what is
-// stopped, and what of each job must be stored before the instances may forget it.
+// The scheduling decisions of the process that owns the site: which task starts where and when,
+// which runs are stopped, and which job progress must be stored before the instances may forget it.
 //
-// Pure: no I/O, no clock, no lock. Events come in by the On...() functions, each with the present
-// time; Decide() gives out orders. One thread.
+// No I/O, clocks or locks. Input arrives through the On...() functions, each with the current time;
+// Decide() returns the commands to send. Single-threaded.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_JOB_SCHEDULER_H_
 #define CATKINFORD_PROCESS_SCHEDULING_JOB_SCHEDULER_H_
 
@@ -32,25 +32,26 @@
 namespace catkinford {
 
 struct scheduler_options {
-  std::chrono::milliseconds run_lease{4000};  // of a run, without a renewal
-  // An earlier owner may have gone on for this long after this one began.
+  std::chrono::milliseconds run_lease{4000};  // of a run, unless renewed
+  // An earlier owner may have continued for this long after this one began.
   std::chrono::milliseconds earlier_owner{700};
-  // And for this much longer, if the records are not known to be complete.
+  // Added to it if the records are not known to be complete.
   std::chrono::milliseconds unconfirmed_owner{0};
-  std::chrono::milliseconds stop_limit{900};     // a stop takes at most this long
-  std::chrono::milliseconds gang_limit{3000};    // members wait this long for each other
-  std::chrono::milliseconds keep_final{120000};  // how long an ended job's state is told
+  std::chrono::milliseconds stop_limit{900};     // longest duration of a stop
+  std::chrono::milliseconds gang_limit{3000};    // gang members wait this long for each other
+  std::chrono::milliseconds keep_final{120000};  // how long an ended job's state is reported
   std::chrono::milliseconds early_limit{250};    // a repeat may start this much too early
-  double remote_factor = 2;                      // slower away from its data or off its rack
-  // Starts that are sent and not answered, in all and at one instance. After a takeover a whole
-  // floor may be waiting: sent at once, its starts take longer to send than their timeout lasts,
-  // their answers are not heard, and all of them are stopped and sent again. An answer takes 5 to
-  // 10 ms, so this many are 15,000 a second and more; two connections to an instance are free.
+  double remote_factor = 2;  // run time factor away from the data or across racks
+  // Starts sent and not answered, in total and per instance. After a takeover the work of all
+  // endpoints may be waiting: if it were sent at once, sending would take longer than the starts'
+  // time-out, their answers would be missed, and all of them would be stopped and sent again. An
+  // answer takes 5 to 10 ms, so this limit allows 15,000 starts a second and more; two connections
+  // to an instance stay free.
   uint32_t starts_in_flight = 160;
   uint32_t starts_at_instance = 4;
   uint32_t stops_at_instance = 2;
-  uint32_t fences_in_flight = 128;               // first listings of instances, likewise
-  std::chrono::milliseconds listing_pause{120};  // after a listing of an instance
+  uint32_t fences_in_flight = 128;  // first listings of instances, limited for the same reason
+  std::chrono::milliseconds listing_pause{120};  // pause after a listing of an instance
 };
 
 struct job_progress_write {
@@ -61,28 +62,27 @@
 
 class job_scheduler {
  public:
-  // `epoch` of this ownership, 1 and up: run numbers of a later owner are higher. `took_over`: when
+  // `epoch` of this ownership, 1 and up; a later owner uses higher run numbers. `took_over`: when
   // this owner began.
   job_scheduler(const scheduler_options& options, uint64_t epoch, monotonic_time took_over);
   ~job_scheduler();
   job_scheduler(const job_scheduler&) = delete;
   job_scheduler& operator=(const job_scheduler&) = delete;
 
-  // Beliefs.
+  // Configuration and instances.
   void SetVersion(std::shared_ptr<const site_version> version);
-  // The whole registry. `known_before`: instances that an earlier owner may have used are still to
-  // be listed, so tasks of its jobs may run there.
+  // The complete registry.
   void OnRegistry(const std::vector<instance_report>& reports, monotonic_time now);
-  // Instances that an earlier owner knew: they may run its tasks though the registry has lost them.
+  // Instances known to an earlier owner: they may run its tasks even if the registry has lost them.
   void OnInherited(const std::vector<instance_report>& reports, monotonic_time now);
 
-  // Jobs. `progress`: the stored one, empty for none. `inherited`: accepted before this owner
-  // began. A job that is known already is left as it is.
+  // Jobs. `progress`: as stored, empty for none. `inherited`: accepted before this owner began. A
+  // known job is left unchanged.
   void OnJob(graph_job job, std::string_view progress, bool inherited, wall_time wall,
              monotonic_time now);
   void OnCancel(const std::string& job, monotonic_time now);
 
-  // Answers to orders.
+  // Answers to commands.
   void OnStartAnswer(const start_command& request, const command_answer& answer,
                      monotonic_time now);
   void OnStopAnswer(const stop_command& request, const command_answer& answer, monotonic_time now);
@@ -93,48 +93,51 @@
   void OnNoListing(const list_command& request, command_result result, monotonic_time now);
   void OnAdvice(const advice_query& request, const advice_answer& answer, monotonic_time now);
 
-  // Progress that must be stored, at most `most` jobs and, beyond the first, `bytes`; those given
-  // out count as on their way until OnStored() or OnNotStored() names them.
+  // Progress to store, of at most `most` jobs; no further job is added once `bytes` are reached.
+  // The returned writes count as in progress until OnStored() or OnNotStored() is called with them.
   std::vector<job_progress_write> TakeUnstored(size_t most, size_t bytes = SIZE_MAX);
   void OnStored(const std::vector<job_progress_write>& writes);
   void OnNotStored(const std::vector<job_progress_write>& writes);
-  // Jobs that ended long enough ago; they are forgotten here and their records may go.
+  // Forgets jobs that ended more than `keep_final` ago and returns their ids; their records may be
+  // deleted.
   std::vector<std::string> TakeExpired(monotonic_time now, size_t most);
 
-  // All starts that an earlier owner may have sent are in its records: nothing else needs to wait
-  // for instances that cannot be listed.
+  // All starts that an earlier owner may have sent are in its records: other work need not wait for
+  // instances that cannot be listed.
   void SetRecordsComplete();
-  // The earlier owner's process is gone: only the leases of its runs are left to wait for.
+  // The earlier owner's process has ended: only the leases of its runs must still expire.
   void OnEarlierOwnerDead();
-  // True: starts are sent without waiting for their records. Only while nobody can take over.
+  // If true, starts are sent without waiting for their records. Allowed only while no other process
+  // can take over.
   void SetUnrecordedStarts(bool allowed);
-  // True: no task starts; what runs goes on. While queues, limits and services may be out of date.
+  // If true, no task starts; existing runs continue. Used while queues, limits and services may be
+  // out of date.
   void PauseStarts(bool paused) { starts_paused_ = paused; }
-  // In place of the options: what the owner's link carries is known only while it works.
+  // Override the options: the capacity of the owner's link is known only at run time.
   void SetStartsInFlight(uint32_t most) { options_.starts_in_flight = most; }
   void SetListingPause(std::chrono::milliseconds pause) { options_.listing_pause = pause; }
-  // How long answers may have waited in this process before they were heard.
+  // Upper bound on how long answers may have waited in this process before they were read.
   void SetLocalDelay(std::chrono::milliseconds delay) { local_delay_ = delay; }
-  // All that started without a record is in one by now, and no run of an earlier owner may be out
-  // of sight.
+  // True if every start sent without a record is recorded by now and no run of an earlier owner can
+  // be unknown.
   bool RecordsKnown() const;
   bool StartsPlanned() const { return !planned_.empty(); }
-  // Starts whose record is stored by now; also among the orders of Decide().
+  // Starts whose record is stored by now. Decide() returns them too.
   std::vector<start_command> TakeStarts(monotonic_time now);
 
-  // Orders that are due.
+  // Returns the commands that are due.
   scheduler_commands Decide(wall_time wall, monotonic_time now);
   std::vector<scheduler_event> TakeEvents();
 
-  // Questions.
+  // Queries.
   const job_entry* Find(const std::string& job) const;
-  // Accepted jobs of a queue of which no task has started. Jobs of repeats do not count.
+  // Number of accepted jobs of a queue of which no task has ever started.
   size_t Pending(const std::string& queue) const;
-  // Could any instance of the service that was ever seen hold each task of the job? True while no
-  // instance is known.
+  // True if some instance of the service that was ever seen is large enough for each task of the
+  // job, or if no instance is known.
   bool Possible(const graph_job& job) const;
-  // The instances that may run work, of this owner's or an earlier one's. They must be stored
-  // before they are used: OnFleetStored() names what was stored.
+  // The instances that may run work of this or an earlier owner. They must be stored before they
+  // are used; OnFleetStored() reports the list that was stored.
   std::vector<instance_report> Fleet() const;
   void OnFleetStored(const std::vector<instance_report>& fleet);
   size_t JobCount() const { return jobs_.size(); }
@@ -146,18 +149,18 @@
     occurrence_state* occurrence;
     uint32_t index;
     job_order_key rank;
-    bool service_down = false;  // a task of it served before, and is down
+    bool service_down = false;  // has a task that ran before and is down
   };
 
   // job_scheduler.cc
   void MarkChanged(job_entry& entry);
   bool BeyondShare(const graph_job& job);
-  // How long a task of the step will take on a sound instance, from its own tasks that have ended
-  // or, before that, from what is learned of its queue.
+  // Expected run time of a task of the step on a sound instance: from its own tasks that have ended
+  // or, before that, from the learned run times of its queue.
   std::chrono::milliseconds ExpectedRun(const job_entry& entry, const step_progress& step,
                                         uint32_t index) const;
   void SetObjective(job_entry& entry);
-  // Of one occurrence: the longest chain of what is not done.
+  // Longest chain of steps of the occurrence that are not done.
   std::chrono::milliseconds RemainingChain(const job_entry& entry,
                                            const occurrence_state& occurrence) const;
   void LearnRun(job_entry& entry, step_progress& step, const graph_run& run, monotonic_time now);
@@ -169,18 +172,19 @@
   void StopAll(job_entry& entry, stop_cause cause, monotonic_time now);
   void RequestStop(graph_run& run, stop_cause cause, monotonic_time now);
   const job_terms& TermsOf(const job_entry& entry) const;
-  // Could any instance of the service that was ever seen hold a task of the step? True while none
-  // is known.
+  // True if some instance of the service that was ever seen is large enough for a task of the step,
+  // or if no instance is known.
   bool AnyCouldHold(const std::string& service, const step_terms& step) const;
   void LookUpTerms(job_entry& entry);
   uint32_t ServiceOrdinal(const std::string& service);
   fleet_instance& MakeInstance(const instance_report& report, monotonic_time now);
 
-  // scheduler_runs.cc: what becomes of runs
+  // scheduler_runs.cc: lifecycle of runs
   graph_run* FindRun(fleet_instance& instance, const task_key& key, uint32_t number);
   graph_run& AddRun(fleet_instance& instance, job_entry* job, const task_key& key, uint32_t number);
   void ReserveCapacity(graph_run& run, int sign);
-  // Proved not to run and never to run: its room is free and its task may start elsewhere.
+  // The run is proved to have ended or never to begin: frees its capacity; its task may start
+  // elsewhere.
   void Release(graph_run& run, monotonic_time now);
   void OnTaskDone(job_entry& entry, const task_key& key, monotonic_time now);
   void OnTaskFailed(job_entry& entry, const task_key& key, uint32_t run, fleet_instance& at,
@@ -201,28 +205,29 @@
   void ExpectLateStart(fleet_instance& instance, const undelivered_start& start,
                        monotonic_time now);
   void DropExpired(monotonic_time now);
-  // Nothing runs there any more.
+  // Releases all runs of the instance; none is left there.
   void DropRuns(fleet_instance& instance, const char* reason, monotonic_time now);
   void FindReplaced(const fleet_instance& newcomer, monotonic_time now);
   bool LeaseExpired(const fleet_instance& instance, monotonic_time now) const;
   void PlanListings(scheduler_commands& commands, monotonic_time now);
-  // How late answers may be before their instance is suspected.
+  // Time-out for answers, after which their instance is suspect.
   std::chrono::milliseconds Timeout() const;
   void UpdateTimeoutFactor(monotonic_time now);
   void GiveUpOverdue(fleet_instance& instance, monotonic_time now);
-  // A listing that went unanswered.
+  // Handles a listing that went unanswered.
   void MarkSilent(fleet_instance& instance, std::string_view reason, monotonic_time now);
   void PlanCheck(fleet_instance& instance, scheduler_commands& commands);
-  // It answered an order that was sent at `sent`.
+  // The instance answered a command that was sent at `sent`.
   static void ClearSuspect(fleet_instance& instance, monotonic_time sent);
   void MarkSuspect(fleet_instance& instance, monotonic_time now);
   void UpdateClock(fleet_instance& instance, int64_t clock_ms, monotonic_time now);
   void AdvanceAcks(fleet_instance& instance);
   void Evacuate(fleet_instance& instance, monotonic_time now);
-  // All instances that may run tasks of earlier owners are listed, or their leases are over.
+  // True if all instances that may run tasks of earlier owners are listed or their leases have
+  // expired.
   bool InheritanceSettled(monotonic_time now) const;
 
-  // scheduler_placing.cc
+  // scheduler_placement.cc
   void Place(const std::vector<ready_step>& ready, monotonic_time now);
   bool MustWaitForInheritance(const job_entry& entry, const resources& need) const;
   void CountPossibleRuns();
@@ -235,24 +240,24 @@
   static bool HasLabel(const fleet_instance& instance, const ready_step& ready);
   static bool AcceptsWork(const fleet_instance& instance, monotonic_time now);
   bool WithinLimit(const job_entry& entry, const resources& need) const;
-  // `expected`: how long a run of the step takes.
+  // `expected`: run time of a task of the step.
   bool WantsCopy(const graph_task_state& task, const step_terms& terms,
                  std::chrono::milliseconds expected, monotonic_time now) const;
   std::vector<ready_step> CopySteps(monotonic_time now);
   void PlaceCopies(monotonic_time now);
 
-  // scheduler_holds.cc: room for those next in line
+  // scheduler_reservations.cc: capacity for the steps that are next in order
   void ResetReservations();
-  // Holds room for the step's tasks that found none.
+  // Reserves capacity for the step's tasks that found none.
   void ReserveCapacity(const ready_step& ready, monotonic_time now);
   capacity_forecast& ForecastOf(const fleet_instance& instance, monotonic_time now);
   std::optional<monotonic_time> ExpectedEnd(const graph_run& run, monotonic_time now) const;
-  // When a task of the step that starts now gives its room back.
+  // When a task of the step that starts now is expected to release its capacity.
   monotonic_time ExpectedRelease(const ready_step& ready, monotonic_time now) const;
-  // Nobody who comes before is delayed by it.
+  // True if using `capacity` until `until` delays no reservation at the instance.
   bool RespectsReservations(const fleet_instance& instance, const resources& capacity,
                             monotonic_time until) const;
-  // When the step could start at the instance for all that its policy needs.
+  // When the step's policy will have issued a valid ticket for the instance.
   monotonic_time TicketAvailableAt(const ready_step& ready, uint32_t instance,
                                    monotonic_time now) const;
 
@@ -276,18 +281,18 @@
   // scheduler_advice.cc
   void PlanAdvice(const std::vector<ready_step>& ready, scheduler_commands& commands,
                   monotonic_time now);
-  // What one round of questions knows of an instance that may get work.
+  // Capacity of one instance that accepts work, as seen by one round of policy queries.
   struct unclaimed_capacity {
     const fleet_instance* instance;
-    resources unclaimed;  // not yet spoken for by a step before
+    resources unclaimed;  // not claimed by an earlier step of the round
   };
   struct advice_round {
-    std::vector<unclaimed_capacity> capacities;  // those with most room first
-    std::vector<uint32_t> rank;                  // by ordinal: 1 + index in `rooms`; 0: not there
+    std::vector<unclaimed_capacity> capacities;  // largest first
+    std::vector<uint32_t> rank;  // by ordinal: 1 + index in `capacities`, 0 if absent
   };
   struct advice_option {
     unclaimed_capacity* capacity;
-    uint32_t tasks;  // that it has room for now
+    uint32_t tasks;  // number that fit now
     bool ticket_good;
   };
   advice_round BeginAdvice(monotonic_time now) const;
@@ -295,7 +300,8 @@
                       monotonic_time now);
   void ClaimCapacity(const ready_step& ready, advice_round& round,
                      const std::vector<advice_option>& known, uint32_t wanted) const;
-  // Adds the instances that are held for the step, if an answer would come when they have room.
+  // Adds the instances that are reserved for the step, if an answer would arrive when they have the
+  // capacity.
   void AddReserved(const ready_step& ready, const advice_cost& cost, advice_query& request,
                    monotonic_time now) const;
   uint32_t MaxTasksAt(const ready_step& ready, const fleet_instance& instance,
@@ -311,7 +317,7 @@
   bool ReadyWithin(const job_entry& entry, const occurrence_state& occurrence, uint32_t index,
                    std::chrono::milliseconds ahead, monotonic_time now) const;
 
-  // scheduler_pace.cc
+  // scheduler_speed.cc
   void PlanSpeeds(scheduler_commands& commands, monotonic_time now);
   void AdjustSpeeds(fleet_instance& instance, scheduler_commands& commands, monotonic_time now);
 
@@ -320,7 +326,7 @@
   monotonic_time took_over_;
   std::shared_ptr<const site_version> version_;
   absl::flat_hash_map<std::string, std::unique_ptr<job_entry>> jobs_;
-  // Ordered, so that equal choices fall the same way in every process.
+  // Ordered, so that ties are broken alike in every process.
   std::map<std::string, std::unique_ptr<fleet_instance>> instances_;
   absl::flat_hash_map<uint32_t, fleet_instance*> by_ordinal_;
   uint32_t last_ordinal_ = 0;
@@ -329,15 +335,15 @@
   absl::flat_hash_map<std::string, arrival_rate_limit> arrival_limits_;  // by workspace
   std::vector<job_entry*> active_;                                       // not final
   std::deque<std::string> final_;    // in the order in which they ended
-  std::deque<job_entry*> unstored_;  // changed since they were last given out, the oldest first
+  std::deque<job_entry*> unstored_;  // changed since they were last taken, oldest first
   std::deque<planned_start> planned_;
-  // Of the round under way, by ordinal of the instance; null where nothing is held.
+  // Of the current round, by ordinal of the instance; null where nothing is reserved.
   std::vector<std::unique_ptr<capacity_forecast>> forecasts_;
   std::vector<uint32_t> reserving_steps_;  // by service
   uint64_t round_ = 0;                     // of decisions
   uint32_t starts_in_flight_ = 0;
-  answer_timeout answer_timeout_;  // of starts, and of listings that waited as long as they might
-  double timeout_factor_ = 1;      // times its patience: this process itself may be late
+  answer_timeout answer_timeout_;  // of starts, and of listings that waited for their full time
+  double timeout_factor_ = 1;      // multiplies the time-out while this process itself may be late
   std::chrono::milliseconds local_delay_{0};
   monotonic_time next_timeout_factor_update_{};
   listing_wait listing_wait_;
@@ -348,7 +354,8 @@
   std::vector<scheduler_event> events_;
   absl::flat_hash_map<std::string, std::vector<resources>> largest_seen_;  // by service
   bool inheritance_settled_ = false;
-  // While it is not: what tasks of inherited jobs would use that may run unseen, by workspace.
+  // Until it is settled: resources of tasks of inherited jobs that may run on instances not yet
+  // listed, by workspace.
   absl::flat_hash_map<std::string, resources> possible_usage_of_workspace_;
   bool registry_seen_ = false;
 };
--- a/src/process/scheduling/run_times.cc
+++ b/src/process/scheduling/run_times.cc
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-// Before anything ran, declared times are taken as they are, with the weight of a few steps: two
-// short and two long ones that took just what was declared.
+// Prior: declared times are trusted with the weight of a few steps, two short and two long ones
+// that took exactly the declared time.
 constexpr std::array<double, 2> kPriorMillis = {200, 5000};
 constexpr double kPriorWeight = 2;
-// What is left of a step's weight when the next one is added: the last hundred count.
+// Factor on the weight of earlier steps when one is added: about the last hundred count.
 constexpr double kDecay = 0.99;
 constexpr milliseconds kShortest{1};
 
@@ -49,7 +49,7 @@
 
 void run_times::OnRun(const std::string& queue, milliseconds declared, milliseconds took,
                       double weight) {
-  if (declared.count() <= 0) return;  // a task that lasts declares none
+  if (declared.count() <= 0) return;  // long-running tasks declare none
   regression& of_queue = regressions_.try_emplace(queue, Prior()).first->second;
   of_queue.Decay(std::pow(kDecay, weight));
   of_queue.Add(Log(declared), Log(took), weight);
--- a/src/process/scheduling/run_times.h
+++ b/src/process/scheduling/run_times.h
@@ -1,12 +1,13 @@
-// Learned run times: what callers declare is far off, but off in a way that lasts.
+// Learned run times: the run times that callers declare are wrong, but in a consistent way.
 //
-// For each queue a line is fitted through the logarithms of declared and real run times, with
-// recent runs counting most. Where declarations say nothing the line is flat, and every task is
-// expected to take what tasks of its queue take; where they are good it follows them.
+// A regression line per queue is fitted through the logarithms of declared and actual run times,
+// with recent runs weighted most. Where declarations carry no information the line is flat, and
+// every task is expected to take the usual time of its queue; where they are accurate the line
+// follows them.
 //
-// The load it answers: declared times are wrong by a factor of three either way. Taken at their
-// word, half of the copies that they suggest lose, sound runs count as stalled, and jobs are served
-// in an order that has little to do with which of them are short of time.
+// Declared times are wrong by a factor of three either way. If they were used as they are, half of
+// the copies that they suggest would lose, sound runs would count as stalled, and jobs would be
+// served in an order unrelated to which of them are short of time.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_RUN_TIMES_H_
 #define CATKINFORD_PROCESS_SCHEDULING_RUN_TIMES_H_
 
@@ -19,16 +20,17 @@
 
 class run_times {
  public:
-  // A task of the queue ran undisturbed from its beginning to its end. `weight`: 1 for a step,
-  // shared among its tasks, which are alike.
+  // A task of the queue ran undisturbed from beginning to end. `weight`: 1 per step, divided among
+  // its tasks, which are alike.
   void OnRun(const std::string& queue, std::chrono::milliseconds declared,
              std::chrono::milliseconds took, double weight);
-  // How long such a task will take on a sound instance; the declared time while nothing is known.
+  // Expected run time of such a task on a sound instance; the declared time until a run of the
+  // queue is known.
   std::chrono::milliseconds Expected(const std::string& queue,
                                      std::chrono::milliseconds declared) const;
 
  private:
-  // Weighted sums over the logarithms of declared (x) and real (y) times.
+  // Weighted sums over the logarithms of declared (x) and actual (y) run times.
   struct regression {
     double w = 0;
     double x = 0;
--- a/src/process/scheduling/scheduler_messages.h
+++ b/src/process/scheduling/scheduler_messages.h
@@ -1,4 +1,4 @@
-// What goes into the job scheduler and what comes out of it.
+// Input and output of the job scheduler.
 #ifndef CATKINFORD_PROCESS_SCHEDULING_SCHEDULER_MESSAGES_H_
 #define CATKINFORD_PROCESS_SCHEDULING_SCHEDULER_MESSAGES_H_
 
@@ -13,7 +13,7 @@
 
 namespace catkinford {
 
-// Where an order goes. An instance of another life must refuse it.
+// Recipient of a command. Another incarnation of the instance must reject it.
 struct command_target {
   std::string instance;
   std::string address;
@@ -43,23 +43,23 @@
   uint32_t percent = 100;
 };
 
-// Lists what runs and what has ended, and extends the lease of all that runs.
+// Lists running and ended runs and extends the lease of all runs.
 struct list_command {
   command_target to;
   std::optional<int64_t> lease_until_ms;
-  uint64_t ends_seen = 0;             // the instance may forget ends up to here
+  uint64_t ends_seen = 0;             // the instance may forget ends up to this number
   std::chrono::milliseconds wait{0};  // for an end
-  bool check = false;                 // beside one that waits there
-  uint64_t number = 0;                // rises with each that is no check
+  bool check = false;                 // sent beside a waiting listing
+  uint64_t number = 0;                // increases with each listing that is not a check
 };
 
-// Asks the policy of a queue which of these instances may run a step.
+// Asks a queue's policy which of these instances may run a step.
 struct advice_query {
   std::string job;
   uint32_t occurrence = 0;
   uint32_t step = 0;
   std::vector<std::string> instances;
-  std::chrono::milliseconds expected{0};  // how long the answer takes
+  std::chrono::milliseconds expected{0};  // duration of the policy's answer
   bool urgent = false;
 };
 
@@ -73,15 +73,15 @@
 
 enum class command_result : uint8_t {
   kDone,
-  kNotDone,  // surely nothing was done: not sent, or turned away
+  kNotDone,  // certainly not executed: not sent, or rejected
   kFenced,   // a higher epoch was seen: another process owns the site
-  kStale,    // a run as high has been stopped or has ended there
-  kLate,     // the lease in the order is over
+  kStale,    // a run with this or a higher number was stopped or has ended there
+  kLate,     // the lease in the command has expired
   kNoRoom,
   kNoTicket,
-  kOtherIncarnation,  // the instance is not the one meant
+  kOtherIncarnation,  // the instance is not the intended incarnation
   kMalformed,
-  kUnknown  // no answer: it may have been done, or be done later
+  kUnknown  // no answer: it may have been executed, or be executed later
 };
 std::string_view ToText(command_result result);
 
@@ -94,7 +94,7 @@
   kDone,
   kFailed,
   kStopped,
-  kLapsed,  // its lease ran out
+  kLapsed,  // its lease expired
   kBroken,  // another member of its gang ended
   kAlone,   // it waited too long for its gang
   kUnknown
@@ -106,7 +106,7 @@
   uint32_t run = 0;
   std::string checkpoint;
   uint32_t percent = 0;
-  uint32_t load = 0;  // tail in ms of a serving task, processors in use of any other
+  uint32_t load = 0;  // tail latency in ms of a serving task, processors in use otherwise
 };
 
 struct ended_row {
@@ -125,13 +125,13 @@
 };
 
 struct advice_answer {
-  bool answered = false;  // false: no verdict came
+  bool answered = false;  // false: no verdict
   bool overloaded = false;
   std::vector<std::pair<std::string, std::string>> allowed;  // instance and ticket
-  std::chrono::milliseconds valid{0};                        // 0: as the queue says
+  std::chrono::milliseconds valid{0};                        // 0: use the queue's validity
 };
 
-// A line for the log: something was decided about a job, or the view of an instance changed.
+// An event for the log: a decision on a job, or a change in the view of an instance.
 struct scheduler_event {
   enum class kind : uint8_t {
     kJobAdded,
