--- a/src/process/scheduling/scheduler_advice.cc
+++ b/src/process/scheduling/scheduler_advice.cc
@@ -1,5 +1,5 @@
-// Advice: a queue's policy says which instances may run a step. Asking costs time for each instance
-// named, a ticket is good for a short time, and the verdict itself never changes.
+// Policy queries: a queue's policy decides which instances may run a step. A query takes time for
+// each instance named, a ticket is valid for a short time, and a verdict never changes.
 #include <algorithm>
 
 #include "absl/strings/str_cat.h"
@@ -12,19 +12,19 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-constexpr size_t kMaxInstancesPerQuery = 100;  // the policy's service takes no more
-constexpr size_t kSpareInstances = 1;  // asked for beyond the need, as room may go meanwhile
-constexpr milliseconds kQueryRetryDelay{100};  // after an ask without a verdict; doubles
+constexpr size_t kMaxInstancesPerQuery = 100;  // the limit of the policy's service
+constexpr size_t kSpareInstances = 1;  // beyond the need, as capacity may be taken meanwhile
+constexpr milliseconds kQueryRetryDelay{100};  // after a query without a verdict; doubles
 constexpr uint32_t kMaxDoublings = 4;
-// Asks cheaper than this go before others.
+// Queries cheaper than this are sent before others.
 constexpr milliseconds kCheapQuery{150};
 constexpr milliseconds kDefaultValid{2000};
-// A step whose turn comes within the time of an ask and this much more is asked for ahead.
+// A step is queried ahead if it will be ready within the duration of a query plus this.
 constexpr milliseconds kLookaheadSlack{150};
-// Steps of one service that a round looks at, the most urgent first: each costs a look at all its
-// instances, and those far behind have no chance of room.
+// Limit on the steps of one service per round, most urgent first: each step scans all its
+// instances, and steps further back have no chance of getting capacity.
 constexpr size_t kMaxStepsPerService = 64;
-constexpr double kMinSpeed = 0.1;  // below this a learned speed says nothing
+constexpr double kMinSpeed = 0.1;  // a lower learned speed is not meaningful
 
 uint32_t TasksThatFit(const resources& free, const resources& capacity, uint32_t most) {
   uint32_t tasks = most;
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-// Tasks of the step that need an instance: those that wait, or copies of those that are overdue.
+// Number of the step's tasks that need an instance: waiting tasks, or copies of overdue ones.
 uint32_t job_scheduler::TasksToPlace(const ready_step& ready, monotonic_time now) const {
   const step_progress& step = ready.occurrence->steps[ready.index];
   const step_terms& terms = ready.entry->job.steps[ready.index];
@@ -75,7 +75,7 @@
   return round;
 }
 
-// How many tasks of the step the instance may hold beside those that are there.
+// Number of further tasks of the step that the instance may run, by the step's limit per instance.
 uint32_t job_scheduler::MaxTasksAt(const ready_step& ready, const fleet_instance& instance,
                                    uint32_t wanted) const {
   const uint32_t limit = ready.entry->job.steps[ready.index].most_per_instance;
@@ -86,7 +86,7 @@
   return std::min(wanted, limit - std::min(here, limit));
 }
 
-// Instances that are known to be allowed, those with most room first.
+// Instances that are known to be allowed, those that fit most tasks first.
 std::vector<job_scheduler::advice_option> job_scheduler::KnownOptions(const ready_step& ready,
                                                                       advice_round& round,
                                                                       uint32_t wanted,
@@ -94,7 +94,7 @@
   const resources capacity = CapacityOf(ready.entry->job.steps[ready.index]);
   std::vector<advice_option> options;
   for (const advice_verdict& verdict : ready.occurrence->steps[ready.index].advice.verdicts) {
-    if (!verdict.allowed) continue;  // for good
+    if (!verdict.allowed) continue;  // final
     const uint32_t rank = round.rank[verdict.instance];
     if (rank == 0) continue;
     unclaimed_capacity& candidate = round.capacities[rank - 1];
@@ -111,9 +111,9 @@
   return options;
 }
 
-// Which instances to name: a few allowed ones that have room for all that waits, or, where these do
-// not suffice, also those that were never asked about, with room or without: the verdict stays, and
-// naming an instance costs far less than another question.
+// Selects the instances to query: a few allowed ones with capacity for all waiting tasks or, if
+// these do not suffice, also instances that were never queried, whether or not they have capacity:
+// a verdict is permanent, and naming an instance costs far less than another query.
 std::vector<std::string> job_scheduler::InstancesToQuery(const ready_step& ready,
                                                          const advice_round& round,
                                                          const std::vector<advice_option>& known,
@@ -129,7 +129,7 @@
     if (!option.ticket_good) out.push_back(option.capacity->instance->report.id);
   }
   if (found >= wanted) return out;
-  // As many as cost no more than the question itself.
+  // As many as cost no more than the query itself.
   const size_t cheap =
       cost.per_instance.count() <= 0
           ? kMaxInstancesPerQuery
@@ -151,7 +151,7 @@
   return out;
 }
 
-// A ticket that is asked for only when the room is there comes too late: another's work takes it
+// A ticket that is requested only when the capacity is free arrives too late: another task takes it
 // meanwhile.
 void job_scheduler::AddReserved(const ready_step& ready, const advice_cost& cost,
                                 advice_query& request, monotonic_time now) const {
@@ -199,8 +199,8 @@
   commands.advice.push_back(std::move(request));
 }
 
-// Room that this step will use is not asked for by those that come after it: they would hold
-// tickets that are over before they are of use.
+// Capacity that this step will use is not queried for by later steps: their tickets would expire
+// before they could be used.
 void job_scheduler::ClaimCapacity(const ready_step& ready, advice_round& round,
                                   const std::vector<advice_option>& known, uint32_t wanted) const {
   const resources capacity = CapacityOf(ready.entry->job.steps[ready.index]);
@@ -223,7 +223,8 @@
   }
 }
 
-// Steps whose turn comes about when an answer would: asked for ahead, they start at once.
+// Steps that will become ready at about the time an answer would arrive: queried ahead, they start
+// at once.
 std::vector<job_scheduler::ready_step> job_scheduler::UpcomingSteps(monotonic_time now) {
   std::vector<ready_step> out;
   for (job_entry* entry : active_) {
@@ -237,7 +238,7 @@
     for (auto& [number, occurrence] : entry->occurrences) {
       for (uint32_t i = 0; i < occurrence->steps.size(); ++i) {
         if (occurrence->steps[i].ready || occurrence->steps[i].advice.in_flight) continue;
-        // Asked ahead once: what comes later is seen when its turn has come.
+        // Queried ahead only once: instances that join later are queried when the step is ready.
         if (!occurrence->steps[i].advice.verdicts.empty()) continue;
         if (ReadyWithin(*entry, *occurrence, i, ahead, now)) {
           out.push_back({entry, occurrence.get(), i, {}});
@@ -265,10 +266,10 @@
   return true;
 }
 
-// The steps that wait for an instance, a bounded number for each service. A step that no instance
-// could take however empty the floor is keeps no place: its workspace is at its limit, or no
-// instance of its service is large enough. With one line for all, jobs of a full service or of a
-// workspace at its limit would fill it, and nothing behind them would ever be asked for.
+// Steps that wait for an instance, at most a fixed number per service. Steps that could not start
+// even if all capacity were free do not count: those whose workspace is at its limit, and those too
+// large for any instance of their service. With a single queue, jobs of a full service or of a
+// workspace at its limit would fill it, and no step behind them would ever be queried.
 std::vector<job_scheduler::ready_step> job_scheduler::StepsToQuery(
     const std::vector<ready_step>& ready_steps) const {
   std::vector<ready_step> out;
--- a/src/process/scheduling/scheduler_instances.cc
+++ b/src/process/scheduling/scheduler_instances.cc
@@ -1,4 +1,4 @@
-// Instances: how they come, go and come back, their leases and listings.
+// Instances: joining, leaving and restarting, their leases and listings.
 #include <algorithm>
 #include <utility>
 
@@ -13,18 +13,18 @@
 
 constexpr milliseconds kTimeoutFactorInterval{50};
 constexpr milliseconds kSilentRetryDelay{300};      // after the first listing without an answer
-constexpr milliseconds kMaxSilentRetryDelay{2000};  // the pause doubles up to this
+constexpr milliseconds kMaxSilentRetryDelay{2000};  // limit for the delay, which doubles
 constexpr uint32_t kMaxDoublings = 4;
-// An instance that left the registry and runs nothing is forgotten after this time.
+// An instance that left the registry and runs nothing is dropped after this time.
 constexpr milliseconds kForgetAbsent{15000};
-// A listing in flight is given up by the caller of OnNoListing(); this is only its backstop.
+// A run counts as ending before its draining instance leaves only with this much time to spare.
 constexpr milliseconds kEvacuationMargin{250};
-constexpr size_t kMaxEndsPerListing = 500;  // in one listing, by the platform's agreement
+constexpr size_t kMaxEndsPerListing = 500;  // defined by the platform
 
 }  // namespace
 
 void job_scheduler::UpdateClock(fleet_instance& instance, int64_t clock_ms, monotonic_time now) {
-  // Answers may overtake each other: the clock never goes back within a life.
+  // Answers may arrive out of order: the clock does not go back within an incarnation.
   if (clock_ms < instance.clock_ms) return;
   instance.clock_ms = clock_ms;
   instance.clock_at = now;
@@ -34,8 +34,8 @@
                               monotonic_time now) {
   LogEvent(scheduler_event::kind::kInstanceReborn, report.id,
            absl::StrCat("before=", instance.report.incarnation, " now=", report.incarnation));
-  // What ran before is gone, but a start that was sent lately may have reached the new life: only
-  // its own listing says what runs there.
+  // The earlier runs have ended, but a recently sent start may have reached the new incarnation:
+  // only its own listing shows what runs there.
   for (const undelivered_start& start : std::exchange(instance.undelivered, {})) {
     if (now - start.sent <= kMaxCommandDelay) ExpectLateStart(instance, start, now);
   }
@@ -59,7 +59,7 @@
   instance.next_listing = now;
 }
 
-// Counts with a start that may still arrive: its task starts nowhere else before it is stopped.
+// Adds a run for a start that may still arrive: its task starts nowhere else until it is stopped.
 void job_scheduler::ExpectLateStart(fleet_instance& instance, const undelivered_start& start,
                                     monotonic_time now) {
   const auto found = jobs_.find(start.key.job);
@@ -100,7 +100,7 @@
   } else if (report.incarnation > known->second->report.incarnation) {
     OnRestart(*known->second, report, now);
   } else if (report.incarnation < known->second->report.incarnation) {
-    return;  // an old entry of an earlier life
+    return;  // an outdated entry of an earlier incarnation
   }
   fleet_instance& instance = *instances_.at(report.id);
   if (report.draining && !instance.report.draining) {
@@ -205,10 +205,10 @@
   }
 }
 
-// An instance ended and its address went to a newcomer, which answers there under its own id: only
-// one process can listen at an address, so all that ran at the earlier one has ended with it. Its
-// leases are not waited for; they would hold up its tasks for seconds. Orders that are still on
-// their way to it name it, and the newcomer refuses them.
+// Finds instances that have ended and whose address now belongs to the newcomer, which answers
+// there under its own id. Only one process can listen at an address, so all runs of the earlier
+// instance have ended with it. Waiting for its leases would delay its tasks by seconds. Commands
+// still in flight name the earlier instance, so the newcomer rejects them.
 void job_scheduler::FindReplaced(const fleet_instance& newcomer, monotonic_time now) {
   for (auto& [id, instance] : instances_) {
     const instance_report& report = instance->report;
@@ -216,7 +216,7 @@
     if (report.address.empty() || report.address != newcomer.report.address) continue;
     if (report.incarnation >= newcomer.report.incarnation) continue;
     instance->replaced = true;
-    // Should it come back under its id, a start that is still on its way may reach it.
+    // If the instance returns under its id, a start that is still in flight may reach it.
     for (const auto& run : instance->runs) {
       if (!run->seen) instance->undelivered.push_back({run->key, run->number, run->started});
     }
@@ -228,7 +228,7 @@
   std::vector<std::string> forgotten;
   for (auto& [id, instance] : instances_) {
     if (instance->silent > 0 && LeaseExpired(*instance, now)) {
-      // Unreachable for longer than any lease: whatever ran there was killed by the instance.
+      // Unreachable for longer than any lease: the instance itself has killed its runs.
       DropRuns(*instance, "lease over", now);
     }
     const bool idle = instance->runs.empty() && !instance->listing_in_flight;
@@ -244,8 +244,8 @@
 }
 
 void job_scheduler::Evacuate(fleet_instance& instance, monotonic_time now) {
-  // What ends with the instance is lost since its last checkpoint, and is missed only when its
-  // lease is over; what is stopped in time goes on elsewhere at once.
+  // A run that ends with its instance loses all work since its last checkpoint, and its end is
+  // noticed only when its lease expires. A run that is stopped in time resumes elsewhere at once.
   if (instance.clock_at == monotonic_time{}) return;
   for (const auto& run : instance.runs) {
     if (run->job == nullptr || run->stopping != stop_cause::kNone) continue;
@@ -287,10 +287,10 @@
   if (sent >= instance.suspect_since) instance.suspect = false;
 }
 
-// An order may be held up for seconds, a waiting listing as well, and all ends at its instance
-// would be heard that much later. One that is overdue is given up and a second one sent, which
-// waits for no end and renews no lease: it may be the instance that is gone. Only if that goes
-// unanswered too is the instance silent.
+// A command or a waiting listing may be delayed for seconds, and all ends at its instance would be
+// received that much later. An overdue listing is abandoned and a second one sent, which does not
+// wait for an end and renews no lease, as the instance itself may have failed. Only if that one
+// goes unanswered too is the instance silent.
 void job_scheduler::GiveUpOverdue(fleet_instance& instance, monotonic_time now) {
   if (!instance.listed || now <= instance.listing_due + Timeout()) return;
   if (instance.probing || instance.silent > 0) return MarkSilent(instance, "overdue", now);
@@ -300,8 +300,8 @@
   instance.next_listing = now;
 }
 
-// The waiting listing returns at an end, and a start that was never carried out has none: a second
-// listing shows that it is not there, and its task may start elsewhere.
+// The waiting listing returns at an end, and a start that was never executed has none: a second
+// listing shows that the run does not exist, so that its task may start elsewhere.
 void job_scheduler::PlanCheck(fleet_instance& instance, scheduler_commands& commands) {
   if (!instance.listed || instance.check_in_flight) return;
   const bool wanted = std::any_of(
@@ -359,8 +359,9 @@
     list_command request;
     request.to = {id, instance->report.address, instance->report.incarnation};
     request.ends_seen = instance->ends_acked;
-    // Not extended at an instance that does not answer: its runs could not be given up as long as
-    // each try may have reached it, and a crashed instance's work would wait for ever.
+    // The lease is not extended at an instance that does not answer: any attempt may have reached
+    // it, so its runs could never be given up, and the work of a crashed instance would wait
+    // forever.
     const bool renews = !fence && !instance->runs.empty() && instance->Reachable();
     if (renews && !instance->probing) {
       request.lease_until_ms = instance->ClockAt(now) + options_.run_lease.count();
@@ -386,7 +387,8 @@
   if (request.check) instance.check_in_flight = false;
   if (!request.check && request.number == instance.listing_number) {
     instance.listing_in_flight = false;
-    // Early ones came back with an end: they say nothing of how long an answer takes.
+    // A listing that returned early was answered at an end: its duration says nothing of the answer
+    // time.
     if (now > sent + request.wait) {
       answer_timeout_.OnAnswer(duration_cast<milliseconds>(now - sent - request.wait));
     }
@@ -413,8 +415,8 @@
   std::sort(ends.begin(), ends.end(),
             [](const ended_row& a, const ended_row& b) { return a.number < b.number; });
   for (const ended_row& row : ends) HandleEnd(instance, row, now);
-  // Two listings may be under way, and their answers overtake each other: of the older one only the
-  // ends are news, and what it shows as running may be over.
+  // Two listings may be in flight and be answered out of order. Of the older one only the ends are
+  // used; its running runs may have ended since.
   if (listing.clock_ms < instance.listed_at_ms) return;
   instance.listed_at_ms = listing.clock_ms;
   std::vector<const graph_run*> seen;
@@ -422,7 +424,8 @@
     HandleRunning(instance, row, now);
     seen.push_back(FindRun(instance, row.key, row.run));
   }
-  // Ends are told so many at a time: a run that is not listed may have its end on the next page.
+  // The number of ends in a listing is limited: the end of a run that is not listed may be on the
+  // next page.
   if (listing.ended.size() >= kMaxEndsPerListing) {
     instance.next_listing = now + options_.listing_pause;
     return;
@@ -432,7 +435,7 @@
     instance.listed = true;
     instance.lease_unknown = false;
     FindReplaced(instance, now);
-    // Whatever an earlier owner granted ends by then at the latest.
+    // All leases granted by an earlier owner expire by then.
     instance.lease_until_ms =
         std::max(instance.lease_until_ms, listing.clock_ms + options_.run_lease.count());
     instance.next_listing = now;
@@ -446,12 +449,12 @@
   const auto found = instances_.find(request.to.instance);
   if (found == instances_.end()) return;
   fleet_instance& instance = *found->second;
-  // The waiting listing tells whether the instance is silent.
+  // Only the waiting listing determines whether the instance is silent.
   if (request.check) {
     instance.check_in_flight = false;
     return;
   }
-  // Given up before: its answer was overdue.
+  // Abandoned before, as its answer was overdue.
   if (!instance.listing_in_flight || request.number != instance.listing_number) return;
   MarkSilent(instance, ToText(result), now);
 }
--- a/src/process/scheduling/scheduler_placement.cc
+++ b/src/process/scheduling/scheduler_placement.cc
@@ -1,4 +1,4 @@
-// Which waiting task starts next, and where.
+// Placement: which waiting task starts next, and on which instance.
 #include <algorithm>
 #include <limits>
 #include <optional>
@@ -11,10 +11,11 @@
 
 using std::chrono::milliseconds;
 
-// An instance whose clock was read longer ago than this gets no start: the lease in the order could
-// be over on arrival, or run too long.
+// An instance whose clock was read longer ago than this gets no start: the lease in the command
+// could have expired on arrival, or last too long.
 constexpr milliseconds kMaxClockAge{30000};
-// A run is overdue after this many times its estimate and a little more: estimates are off by half.
+// A run is overdue after its expected time multiplied by this factor plus a slack: estimates are
+// off by half.
 constexpr double kCopyFactor = 1.6;
 constexpr milliseconds kCopySlack{300};
 
@@ -22,7 +23,7 @@
   return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-// How full the instance is once the task runs there, by its scarcest resource.
+// Utilization of the instance's scarcest resource once the task runs there.
 double FullnessWith(const fleet_instance& instance, const resources& demand) {
   const resources& capacity = instance.report.capacity;
   const resources& used = instance.used;
@@ -62,7 +63,7 @@
         const step_progress& step = occurrence->steps[i];
         if (!step.ready || step.waiting == 0) continue;
         if (entry->job.steps[i].long_running) {
-          // It serves its users again from the moment when it is back.
+          // A service task is useful from the moment when it runs again: it can always be in time.
           out.push_back(
               {entry, occurrence.get(), i, {job_rank::kInTime, step.ready_at}, RanBefore(step)});
           continue;
@@ -76,7 +77,8 @@
     }
   }
   std::stable_sort(out.begin(), out.end(), [this](const ready_step& a, const ready_step& b) {
-    // These are few, and while starts are what is short they would wait behind every burst.
+    // There are few of these, and while the number of starts is the bottleneck they would wait
+    // behind every burst.
     if (a.service_down != b.service_down) return a.service_down;
     if (a.entry->beyond_share != b.entry->beyond_share) return b.entry->beyond_share;
     const int first = TermsOf(*a.entry).priority;
@@ -126,7 +128,7 @@
     const uint32_t here = placed == step.placed.end() ? 0 : placed->second;
     if (terms.most_per_instance > 0 && here >= terms.most_per_instance) return;
     double score = FullnessWith(instance, demand);
-    // Lasting tasks are spread, so that one loss takes few of them.
+    // Long-running tasks are spread, so that the loss of one instance affects few of them.
     if (terms.long_running) score = -score - here;
     if (terms.fills) score = -score;
     if (!terms.data_rack.empty() && instance.report.rack == terms.data_rack) score += 2;
@@ -166,7 +168,7 @@
 void job_scheduler::PlaceGang(const ready_step& ready, monotonic_time now) {
   const step_terms& terms = ready.entry->job.steps[ready.index];
   step_progress& step = ready.occurrence->steps[ready.index];
-  // All members wait, or an earlier run of the gang is still being taken apart.
+  // If not all members wait, an earlier attempt of the gang is still being stopped.
   if (step.waiting != step.tasks.size()) return;
   resources all;
   for (size_t i = 0; i < step.tasks.size(); ++i) all += terms.need;
@@ -179,7 +181,7 @@
     for (const graph_task_state& task : step.tasks) {
       fleet_instance* instance = ChooseInstance(ready, task, now, rack);
       if (instance == nullptr) break;
-      // Tentative, so that the next member sees the room as taken.
+      // Temporarily counted as used while the other members are placed.
       instance->used += demand;
       ++step.placed[instance];
       chosen.push_back(instance);
@@ -202,7 +204,7 @@
       if (chosen.size() == step.tasks.size()) break;
     }
   }
-  // Slower over several racks, but not waiting for ever for one that is free.
+  // Slower across racks, but better than waiting indefinitely for a rack with enough capacity.
   if (chosen.size() != step.tasks.size()) chosen = try_rack(nullptr);
   if (chosen.size() != step.tasks.size()) return;
   uint32_t number = 0;
@@ -217,8 +219,8 @@
   }
 }
 
-// A speculative task gets a copy where its run is overdue or its instance does not answer: a slow
-// or lost instance is noticed by the clock long before its lease is over.
+// A speculative task gets a copy if its run is overdue or its instance does not answer: the run
+// time reveals a slow or lost instance long before its lease expires.
 bool job_scheduler::WantsCopy(const graph_task_state& task, const step_terms& terms,
                               milliseconds expected, monotonic_time now) const {
   if (!terms.speculative || terms.gang || terms.long_running) return false;
@@ -266,8 +268,8 @@
   return out;
 }
 
-// Until all instances are listed that may run work of an earlier owner, a task of its jobs may run
-// there already, and what its workspaces have running is known only from above.
+// Until all instances that may run work of an earlier owner are listed, a task of an inherited job
+// may already run on one of them, and only an upper bound on the usage of its workspace is known.
 bool job_scheduler::MustWaitForInheritance(const job_entry& entry, const resources& need) const {
   if (records_complete_) return false;
   if (entry.inherited) return true;
--- a/src/process/scheduling/scheduler_reservations.cc
+++ b/src/process/scheduling/scheduler_reservations.cc
@@ -1,4 +1,4 @@
-// Room that is held for steps next in line, rebuilt in each round.
+// Capacity reservations for the steps that are next in order, rebuilt in each round.
 #include <algorithm>
 
 #include "process/scheduling/job_scheduler.h"
@@ -9,16 +9,16 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// Steps of one service that hold room, and tasks of one step: those far behind would hold rooms for
-// so late that nothing is known of that time.
+// Limits on the steps of one service that reserve capacity, and on the reservations of one step:
+// those further back would reserve for so late a time that no forecast is possible.
 constexpr uint32_t kMaxReservingSteps = 12;
 constexpr uint32_t kMaxReservationsPerStep = 6;
-constexpr milliseconds kMinRemainingTime{100};  // an end that is overdue is expected after this
-constexpr milliseconds kStopDuration{400};      // from a stop to its end, mostly
-// Of an instance's capacity, by the resource of which it takes most. A narrower task finds room
-// with any end, and holding it for one would leave it unused for nothing.
+constexpr milliseconds kMinRemainingTime{100};  // an overdue run is expected to end after this
+constexpr milliseconds kStopDuration{400};      // usual time from a stop to its end
+// Share of an instance's capacity. A task that takes less than this of every resource is narrow:
+// any end frees enough for it, and reserving an instance for it would only leave capacity unused.
 constexpr double kNarrowShare = 0.2;
-// A task that lasts gives its room back at no time that matters here.
+// Assumed run time of a long-running task: beyond the range of any reservation.
 constexpr milliseconds kUnboundedRun{std::chrono::hours{1}};
 
 bool IsNarrow(const resources& need, const resources& capacity) {
--- a/src/process/scheduling/scheduler_runs.cc
+++ b/src/process/scheduling/scheduler_runs.cc
@@ -1,4 +1,4 @@
-// What becomes of runs: starts that get no answer, ends, stops, runs that nobody asked for.
+// Lifecycle of runs: unanswered starts, ends, stops, stray runs.
 #include <algorithm>
 
 #include "absl/strings/str_cat.h"
@@ -10,14 +10,15 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// A stop is sent again this often until its end is listed.
+// A stop is repeated at this interval until its end is listed.
 constexpr milliseconds kStopRetryInterval{500};
-// A run without progress for this many times its expected time, and at least this long, is stopped
-// and starts elsewhere: estimates are off by half and slow instances by a few times.
+// A run without progress for this many times its expected time per percent, and at least the
+// minimum, is stopped and starts elsewhere: estimates are off by half, and slow instances by a few
+// times.
 constexpr double kStallFactor = 3.0;
 constexpr milliseconds kMinStallTime{2500};
-// Failed runs in a row after which an instance gets nothing for a while; tasks that fail by
-// themselves are a few in a hundred.
+// After this many consecutive failed runs an instance is quarantined. Tasks that fail by themselves
+// are a few in a hundred.
 constexpr uint32_t kMaxConsecutiveFaults = 3;
 constexpr milliseconds kQuarantineTime{4000};
 
@@ -153,7 +154,7 @@
   if (step == nullptr) return;
   const bool gang = entry.job.steps[key.step].gang;
   for (uint32_t i = 0; i < step->tasks.size(); ++i) {
-    // One end of a gang that is done stands for all of its members.
+    // One member of a gang that ends as done completes all members.
     if (!gang && i != key.index) continue;
     graph_task_state& task = step->tasks[i];
     if (task.phase == graph_task_phase::kDone) continue;
@@ -171,7 +172,7 @@
   RefreshReady(entry, now);
   const auto occurrence = entry.occurrences.find(key.occurrence);
   if (!occurrence->second->Done()) return;
-  // Copies that still run point into the occurrence: they are cut loose, and stopped as strays.
+  // Copies that still run refer to the occurrence: they are stopped as stray runs.
   for (step_progress& each : occurrence->second->steps) {
     for (graph_task_state& task : each.tasks) {
       for (graph_run* run : {task.run, task.copy}) {
@@ -192,11 +193,11 @@
   if (task.phase == graph_task_phase::kDone) return;
   std::vector<uint32_t>& failed = terms.gang ? step->gang_failed_runs : task.failed_runs;
   if (std::find(failed.begin(), failed.end(), run) != failed.end()) return;
-  // Tasks that last may fail as often as they like: only the latest matters.
+  // Long-running tasks may fail any number of times: only the latest failure is kept.
   if (terms.long_running) failed.clear();
   failed.push_back(run);
   MarkChanged(entry);
-  // A task that failed elsewhere before is more likely at fault than the instance.
+  // A task that also failed elsewhere is more likely to be the cause than the instance.
   if (failed.size() == 1 && ++at.faults >= kMaxConsecutiveFaults) {
     at.faults = 0;
     at.quarantined_until = now + kQuarantineTime;
@@ -269,7 +270,8 @@
   if (step != nullptr) {
     graph_task_state& task = step->tasks[row.key.index];
     task.last_run = std::max(task.last_run, row.run);
-    // Also one that is not wanted: until it is gone, the task must not start elsewhere.
+    // Recorded even if the run is not wanted: until it has ended, the task must not start
+    // elsewhere.
     if (task.phase != graph_task_phase::kDone) {
       task.open_runs.push_back({row.run, instance.report.id, {}});
       MarkChanged(*entry);
@@ -325,11 +327,11 @@
   std::vector<graph_run*> missing;
   for (const auto& run : instance.runs) {
     if (std::find(seen.begin(), seen.end(), run.get()) != seen.end()) continue;
-    // A listing that was asked for before the run was known to be there says nothing of it.
+    // A listing that was requested before the run was confirmed does not prove its absence.
     const bool known = (run->phase == run_phase::kRunning && run->confirmed < sent);
-    // A run that is not there once its stop was answered will never be there.
+    // A run that is missing after its stop was answered can never begin.
     const bool stopped = run->stop_confirmed && run->stop_answered_at < sent;
-    // This owner's listing shuts out all orders of earlier ones.
+    // This owner's listing fences off all commands of earlier owners.
     const bool inherited = run->phase == run_phase::kInherited;
     if (known || stopped || inherited) missing.push_back(run.get());
   }
@@ -351,7 +353,7 @@
 
 void job_scheduler::SendStop(graph_run& run, scheduler_commands& commands, monotonic_time now) {
   if (run.stop_in_flight || now < run.next_stop) return;
-  // More would only wait for a connection, and hold up calls to others there.
+  // Further stops would only wait for a connection, and delay other calls to the instance.
   const auto& runs = run.instance->runs;
   const auto under_way = std::count_if(runs.begin(), runs.end(),
                                        [](const auto& each) { return each->stop_in_flight; });
@@ -373,7 +375,7 @@
   }
   const bool works = run.phase == run_phase::kRunning && run.stopping == stop_cause::kNone &&
                      run.job != nullptr && run.speed_percent == 100;
-  // Most runs made progress lately: what they should take need not be looked up.
+  // Most runs made progress recently, so their expected time need not be computed.
   const bool progress_overdue = now - run.progressed > kMinStallTime;
   if (works && progress_overdue && !run.job->job.steps[run.key.step].long_running &&
       run.instance->Reachable()) {
@@ -385,7 +387,7 @@
                                     kStallFactor * static_cast<double>(expected.count()) / 100)));
     if (now - run.progressed > timeout) RequestStop(run, stop_cause::kStalled, now);
   }
-  // What was never sent needs no stop: it is taken back when its turn to be sent comes.
+  // A start that was never sent needs no stop: TakeStarts() withdraws it.
   if (run.stopping == stop_cause::kNone || run.phase == run_phase::kPlanned) return;
   SendStop(run, commands, now);
 }
@@ -434,7 +436,7 @@
     if (run->phase == run_phase::kSent) run->phase = run_phase::kUnknown;
     return;
   }
-  if (run->phase == run_phase::kRunning) return;  // a listing has shown it: believed before this
+  if (run->phase == run_phase::kRunning) return;  // confirmed by a listing, which takes precedence
   job_entry* entry = run->job;
   step_progress* step = entry == nullptr ? nullptr : entry->Find(request.key);
   if (answer.result == command_result::kNoTicket && step != nullptr) {
@@ -464,7 +466,8 @@
     run->stop_confirmed = true;
     run->stop_answered_at = now;
     run->phase = run_phase::kStopping;
-    // The end is listed by itself; a run that never began has none, and needs a listing to show it.
+    // The waiting listing returns at the end; a run that never began has none, and only a listing
+    // can show its absence.
     found->second->next_listing = std::min(found->second->next_listing, now);
   }
   run->next_stop = now + options_.stop_limit + kStopRetryInterval;
--- a/src/process/scheduling/scheduler_speed.cc
+++ b/src/process/scheduling/scheduler_speed.cc
@@ -1,6 +1,6 @@
-// Pace: tasks that fill what others leave unused disturb tasks that serve users. They are slowed
-// down as soon as a serving task on their instance comes near its target, and let go again with
-// care.
+// Speed limits: filler tasks, which use what other tasks leave unused, disturb tasks that serve
+// users. They are slowed down as soon as a serving task on their instance comes near its tail
+// latency target, and sped up again gradually.
 #include <algorithm>
 
 #include "process/scheduling/job_scheduler.h"
@@ -10,12 +10,13 @@
 
 using std::chrono::milliseconds;
 
-// Share of the target at which the tasks that fill stop, and below which they may speed up.
+// Shares of the target: at the first, filler tasks are slowed down, and below the second they may
+// speed up.
 constexpr double kSlowDownAt = 0.85;
 constexpr double kSpeedUpBelow = 0.6;
 constexpr uint32_t kFullSpeed = 100;
-constexpr uint32_t kSpeedStep = 25;          // percent; up again in four steps
-constexpr milliseconds kSpeedUpPause{1500};  // a tail is a figure over the last half second
+constexpr uint32_t kSpeedStep = 25;          // percent; from 0 to full speed in four steps
+constexpr milliseconds kSpeedUpPause{1500};  // the tail latency covers the last half second
 constexpr milliseconds kSlowDownPause{400};
 
 }  // namespace
--- a/src/process/scheduling/scheduler_starts.cc
+++ b/src/process/scheduling/scheduler_starts.cc
@@ -1,7 +1,7 @@
 // Starts and their records: a start is decided on, its record is stored, and only then is it sent.
-// The next owner reads from the records where each task may be at work. Without them it would have
-// to wait until every instance is listed or its leases are over, and one that is cut off would
-// hold up all tasks of all jobs for that long.
+// The next owner reads from the records where each task may be running. Without them it would have
+// to wait until every instance is listed or its leases have expired, and a single instance that is
+// cut off would delay all tasks of all jobs for that long.
 #include <algorithm>
 #include <utility>
 
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-// Runs of one owner are numbered within this range, so that a later owner's are always higher.
+// Run numbers per owner: each owner uses its own range, so that a later owner's are always higher.
 constexpr uint32_t kMaxRunsPerOwner = 1000;
 
 }  // namespace
@@ -91,7 +91,7 @@
                         std::chrono::duration_cast<milliseconds>(now - step.ready_at).count()));
 }
 
-// What was true when the start was decided on may have changed while its record was stored.
+// The conditions may have changed since the start was decided on, while its record was stored.
 bool job_scheduler::StillValid(const start_command& request, const fleet_instance& instance,
                                monotonic_time now) const {
   const instance_report& report = instance.report;
@@ -111,7 +111,7 @@
 bool job_scheduler::Stored(const planned_start& planned) const {
   if (unrecorded_starts_) return true;
   const auto found = jobs_.find(planned.request.key.job);
-  // Of a job that is forgotten nothing starts; it is taken out with those that are stored.
+  // A start of a forgotten job counts as stored, so that TakeStarts() removes it.
   return found == jobs_.end() || found->second->stored >= planned.change;
 }
 
@@ -164,8 +164,8 @@
   return out;
 }
 
-// The runs that an earlier owner recorded, each as one that may be at work until its instance is
-// listed. An instance that neither the registry nor the stored fleet knows has none of them.
+// Adds the runs that an earlier owner recorded; each may exist until its instance is listed. An
+// instance that is neither in the registry nor in the stored fleet has none.
 void job_scheduler::RestoreRecordedRuns(job_entry& entry, monotonic_time now) {
   for (auto& [number, occurrence] : entry.occurrences) {
     for (uint32_t i = 0; i < occurrence->steps.size(); ++i) {
@@ -198,8 +198,8 @@
   }
 }
 
-// A run is over: it need not be looked for any more, unless its start may still reach another life
-// of the instance.
+// The run has ended and need not be looked for, unless its start may still reach the next
+// incarnation of the instance.
 void job_scheduler::CloseRun(const graph_run& run, monotonic_time now) {
   step_progress* step = run.job == nullptr ? nullptr : run.job->Find(run.key);
   if (step == nullptr) return;
@@ -216,7 +216,8 @@
   open.erase(found);
 }
 
-// Another run of the task that is not proved gone yet, beside its run and copy.
+// Returns another run of the task, besides its run and copy, that is not yet proved to have ended,
+// or null.
 graph_run* job_scheduler::AnyOpenRun(const task_key& key) {
   const auto found = jobs_.find(key.job);
   step_progress* step = found == jobs_.end() ? nullptr : found->second->Find(key);
