--- a/test/answer_timeout_test.cc
+++ b/test/answer_timeout_test.cc
@@ -13,15 +13,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("answer time, quick answers, doubts after a small part of the timeout") {
+TEST_CASE("answer time-out, quick answers, is a small part of the call's time-out") {
   answer_timeout answers;
   for (int i = 0; i < 100; ++i) answers.OnAnswer(milliseconds{8});
   CHECK(answers.Timeout() <= milliseconds{200});
 }
 
-// The owner is short of processor time and reads answers late. If it kept its short patience, it
-// would stop and send again everything that it has just started, and nothing would end.
-TEST_CASE("answer time, answers read late, becomes patient") {
+// Guards against a restart loop: an owner short of processor time reads answers late, and with a
+// short time-out it would stop and restart everything that it has just started.
+TEST_CASE("answer time-out, answers read late, grows") {
   answer_timeout answers;
   for (int i = 0; i < 40; ++i) answers.OnAnswer(milliseconds{i % 2 == 0 ? 300 : 600});
   CHECK(answers.Timeout() > milliseconds{600});
@@ -62,9 +62,9 @@
   std::vector<list_command> listings;
 };
 
-// A start gets no answer: the instance is cut off, or carries the order out seconds later. Until it
-// is proved that the task is not there it can start nowhere else, and whatever follows it there is
-// stuck as well. A caller of quick work waits for the call's timeout, longer than the work takes.
+// Guards against tasks that wait for the call's time-out, longer than the work takes, when a start
+// gets no answer: until it is proved that the task does not run there it can't start elsewhere, and
+// further starts sent there are stuck as well.
 TEST_CASE_METHOD(two_instances_fixture,
                  "scheduler, start unanswered, stops it early and sends nothing more there") {
   owner.OnJob(Job(1, {Tasks(1, 8000, milliseconds(300))}), "", false, wall_time{}, now);
@@ -78,7 +78,7 @@
   CHECK(stops[0].to.instance == first[0].to.instance);
   for (const start_command& request : second) CHECK(request.to.instance != first[0].to.instance);
 
-  // Its stop is answered and a listing shows that it never began: it starts again at once.
+  // The stop is answered and a listing shows that the run never began: it starts again at once.
   const monotonic_time answered = later + milliseconds{5};
   owner.OnStopAnswer(stops[0], {command_result::kDone, 5300}, answered);
   owner.Decide(wall_time{}, answered);
@@ -91,10 +91,11 @@
   CHECK(again);
 }
 
-// The waiting listing of a busy instance comes back only at an end, up to a second later. What
-// became of a start that was stopped unanswered must not wait for that.
-TEST_CASE_METHOD(two_instances_fixture,
-                 "scheduler, stopped start beside a waiting listing, looks at once") {
+// Guards against a stopped start that waits for the waiting listing, which returns only at an end,
+// up to a second later.
+TEST_CASE_METHOD(
+    two_instances_fixture,
+    "scheduler, stopped start beside a waiting listing, sends a second listing at once") {
   owner.OnJob(Job(1, {Tasks(1, 8000, milliseconds(300))}), "", false, wall_time{}, now);
   const auto first = StartsAt(now);
   REQUIRE(first.size() == 1);
@@ -109,11 +110,11 @@
   CHECK(checks);
 }
 
-// The answer to a waiting listing is lost or held up for seconds, and with it all ends at the
-// instance: work that is done is not heard of, and the next step of a quick job waits for the
-// call's timeout.
+// Guards against ends that are received only after the call's time-out, when the answer to a
+// waiting listing is lost or delayed for seconds: the next step of a quick job would wait that
+// long.
 TEST_CASE_METHOD(two_instances_fixture,
-                 "scheduler, waiting listing overdue, looks again and renews no lease") {
+                 "scheduler, waiting listing overdue, lists again and renews no lease") {
   owner.OnJob(Job(1, {Tasks(1, 8000, milliseconds(300))}), "", false, wall_time{}, now);
   const auto first = StartsAt(now);
   REQUIRE(first.size() == 1);
@@ -129,7 +130,7 @@
   CHECK(listings[0].wait.count() == 0);
   CHECK_FALSE(listings[0].lease_until_ms);
 
-  // The first one's timeout comes later and says nothing new.
+  // The time-out of the first listing comes later and has no effect.
   owner.OnListing(listings[0], {6500, 0, {}, {{1, first[0].key, 1, run_end::kDone, ""}}}, overdue,
                   overdue);
   owner.OnNoListing(waiting, command_result::kUnknown, overdue + milliseconds{500});
@@ -142,10 +143,10 @@
   CHECK(there > 0);
 }
 
-// An instance ends for good and its address goes to another one, of another service. Its tasks
-// would wait for its leases, four seconds and more, though the newcomer answers where it was.
+// Guards against waiting four seconds and more for the leases of an instance that has ended,
+// although an instance of another service answers at its address.
 TEST_CASE_METHOD(two_instances_fixture,
-                 "scheduler, address taken over by a newcomer, runs what was there elsewhere") {
+                 "scheduler, address taken over by another instance, runs its tasks elsewhere") {
   owner.OnJob(Job(1, {Tasks(1, 8000, seconds(5))}), "", false, wall_time{}, now);
   const auto first = StartsAt(now);
   REQUIRE(first.size() == 1);
@@ -154,7 +155,7 @@
   instance_report newcomer;
   newcomer.id = "newcomer";
   newcomer.service = "other";
-  newcomer.address = first[0].to.instance;  // the fixture's instances are reached by their ids
+  newcomer.address = first[0].to.instance;  // the fixture's instances have their ids as addresses
   newcomer.incarnation = 2;
   newcomer.capacity = kSmallInstance;
   std::vector<instance_report> reports = owner.Fleet();
--- a/test/capacity_forecast_test.cc
+++ b/test/capacity_forecast_test.cc
@@ -24,39 +24,42 @@
   capacity_forecast forecast;
 };
 
-TEST_CASE_METHOD(busy_instance_fixture, "room forecast, wide task, fits when enough have ended") {
+TEST_CASE_METHOD(busy_instance_fixture,
+                 "capacity forecast, wide task, fits when enough runs have ended") {
   CHECK(forecast.EarliestFor(Accelerators(4), now) == now + seconds(4));
   CHECK(forecast.EarliestFor(Accelerators(8), now) == now + seconds(8));
 }
 
-TEST_CASE_METHOD(busy_instance_fixture, "room forecast, task wider than the instance, never fits") {
+TEST_CASE_METHOD(busy_instance_fixture,
+                 "capacity forecast, task wider than the instance, never fits") {
   CHECK_FALSE(forecast.EarliestFor(Accelerators(9), now));
 }
 
-// Each narrow run that ends would be followed by the next one, and a wide task would never see the
-// instance empty.
+// Guards against starvation of wide tasks: each narrow run that ends would be replaced by the next.
 TEST_CASE_METHOD(busy_instance_fixture,
-                 "room forecast, held for a wide task, keeps long runs out") {
+                 "capacity forecast, reserved for a wide task, rejects long runs") {
   forecast.Reserve(Accelerators(8), now + seconds(8));
   CHECK_FALSE(forecast.MayUse(Accelerators(1), now + seconds(9)));
   CHECK(forecast.MayUse(Accelerators(1), now + seconds(7)));
 }
 
-TEST_CASE_METHOD(busy_instance_fixture, "room forecast, fits beside what is held, may start") {
+TEST_CASE_METHOD(busy_instance_fixture,
+                 "capacity forecast, fits beside the reservation, may start") {
   forecast.Reserve(Accelerators(4), now + seconds(4));
   CHECK_FALSE(forecast.MayUse(Accelerators(1), now + seconds(60)));
   forecast.AddEnd(now + seconds(4), Accelerators(1));
   CHECK(forecast.MayUse(Accelerators(1), now + seconds(60)));
 }
 
-TEST_CASE_METHOD(busy_instance_fixture, "room forecast, held once, the next one comes later") {
+TEST_CASE_METHOD(busy_instance_fixture,
+                 "capacity forecast, reserved once, next reservation is later") {
   forecast.Reserve(Accelerators(4), now + seconds(4));
   CHECK(forecast.EarliestFor(Accelerators(4), now) == now + seconds(8));
 }
 
-// A stream of narrow tasks keeps every instance half full. A task that needs a whole instance comes
-// before them, and its caller would wait until the stream ends.
-TEST_CASE("scheduler, stream of narrow tasks, a wide one gets an instance") {
+// Guards against starvation of a task that needs an entire instance and comes first in order, under
+// a stream of narrow tasks that keeps every instance half full.
+TEST_CASE("scheduler, stream of narrow tasks, wide task gets an instance") {
   scheduling_world world(3);
   for (const char* id : {"a", "b", "c"}) world.AddInstance(id, kSmallInstance);
   world.Run(seconds(1));
--- a/test/job_order_test.cc
+++ b/test/job_order_test.cc
@@ -25,9 +25,9 @@
   CHECK(near < far);
 }
 
-// Its objective has passed, or will before the work is done. Served first, it would make the next
-// one late as well.
-TEST_CASE("job order, objective can't be made, goes behind those that can") {
+// Guards against a late job that makes the next one late as well: its objective has passed, or will
+// pass before its work is done.
+TEST_CASE("job order, objective can't be met, goes behind those that can") {
   const job_order_key late = OrderKeyOf(Timing(seconds(3), seconds(4)), kStart);
   const job_order_key other = OrderKeyOf(Timing(seconds(60), seconds(1)), kStart);
   CHECK(late.rank == job_rank::kLate);
@@ -39,11 +39,11 @@
   CHECK(place.rank == job_rank::kTooLate);
 }
 
-// A backlog on a floor that can just keep up with what comes. By objectives alone everybody waits
-// as long as the backlog is deep, for ever.
-TEST_CASE("job order, backlog on a full floor, most of what comes later is in time") {
+// Guards against a permanent backlog under a load that just matches the capacity: ordered by
+// objectives alone, every job waits for as long as the backlog is deep.
+TEST_CASE("job order, backlog at full capacity, most later jobs are in time") {
   constexpr int kJobs = 400;
-  constexpr milliseconds kRun{100};  // one at a time; one comes in each such time
+  constexpr milliseconds kRun{100};  // one at a time; one arrives in each such interval
   std::vector<job_timing> waiting;
   const auto arrive = [&](monotonic_time now) {
     waiting.push_back({now, now + milliseconds{500}, kRun});
--- a/test/job_scheduler_test.cc
+++ b/test/job_scheduler_test.cc
@@ -42,7 +42,8 @@
   CheckNothingViolated();
 }
 
-TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, more tasks than room, never overfills") {
+TEST_CASE_METHOD(job_scheduler_fixture,
+                 "job scheduler, more tasks than capacity, never exceeds it") {
   AddInstances(2);
   world.Run(seconds(1));
   world.Submit(Job(1, {Tasks(40, 3000, milliseconds(300))}));
@@ -51,7 +52,8 @@
   CheckNothingViolated();
 }
 
-TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, workspace at its limit, starts no more") {
+TEST_CASE_METHOD(job_scheduler_fixture,
+                 "job scheduler, workspace at its limit, starts no further tasks") {
   world.SetWorkspaceMaximum("workspace", {3000, 0, 0, 0});
   AddInstances(2);
   world.Run(seconds(1));
@@ -86,9 +88,10 @@
   CHECK(world.Phase(JobId(1)) == graph_phase::kCancelled);
 }
 
-// Guards against starts by limits and queues that are out of force, and against killing what runs.
+// Guards against starts under queues and limits that are out of date, and against stopping existing
+// runs, while starts are paused.
 TEST_CASE_METHOD(job_scheduler_fixture,
-                 "job scheduler, starts held, starts nothing and renews runs") {
+                 "job scheduler, starts paused, starts nothing and renews leases") {
   AddInstances(2);
   world.Run(seconds(1));
   world.Submit(Job(1, {Tasks(2, 1000, seconds(60))}));
@@ -105,7 +108,8 @@
   CheckNothingViolated();
 }
 
-TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, lasting task that ends, is started again") {
+TEST_CASE_METHOD(job_scheduler_fixture,
+                 "job scheduler, long-running task that ends, is restarted") {
   AddInstances(2);
   step_terms service_step = Tasks(2, 1000, milliseconds(300));
   service_step.long_running = true;
@@ -120,9 +124,9 @@
   CheckNothingViolated();
 }
 
-// An instance stops answering for good: it lost power, and the registry drops it after a few
-// seconds. Its tasks would wait for ever if each try to reach it were taken to have extended their
-// lease; a user's job would stand still though the floor is free.
+// Guards against tasks that wait forever on a dead instance. An instance loses power and the
+// registry drops it after a few seconds; if each attempt to reach it counted as an extension of its
+// lease, its tasks would never start elsewhere, although there is free capacity.
 TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, instance dead, its tasks run elsewhere") {
   AddInstances(2);
   world.Run(seconds(1));
@@ -135,10 +139,10 @@
   CheckNothingViolated();
 }
 
-// An instance is cut off and runs on. Its lease ends only on its own clock: a second run before
-// that would book the same room twice.
+// Guards against two runs of a task at a time. An instance that is cut off keeps running its tasks
+// until its lease expires on its own clock.
 TEST_CASE_METHOD(job_scheduler_fixture,
-                 "job scheduler, instance cut off, no second run too early") {
+                 "job scheduler, instance cut off, no second run before its lease ends") {
   AddInstances(2);
   world.Run(seconds(1));
   world.Submit(Job(1, {Tasks(6, 1000, seconds(20))}));
@@ -151,9 +155,9 @@
   CheckNothingViolated();
 }
 
-// The owner dies after it stored that a run failed and before the instance was told so: the end is
-// listed to the next owner again. Counted twice, a job with two attempts is shown as failed after
-// one.
+// Guards against counting a failure twice. The owner dies after storing that a run failed and
+// before the instance was notified, so the end is listed to the next owner again; a job with two
+// attempts would fail after one.
 TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, end listed again, counts a failure once") {
   AddInstances(1);
   world.Run(seconds(1));
@@ -182,9 +186,11 @@
   CHECK(second.Find(JobId(1))->phase != graph_phase::kFailed);
 }
 
-// Two runs of a task failed on two instances, and the next owner hears of the later one first. If
-// the earlier one were taken for counted, the task would start a third time.
-TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, failures heard in any order, all count") {
+// Guards against missing a failure. Two runs of a task failed on two instances, and the next owner
+// receives the later end first; if the earlier one were taken as counted, the task would start a
+// third time.
+TEST_CASE_METHOD(job_scheduler_fixture,
+                 "job scheduler, failures received in any order, all count") {
   graph_job job = Job(1, {Tasks(1, 1000, milliseconds(200))});
   job_scheduler owner(scheduler_options{}, 2, monotonic_time{});
   const monotonic_time now{seconds(100)};
@@ -204,9 +210,10 @@
   CHECK(owner.Find(JobId(1))->phase == graph_phase::kFailed);
 }
 
-// Owners die one after the other while work runs: each next one adopts what runs, and nothing runs
-// twice or is lost.
-TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, owners die in a row, all jobs complete") {
+// Guards against lost or duplicate runs when owners die in succession while work runs: each next
+// owner adopts the existing runs.
+TEST_CASE_METHOD(job_scheduler_fixture,
+                 "job scheduler, owners die in succession, all jobs complete") {
   AddInstances(4);
   world.Run(seconds(1));
   for (uint32_t i = 0; i < 20; ++i) {
@@ -220,18 +227,17 @@
   CheckNothingViolated();
 }
 
-// An owner dies while one instance is cut off. Jobs that wait have nothing to do with that
-// instance, and a user whose booking waits for its leases to run out waits five seconds for
-// nothing.
+// Guards against waiting tasks that are held up by an unrelated instance: an owner dies while one
+// instance is cut off, and waiting for its leases would delay all other jobs by five seconds.
 TEST_CASE_METHOD(job_scheduler_fixture,
-                 "job scheduler, owner dies beside a cut instance, other work goes on") {
+                 "job scheduler, owner dies while an instance is cut off, other work continues") {
   AddInstances(3);
   world.Run(seconds(1));
   world.Submit(Job(1, {Tasks(24, 1000, seconds(60))}));
   world.Run(seconds(1));
   world.Submit(Job(2, {Tasks(2, 1000, milliseconds(300))}));
   world.Run(seconds(1));
-  REQUIRE(world.Running(JobId(2)) == 0);  // the floor is full
+  REQUIRE(world.Running(JobId(2)) == 0);  // all capacity is in use
   world.Cut("instance-0", true);
   world.KillOwner(milliseconds(800));
   world.Run(milliseconds(900));
@@ -241,10 +247,12 @@
   CheckNothingViolated();
 }
 
-// Owners that could not record their starts leave the next one in the dark: a task that seems to
-// wait may run on the instance that is cut off, and must not start elsewhere before its lease ends.
-TEST_CASE_METHOD(job_scheduler_fixture,
-                 "job scheduler, starts without records, next owner waits for cut instances") {
+// Guards against two runs of a task after owners that could not record their starts: a task that
+// seems to wait may run on an instance that is cut off, and must not start elsewhere before its
+// lease expires.
+TEST_CASE_METHOD(
+    job_scheduler_fixture,
+    "job scheduler, starts without records, next owner waits for instances that are cut off") {
   world.SetUnrecordedStarts();
   AddInstances(2);
   world.Run(seconds(1));
@@ -276,9 +284,9 @@
   instance_report report;
 };
 
-// Guards against lasting tasks that stay down while urgent work takes every start that the owner's
-// link carries.
-TEST_CASE("job scheduler, few starts at a time, lasting task that is down comes back first") {
+// Guards against long-running tasks that stay down while urgent work uses all starts that the
+// owner's link can carry.
+TEST_CASE("job scheduler, few starts at a time, long-running task that is down restarts first") {
   const monotonic_time now{seconds(100)};
   scheduler_options options;
   options.starts_in_flight = 1;
@@ -316,8 +324,8 @@
   CHECK(next_start(later).job != JobId(9));
 }
 
-// A start that leaves before its record is stored is unknown to the next owner, which starts the
-// task a second time.
+// Guards against a second run of a task: a start that is sent before its record is stored is
+// unknown to the next owner.
 TEST_CASE_METHOD(planned_start_fixture, "job scheduler, start not recorded yet, is not sent") {
   CHECK(owner.Decide(wall_time{}, now).starts.empty());
   CHECK(owner.StartsPlanned());
@@ -327,10 +335,10 @@
   CHECK(owner.TakeStarts(now).size() == 1);
 }
 
-// The instance says that it leaves while the record of a start for it is on its way to the store.
-// Sent all the same, the work would be lost with the instance seconds later.
+// Guards against starts at an instance that began to drain while the record was being stored: the
+// work would be lost with the instance seconds later.
 TEST_CASE_METHOD(planned_start_fixture,
-                 "job scheduler, instance drains meanwhile, sends no start") {
+                 "job scheduler, instance drains while the record is stored, sends no start") {
   owner.Decide(wall_time{}, now);
   report.draining = true;
   owner.OnRegistry({report}, now);
@@ -339,8 +347,9 @@
   CHECK(owner.RunCount() == 0);
 }
 
-// The caller cancels while the record of a start is on its way to the store.
-TEST_CASE_METHOD(planned_start_fixture, "job scheduler, job cancelled meanwhile, sends no start") {
+// Guards against starts of a job that was cancelled while the record was being stored.
+TEST_CASE_METHOD(planned_start_fixture,
+                 "job scheduler, job cancelled while the record is stored, sends no start") {
   owner.Decide(wall_time{}, now);
   const auto writes = owner.TakeUnstored(10);
   owner.OnCancel(JobId(1), now);
@@ -350,10 +359,10 @@
   CHECK(owner.RunCount() == 0);
 }
 
-// More ends wait at the instance than one listing holds. A task whose end is on the next page seems
-// to be nowhere; started again, a salary would be charged twice.
+// Guards against running a task twice: more ends wait at the instance than one listing holds, and a
+// task whose end is on the next page seems not to run anywhere.
 TEST_CASE_METHOD(planned_start_fixture,
-                 "job scheduler, ends on several pages, starts nothing before the last") {
+                 "job scheduler, ends on several pages, starts nothing before the last page") {
   owner.Decide(wall_time{}, now);
   const auto writes = owner.TakeUnstored(10);
   job_scheduler next(scheduler_options{}, 2, now);
@@ -376,10 +385,10 @@
   CHECK(next.Find(JobId(1))->phase == graph_phase::kCompleted);
 }
 
-// A new owner finds a whole floor's work waiting. If all of it is sent at once, the answers come
-// later than the calls' timeouts: what runs is stopped as unknown and sent again, and nothing ever
-// ends.
-TEST_CASE("job scheduler, whole floor waiting, keeps starts in flight bounded") {
+// Guards against a restart loop after a takeover: if all waiting work were sent at once, answers
+// would arrive after the calls' time-outs, and the runs would be stopped as unknown and started
+// again without end.
+TEST_CASE("job scheduler, work of all endpoints waiting, bounds the starts in flight") {
   const monotonic_time now{seconds(100)};
   const scheduler_options options;
   job_scheduler owner(options, 1, monotonic_time{});
@@ -415,7 +424,7 @@
   CHECK(sent == 2000);
 }
 
-// One course of random work under random faults.
+// Random jobs under random faults.
 class random_faults_run {
  public:
   static constexpr uint32_t kJobs = 30;
@@ -513,10 +522,10 @@
   std::vector<bool> always_failing_;
 };
 
-// Lost answers, orders carried out seconds late, instances that crash and come back under their id,
-// instances that are cut off, owners that die, changes whose answers are lost: whatever comes, a
-// user must not find a room booked twice, or a booking that never runs.
-TEST_CASE("job scheduler, random faults, keeps every promise", "[property]") {
+// Guards against tasks that run twice or never, under lost answers, commands executed seconds late,
+// instances that crash and return under their id or are cut off, owners that die, and store changes
+// whose answers are lost.
+TEST_CASE("job scheduler, random faults, violates no guarantee", "[property]") {
   constexpr uint64_t kSeeds = 300;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
@@ -526,8 +535,8 @@
   }
 }
 
-// The same while the store is down for all, where owners go on without records.
-TEST_CASE("job scheduler, random faults and no records, keeps every promise", "[property]") {
+// The same while the store is unavailable and owners continue without records.
+TEST_CASE("job scheduler, random faults and no records, violates no guarantee", "[property]") {
   constexpr uint64_t kSeeds = 300;
   for (uint64_t seed = 1; seed <= kSeeds; ++seed) {
     INFO("seed " << seed);
--- a/test/listing_wait_test.cc
+++ b/test/listing_wait_test.cc
@@ -11,9 +11,9 @@
   CHECK(wait.Wait() == std::chrono::seconds{1});
 }
 
-// Some calls in a hundred are held up for seconds. Each costs the callers of quick work at that
-// instance as long as the listing would have waited.
-TEST_CASE("listing wait, some in a hundred lost, is short, and long again afterwards") {
+// Guards against long waits when a few calls in a hundred are delayed for seconds: each delays
+// quick work at that instance for as long as the listing would have waited.
+TEST_CASE("listing wait, a few per cent lost, is short, and long again afterwards") {
   listing_wait wait;
   for (int i = 0; i < 400; ++i) {
     wait.OnAnswered();
--- a/test/platform_codec_test.cc
+++ b/test/platform_codec_test.cc
@@ -17,7 +17,7 @@
 
 using std::chrono::milliseconds;
 
-// What the operator, the instances and the callers write on the platform's wire.
+// What operators, instances and callers write on the platform's wire.
 class platform_wire_fixture {
  protected:
   std::shared_ptr<const site_version> Version(const std::string& text) {
@@ -27,7 +27,7 @@
         },
         [] { return std::shared_ptr<const site_version>(); });
   }
-  // Empty: it is sound.
+  // Returns the name of the error; empty if the body is accepted.
   std::string Refused(const std::string& body) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::string> {
@@ -53,7 +53,7 @@
                 "maximum":{"cpu":398965,"mem-mb":609084,"gpu":0}}],"new-field":{"x":1}})";
 };
 
-TEST_CASE_METHOD(platform_wire_fixture, "version, as the operator writes it, is decoded") {
+TEST_CASE_METHOD(platform_wire_fixture, "version, as written by the operator, is decoded") {
   const auto version = Version(version_text);
   REQUIRE(version != nullptr);
   CHECK(version->Number() == 7);
@@ -76,8 +76,8 @@
   CHECK(version->QueueFor("other", "/a/0123") == nullptr);
 }
 
-// Bytes that nobody can read stand under the configuration's key. They must change nothing.
-TEST_CASE_METHOD(platform_wire_fixture, "version, unreadable, is refused") {
+// Guards against unreadable bytes under the configuration's key, which must change nothing.
+TEST_CASE_METHOD(platform_wire_fixture, "version, unreadable, is rejected") {
   CHECK(Version("") == nullptr);
   CHECK(Version("[1]") == nullptr);
   CHECK(Version(R"({"version":"seven","routes":[]})") == nullptr);
@@ -98,9 +98,9 @@
   CHECK(report->incarnation == 17);
 }
 
-// An entry of another writer: a field is missing or of another type, or a state is not known. It
-// names no instance to use, and the others hold.
-TEST_CASE_METHOD(platform_wire_fixture, "registration, of another writer, names no instance") {
+// Guards against entries of another writer, with a missing field, a field of another type or an
+// unknown state: such an entry names no usable instance and does not affect the others.
+TEST_CASE_METHOD(platform_wire_fixture, "registration, of another writer, yields no instance") {
   CHECK_FALSE(platform::DecodeRegistration("servers/i-1", "no json"));
   CHECK_FALSE(platform::DecodeRegistration("servers/i-1", R"({"service":"s"})"));
   CHECK_FALSE(platform::DecodeRegistration("servers/", "{}"));
@@ -158,7 +158,7 @@
   CHECK_FALSE(platform::ParseTaskName("5c0e7a21d94b36f8.0.x.1"));
 }
 
-// The pure parts of a site's process.
+// The parts of a site's process without I/O.
 class site_parts_fixture {
  protected:
   std::optional<settings_error> Refused(const std::string& text) {
@@ -185,9 +185,10 @@
   CHECK(Refused(wrong)->fault == settings_fault::kWrongType);
 }
 
-// One workspace sends many times its share. Its jobs beyond it are told apart, and those within it
-// still count as owed; the others' jobs do not wait behind the flood.
-TEST_CASE_METHOD(site_parts_fixture, "arrival meter, flood of one workspace, finds the excess") {
+// Guards against one workspace that sends many times its share: only its jobs beyond the share are
+// found, so that those of others do not wait behind them.
+TEST_CASE_METHOD(site_parts_fixture,
+                 "arrival rate limit, overload from one workspace, finds the excess") {
   arrival_rate_limit limit;
   const wall_time start{milliseconds(1000000)};
   int within = 0;
@@ -198,16 +199,17 @@
   CHECK(within <= 56);
 }
 
-TEST_CASE_METHOD(site_parts_fixture, "arrival meter, usual load, finds no excess") {
+TEST_CASE_METHOD(site_parts_fixture, "arrival rate limit, usual load, finds no excess") {
   arrival_rate_limit limit;
   for (int i = 0; i < 100; ++i) {
     CHECK_FALSE(limit.Exceeds(5, wall_time{milliseconds(1000000 + 250 * i)}));
   }
 }
 
-// Slow questions of a burst must not take all entries: quick work is late after some hundred
-// milliseconds, and would wait half a second behind them.
-TEST_CASE_METHOD(site_parts_fixture, "advice spread, burst of slow asks, keeps entries for quick") {
+// Guards against slow queries of a burst that occupy all entries: quick work would wait half a
+// second behind them, and is late after some hundred milliseconds.
+TEST_CASE_METHOD(site_parts_fixture,
+                 "advice spread, burst of slow queries, keeps entries for quick ones") {
   advice_spread spread;
   spread.SetEntries({"a", "b", "c", "d", "e", "f"});
   for (int i = 0; i < 10; ++i) spread.Add({});
@@ -222,7 +224,7 @@
   CHECK(next->first.urgent);
 }
 
-TEST_CASE_METHOD(site_parts_fixture, "advice spread, entry gone, gets nothing new") {
+TEST_CASE_METHOD(site_parts_fixture, "advice spread, entry removed, gets no new queries") {
   advice_spread spread;
   spread.SetEntries({"a", "b"});
   spread.SetEntries({"b"});
@@ -234,9 +236,9 @@
   CHECK(spread.Next()->second == "b");
 }
 
-// Answers of the store overtake each other: news from before this entry's claim comes after it. If
-// it were believed, the new owner would think that it had lost the site.
-TEST_CASE_METHOD(site_parts_fixture, "site view, old news after newer, changes nothing") {
+// Guards against an owner that takes its site as lost because the store's answers arrive out of
+// order: an update from before its claim arrives after it.
+TEST_CASE_METHOD(site_parts_fixture, "site view, old update after a newer one, changes nothing") {
   site_view view;
   const owner_word mine{{"me", "1.1.1.1:1", "d", 5}, 4};
   view.Take({kOwnerKey, OwnerToText(mine), 20});
@@ -248,7 +250,7 @@
   CHECK(view.epoch == 4);
 }
 
-TEST_CASE_METHOD(site_parts_fixture, "claims, of several entries, come one after the other") {
+TEST_CASE_METHOD(site_parts_fixture, "claims, of several entries, are made one after the other") {
   site_view view;
   for (const char* name : {"a", "b", "c"}) view.entries[name] = {name, "", "", 1};
   std::set<milliseconds> delays;
@@ -257,8 +259,8 @@
   CHECK(*delays.begin() == milliseconds(0));
 }
 
-// The owner talks to every instance. On a small machine its answers come too late, and all work is
-// stopped and started in circles: a strong entry goes first, and a weak owner gives way to one.
+// Guards against a weak owner, whose answers to the instances come too late, so that work is
+// stopped and restarted repeatedly: a strong entry goes first, and a weak owner gives way to it.
 TEST_CASE_METHOD(site_parts_fixture, "claims, of a weak entry, wait for the strong ones") {
   site_view view;
   const site_entry weak{"a", "", "", 1, Strength(0.12, 10)};
@@ -273,8 +275,9 @@
   CHECK(ClaimDelay(view, "a") == milliseconds(0));
 }
 
-// Guards against all entries asking the same one for the configuration, and weak ones for its text.
-TEST_CASE_METHOD(site_parts_fixture, "entry to ask, by random number, is any or a strong one") {
+// Guards against all entries querying the same one for the configuration, and weak ones for its
+// text.
+TEST_CASE_METHOD(site_parts_fixture, "entry to query, by random number, is any or a strong one") {
   site_view view;
   CHECK_FALSE(PickEntry(view, "a", false, 7));
   for (const char* name : {"a", "b", "c", "d"}) {
@@ -291,14 +294,14 @@
   CHECK(strong == std::set<std::string>{"c", "d"});
 }
 
-TEST_CASE_METHOD(site_parts_fixture, "records of the store, unreadable, are no records") {
+TEST_CASE_METHOD(site_parts_fixture, "records of the store, unreadable, are ignored") {
   CHECK_FALSE(OwnerFromText("x"));
   CHECK_FALSE(EntryFromText(R"({"name":1})"));
   CHECK(FleetFromText("{}").empty());
   CHECK(FleetFromText(R"([{"id":"i"}])").empty());
 }
 
-TEST_CASE_METHOD(site_parts_fixture, "words between entries, read back, are the same") {
+TEST_CASE_METHOD(site_parts_fixture, "messages between entries, read back, are the same") {
   const peer_question question{{"00000000000000ab", 1, 2, {"i-1"}, {}, false}, milliseconds(900)};
   const auto again = PeerQuestionFromText(PeerQuestionToText(question));
   REQUIRE(again);
--- a/test/run_times_test.cc
+++ b/test/run_times_test.cc
@@ -11,10 +11,11 @@
 
 using std::chrono::milliseconds;
 
-// A queue whose runs take about a second, and whose callers declare what they like.
+// A queue whose runs take about a second, with arbitrary declared times.
 class run_times_fixture {
  protected:
-  // `spread` of the logarithm; `told`: what part of it callers declare.
+  // `spread`: deviation of the logarithm of the run time; `correlation`: part of it that callers
+  // declare.
   void Run(const std::string& queue, int steps, double spread, double correlation, double noise) {
     std::normal_distribution<double> normal;
     for (int i = 0; i < steps; ++i) {
@@ -31,25 +32,26 @@
   run_times times_;
 };
 
-TEST_CASE_METHOD(run_times_fixture, "run times, nothing ran, expects what is declared") {
+TEST_CASE_METHOD(run_times_fixture, "run times, no runs, expects the declared time") {
   CHECK(times_.Expected("quick", milliseconds{700}) == milliseconds{700});
 }
 
-// Declared times have nothing to do with real ones. Followed, they would make copies of sound runs
-// and serve jobs in an order that is no better than chance.
-TEST_CASE_METHOD(run_times_fixture, "run times, declarations are noise, expects the usual time") {
+// Guards against copies of sound runs and a random order of jobs, when declared times are unrelated
+// to actual ones.
+TEST_CASE_METHOD(run_times_fixture, "run times, random declarations, expects the usual time") {
   Run("quick", 300, 0.3, 0, 1.0);
   CHECK(times_.Expected("quick", milliseconds{100}) > milliseconds{600});
   CHECK(times_.Expected("quick", milliseconds{9000}) < milliseconds{1700});
 }
 
-TEST_CASE_METHOD(run_times_fixture, "run times, declarations are good, follows them") {
+TEST_CASE_METHOD(run_times_fixture, "run times, accurate declarations, follows them") {
   Run("large", 300, 1.0, 1.0, 0.1);
   CHECK(times_.Expected("large", milliseconds{200}) < milliseconds{260});
   CHECK(times_.Expected("large", milliseconds{5000}) > milliseconds{4000});
 }
 
-TEST_CASE_METHOD(run_times_fixture, "run times, work changes, follows within a few hundred steps") {
+TEST_CASE_METHOD(run_times_fixture,
+                 "run times, run times change, adapts within a few hundred steps") {
   Run("quick", 300, 0.2, 0, 1.0);
   for (int i = 0; i < 300; ++i) times_.OnRun("quick", milliseconds{1000}, milliseconds{4000}, 1);
   CHECK(times_.Expected("quick", milliseconds{1000}) > milliseconds{3000});
--- a/test/scheduling_jobs.h
+++ b/test/scheduling_jobs.h
@@ -1,4 +1,4 @@
-// Jobs and instances that the scheduler's tests share.
+// Jobs and instances shared by the scheduler's tests.
 #ifndef CATKINFORD_TEST_SCHEDULING_JOBS_H_
 #define CATKINFORD_TEST_SCHEDULING_JOBS_H_
 
@@ -20,7 +20,7 @@
   return std::string(kGraphIdLength - text.size(), '0') + text;
 }
 
-// One step, without the terms that a test sets itself.
+// A step with default terms; a test sets the others itself.
 inline step_terms Tasks(uint32_t count, uint32_t cpu_milli, std::chrono::milliseconds estimate,
                         std::vector<uint32_t> after = {}) {
   step_terms step;
--- a/test/scheduling_world.cc
+++ b/test/scheduling_world.cc
@@ -101,7 +101,7 @@
     live_instance& again = instances_[id];
     again.up = true;
     again.report.incarnation = 1 + now_.count();
-    again.clock_offset = -now_.count();  // its clock starts anew
+    again.clock_offset = -now_.count();  // its clock restarts
   });
 }
 
@@ -220,7 +220,7 @@
     for (const live_run& run : other.runs) {
       if (store_.at(run.key.job).job.workspace == job.workspace) of_workspace += run.capacity;
       if (run.key == request.key && !terms.speculative) {
-        AddViolation(absl::StrCat("twice at a time: ", NameOf(request.key), " on ",
+        AddViolation(absl::StrCat("two runs at a time: ", NameOf(request.key), " on ",
                                   instance.report.id, " and ", id));
       }
     }
@@ -240,7 +240,7 @@
       const task_key before{request.key.job, request.key.occurrence, earlier, i};
       if (gangs_done_.contains({before.job, before.occurrence, before.step, 0})) continue;
       if (!ended_done_.contains(before))
-        AddViolation(absl::StrCat("before its turn: ", NameOf(request.key)));
+        AddViolation(absl::StrCat("started before its predecessors: ", NameOf(request.key)));
     }
   }
 }
@@ -308,8 +308,8 @@
       now_ + (late ? Between(500, faults_.late_by.count()) : Between(1, 3));
   const bool answered = !late && !Chance(faults_.lost_answer);
   const std::string id = request.to.instance;
-  // An order that was held up is refused by another life of the instance; one that arrives at once
-  // is not, as the owner knows the instance by its id.
+  // A delayed command is rejected by another incarnation of the instance; one that arrives at once
+  // is not, as the owner identifies the instance by its id.
   const int64_t expected_incarnation = instances_[id].report.incarnation;
   At(arrives, [this, id, carry_out, reply, answered, late, expected_incarnation] {
     live_instance& instance = instances_[id];
@@ -350,7 +350,7 @@
       instance.lease_until = std::max(
           instance.lease_until, std::min(*request.lease_until_ms, Clock(instance) + kLongestLease));
     }
-    // What is acknowledged stands for good.
+    // An acknowledged end is final.
     while (!instance.ended.empty() && instance.ended.front().number <= request.ends_seen) {
       const ended_row row = instance.ended.front();
       instance.ended.erase(instance.ended.begin());
@@ -471,7 +471,7 @@
   const uint64_t epoch = epoch_;
   const bool answered = !Chance(faults_.lost_commit);
   At(now_ + Between(2, 8), [this, owner_incarnation, epoch, writes, fleet, answered] {
-    // The store does nothing for an owner that another one has followed.
+    // The store rejects changes of a superseded owner.
     if (epoch != epoch_) return;
     for (const job_progress_write& write : writes) store_[write.job].progress = write.text;
     fleet_ = fleet;
--- a/test/scheduling_world.h
+++ b/test/scheduling_world.h
@@ -1,5 +1,5 @@
-// A small world around the job scheduler: instances that run tasks under leases, a store, owners
-// that die and are followed by others, and faults. All times are simulated; no threads, no network.
+// Simulated environment of the job scheduler: instances that run tasks under leases, a store,
+// successive owners, and faults. All times are simulated; no threads, no network.
 #ifndef CATKINFORD_TEST_SCHEDULING_WORLD_H_
 #define CATKINFORD_TEST_SCHEDULING_WORLD_H_
 
@@ -19,13 +19,13 @@
 namespace catkinford {
 
 struct scheduling_faults {
-  double lost_answer = 0;   // share of orders that are carried out and not answered
-  double late_command = 0;  // share that is not answered and carried out up to `late_by` later
+  double lost_answer = 0;   // share of commands that are executed and not answered
+  double late_command = 0;  // share that is not answered and is executed up to `late_by` later
   std::chrono::milliseconds late_by{6000};
-  double lost_commit = 0;  // share of changes that are done and not answered
+  double lost_commit = 0;  // share of store changes that are done and not answered
 };
 
-// One run as the instances saw it.
+// A start that an instance executed.
 struct world_run {
   task_key key;
   uint32_t run = 0;
@@ -38,11 +38,11 @@
   explicit scheduling_world(uint64_t seed, scheduling_faults faults = {});
 
   void AddInstance(const std::string& id, resources capacity, const std::string& rack = "r1");
-  // Accepts a job: it is durable from here on.
+  // Accepts a job, which is durable from then on.
   void Submit(graph_job job);
   void Cancel(const std::string& job);
   void SetWorkspaceMaximum(const std::string& workspace, resources maximum);
-  // How long each task of a job really runs, and how its runs end.
+  // Actual run time of each task of a job, and how its runs end.
   void SetDuration(const std::string& job, std::chrono::milliseconds time);
   void SetFailing(const std::string& job, uint32_t first_runs);
 
@@ -51,17 +51,17 @@
   void Cut(const std::string& id, bool cut);
   void SetDraining(const std::string& id, std::chrono::milliseconds remaining);
   void KillOwner(std::chrono::milliseconds until_next);
-  // Owners that send starts without waiting for their records, and whose successors know that.
+  // Owners send starts without waiting for their records, and their successors know that.
   void SetUnrecordedStarts() { recorded_ = false; }
   void PauseStarts(bool paused) { owner_->PauseStarts(paused); }
   void CutStore(bool cut) { store_cut_ = cut; }
 
   void Run(std::chrono::milliseconds time);
 
-  // What was seen.
+  // Observations.
   graph_phase Phase(const std::string& job) const;  // as stored
   const std::vector<std::string>& Violations() const { return violations_; }
-  // What the owners noted of a job, to explain a violation.
+  // Events that the owners logged about a job, to explain a violation.
   std::vector<std::string> EventsOf(const std::string& job) const;
   size_t Starts() const { return starts_.size(); }
   const std::vector<world_run>& StartLog() const { return starts_; }
@@ -78,7 +78,7 @@
     std::chrono::milliseconds began{0};
     bool long_running = false;
     bool gang = false;
-    bool complete = false;  // all members of its gang were there
+    bool complete = false;  // all members of its gang have been present
     bool stopping = false;
   };
   struct live_instance {
@@ -92,7 +92,7 @@
     uint64_t last_end = 0;
     std::vector<live_run> runs;
     std::vector<ended_row> ended;
-    std::map<task_key, uint32_t> highest_over;  // highest run stopped or ended here
+    std::map<task_key, uint32_t> highest_over;  // highest run number stopped or ended here
   };
   struct durable {
     graph_job job;
@@ -110,7 +110,7 @@
   void At(std::chrono::milliseconds time, std::function<void()> task);
   void Step();
   void EndRun(live_instance& instance, size_t index, run_end how);
-  // How a run ends now, if it does.
+  // How the run ends now, or nothing if it continues.
   std::optional<run_end> EndOf(live_instance& instance, live_run& run);
   std::optional<run_end> EndOfGangMember(live_run& run);
   void Advance(live_instance& instance);
@@ -127,7 +127,7 @@
   command_answer CarryOutStart(live_instance& instance, const start_command& request,
                                uint64_t epoch);
   command_answer CarryOutStop(live_instance& instance, const stop_command& request, uint64_t epoch);
-  // Of its work that is done.
+  // Percent of the run's work that is done.
   uint32_t PercentOf(const live_run& run) const;
   void SendListing(const list_command& request);
   void CheckStart(const live_instance& instance, const start_command& request);
@@ -141,16 +141,16 @@
   std::map<std::string, std::chrono::milliseconds> durations_;
   std::map<std::string, uint32_t> failing_;
   std::map<std::string, resources> maximum_;
-  std::set<task_key> gangs_done_;          // step (index 0) whose gang ended done
-  std::set<task_key> ended_done_;          // tasks of which a run ended done
+  std::set<task_key> gangs_done_;          // steps (index 0) whose gang ended as done
+  std::set<task_key> ended_done_;          // tasks of which a run ended as done
   std::map<task_key, uint32_t> done_;      // tasks whose end was acknowledged as done
   std::map<task_key, uint32_t> failures_;  // acknowledged failures
   std::unique_ptr<job_scheduler> owner_;
   uint64_t epoch_ = 0;
-  uint64_t owner_incarnation_ = 0;  // answers for an earlier owner are dropped
+  uint64_t owner_incarnation_ = 0;  // answers to an earlier owner are dropped
   bool committing_ = false;
   std::vector<instance_report> fleet_;  // as stored
-  size_t stored_fleet_size_ = 0;        // size of the one that the owner knows to be stored
+  size_t stored_fleet_size_ = 0;        // size of the fleet that the owner knows to be stored
   bool store_cut_ = false;
   bool recorded_ = true;
   std::vector<std::string> violations_;
