--- a/src/process/scheduling/scheduler_placement.cc
+++ b/src/process/scheduling/scheduler_placement.cc
@@ -19,8 +19,8 @@
 constexpr double kCopyFactor = 1.6;
 constexpr milliseconds kCopySlack{300};
 
-double Fraction(uint32_t part, uint32_t whole) {
-  return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
+double Fraction(uint32_t used, uint32_t capacity) {
+  return capacity == 0 ? 0 : static_cast<double>(used) / static_cast<double>(capacity);
 }
 
 // Utilization of the instance's scarcest resource once the task runs there.
--- a/test/platform_codec_test.cc
+++ b/test/platform_codec_test.cc
@@ -28,7 +28,7 @@
         [] { return std::shared_ptr<const site_version>(); });
   }
   // Returns the name of the error; empty if the body is accepted.
-  std::string Refused(const std::string& body) {
+  std::string RejectionOf(const std::string& body) {
     return leaf::try_handle_all(
         [&]() -> leaf::result<std::string> {
           BOOST_LEAF_AUTO(job, platform::DecodeSubmission("00000000000000ab", body));
@@ -113,7 +113,7 @@
 }
 
 TEST_CASE_METHOD(platform_wire_fixture, "submission, with all terms of a step, is decoded") {
-  REQUIRE(Refused(R"({"task-spec":"x","steps":[
+  REQUIRE(RejectionOf(R"({"task-spec":"x","steps":[
       {"count":4,"cpu":500,"mem-mb":256,"estimate-ms":900,"affinity":"r1-3","gang":true},
       {"count":20,"cpu":2000,"mem-mb":1024,"after":[0],"checkpointing":true,"anti-affinity":2,
        "speculative":true,"constraints":"b","image":"i","target-ms":40,"may-miss":1,"fills":true,
@@ -127,19 +127,19 @@
 }
 
 TEST_CASE_METHOD(platform_wire_fixture, "submission, malformed, gets its typed error") {
-  CHECK(Refused("") == "malformed");
-  CHECK(Refused(R"({"steps":7})") == "malformed");
-  CHECK(Refused(R"({"steps":[{"count":"x"}]})") == "malformed");
-  CHECK(Refused(R"({"steps":[]})") == "no_steps");
-  CHECK(Refused(R"({"steps":[{"count":0}]})") == "no_tasks");
-  CHECK(Refused(R"({"steps":[{"count":1,"after":[0]}]})") == "bad_dependency");
-  CHECK(Refused(R"({"steps":[{"count":1}],"repeat-count":2})") == "bad_repeats");
-  CHECK(Refused(R"({"steps":[{"count":1}],"task-spec":")" + std::string(5000, 'x') + "\"}") ==
+  CHECK(RejectionOf("") == "malformed");
+  CHECK(RejectionOf(R"({"steps":7})") == "malformed");
+  CHECK(RejectionOf(R"({"steps":[{"count":"x"}]})") == "malformed");
+  CHECK(RejectionOf(R"({"steps":[]})") == "no_steps");
+  CHECK(RejectionOf(R"({"steps":[{"count":0}]})") == "no_tasks");
+  CHECK(RejectionOf(R"({"steps":[{"count":1,"after":[0]}]})") == "bad_dependency");
+  CHECK(RejectionOf(R"({"steps":[{"count":1}],"repeat-count":2})") == "bad_repeats");
+  CHECK(RejectionOf(R"({"steps":[{"count":1}],"task-spec":")" + std::string(5000, 'x') + "\"}") ==
         "payload_too_long");
 }
 
 TEST_CASE_METHOD(platform_wire_fixture, "job record, written and read, is the same") {
-  REQUIRE(Refused(R"({"task-spec":"x","steps":[{"count":2,"cpu":5,"gang":true}]})").empty());
+  REQUIRE(RejectionOf(R"({"task-spec":"x","steps":[{"count":2,"cpu":5,"gang":true}]})").empty());
   const std::string text = JobToText(last_job);
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
@@ -161,7 +161,7 @@
 // The parts of a site's process without I/O.
 class site_parts_fixture {
  protected:
-  std::optional<settings_error> Refused(const std::string& text) {
+  std::optional<settings_error> RejectionOf(const std::string& text) {
     return ErrorOf<settings_error>([&] { return ParseSiteSettings(text); });
   }
   const std::string good = R"({"name":"n","failure_domain":"d",
@@ -170,19 +170,19 @@
 };
 
 TEST_CASE_METHOD(site_parts_fixture, "site settings, sound, are accepted with comments") {
-  CHECK_FALSE(Refused("// a comment\n" + good));
+  CHECK_FALSE(RejectionOf("// a comment\n" + good));
 }
 
 TEST_CASE_METHOD(site_parts_fixture, "site settings, wrong, name the field") {
-  CHECK(Refused("no json")->fault == settings_fault::kNotJson);
-  CHECK(Refused(R"({"name":"n"})")->fault == settings_fault::kMissingField);
+  CHECK(RejectionOf("no json")->fault == settings_fault::kNotJson);
+  CHECK(RejectionOf(R"({"name":"n"})")->fault == settings_fault::kMissingField);
   std::string unknown = good;
   unknown.insert(1, R"("colour":1,)");
-  CHECK(Refused(unknown)->path == "colour");
+  CHECK(RejectionOf(unknown)->path == "colour");
   std::string wrong = good;
   wrong.insert(1, R"("timing":{"owner_lease_ms":"soon"},)");
-  CHECK(Refused(wrong)->path == "timing.owner_lease_ms");
-  CHECK(Refused(wrong)->fault == settings_fault::kWrongType);
+  CHECK(RejectionOf(wrong)->path == "timing.owner_lease_ms");
+  CHECK(RejectionOf(wrong)->fault == settings_fault::kWrongType);
 }
 
 // Guards against one workspace that sends many times its share: only its jobs beyond the share are
@@ -311,12 +311,12 @@
         graph_phase::kFailed);
   CHECK_FALSE(ToldPhaseFromText(R"({"owns":true,"phase":77})")->phase);
   CHECK_FALSE(PeerAdviceFromText("[]"));
-  const auto told = ToldVersionFromText(ToldVersionToText({{7, 90, milliseconds(40)}, "{\n}"}));
-  REQUIRE(told);
-  CHECK(told->version.number == 7);
-  CHECK(told->version.revision == 90);
-  CHECK(told->version.age == milliseconds(40));
-  CHECK(told->text == "{\n}");
+  const auto decoded = ToldVersionFromText(ToldVersionToText({{7, 90, milliseconds(40)}, "{\n}"}));
+  REQUIRE(decoded);
+  CHECK(decoded->version.number == 7);
+  CHECK(decoded->version.revision == 90);
+  CHECK(decoded->version.age == milliseconds(40));
+  CHECK(decoded->text == "{\n}");
   CHECK_FALSE(ToldVersionFromText(R"({"number":7,"revision":90,"age_ms":40})"));
 }
 
