--- a/src/process/site/caller_front.h
+++ b/src/process/site/caller_frontend.h
@@ -1,8 +1,8 @@
 // Calls of callers: submit, cancel, a job's state, how many wait. Each gets one true answer: taken
 // only once it is stored, refused only if it surely never runs, and "unsettled" where the store did
 // not say.
-#ifndef CATKINFORD_PROCESS_SITE_CALLER_FRONT_H_
-#define CATKINFORD_PROCESS_SITE_CALLER_FRONT_H_
+#ifndef CATKINFORD_PROCESS_SITE_CALLER_FRONTEND_H_
+#define CATKINFORD_PROCESS_SITE_CALLER_FRONTEND_H_
 
 #include <chrono>
 #include <functional>
@@ -14,11 +14,11 @@
 #include "absl/strings/str_cat.h"
 #include "connection/http_server.h"
 #include "process/site/event_loop.h"
-#include "process/site/front_status.h"
+#include "process/site/http_status.h"
 #include "process/site/peer_words.h"
 #include "process/site/site_log.h"
 #include "process/site/site_metrics.h"
-#include "process/site/site_ports.h"
+#include "process/site/site_platform.h"
 #include "process/site/site_records.h"
 #include "process/site/store_health.h"
 #include "process/site/version_plan.h"
@@ -26,7 +26,7 @@
 
 namespace catkinford {
 
-struct front_hooks {
+struct frontend_hooks {
   std::string entry;  // the name of this one
   std::function<std::shared_ptr<const site_version>()> version;
   std::function<version_trust(monotonic_time now)> trust;
@@ -44,12 +44,13 @@
 };
 
 template <site_platform Platform>
-class caller_front {
+class caller_frontend {
  public:
   using responder = std::function<void(http_response)>;
 
-  caller_front(Platform& platform, store_health& health, event_loop& loop, site_log& log,
-               site_metrics& numbers, std::chrono::milliseconds answer_within, front_hooks hooks)
+  caller_frontend(Platform& platform, store_health& health, event_loop& loop, site_log& log,
+                  site_metrics& numbers, std::chrono::milliseconds answer_within,
+                  frontend_hooks hooks)
       : platform_(platform),
         health_(health),
         loop_(loop),
@@ -63,17 +64,17 @@
     call now{std::move(request), std::move(respond), BootNow(), {}, {}, {}, nullptr};
     now.version = hooks_.version();
     if (now.version == nullptr) {
-      return Refuse(now, front_status::kUnavailable, "no_configuration_yet");
+      return Refuse(now, http_status::kUnavailable, "no_configuration_yet");
     }
     const queue_terms* queue = now.version->QueueFor(now.request.host, now.request.path);
-    if (queue == nullptr) return RefuseAbsent(now, front_status::kNotFound, "no_such_queue");
+    if (queue == nullptr) return RefuseAbsent(now, http_status::kNotFound, "no_such_queue");
     now.queue = queue;
     now.id = now.request.path.substr(queue->prefix.size());
     const workspace_terms* holder = now.version->HolderOf(now.request.bearer);
     if (!queue->anonymous && holder == nullptr) {
-      return RefuseAbsent(now, front_status::kNoKey, "unknown_key");
+      return RefuseAbsent(now, http_status::kUnauthorized, "unknown_key");
     }
-    if (!MayServe(now)) return Refuse(now, front_status::kUnavailable, kVersionUnconfirmed);
+    if (!MayServe(now)) return Refuse(now, http_status::kUnavailable, kVersionUnconfirmed);
     if (holder != nullptr && !queue->anonymous) now.workspace = holder->name;
     Route(std::move(now));
   }
@@ -95,7 +96,7 @@
   };
   using shared_call = std::shared_ptr<call>;
 
-  store_callback Here(std::function<void(const store_reply&)> done) {
+  store_callback OnLoop(std::function<void(const store_reply&)> done) {
     const uint64_t sent = health_.Sent(BootNow());
     return [this, sent, done = std::move(done)](store_reply reply) {
       loop_.Post([this, sent, done, reply = std::move(reply)] {
@@ -116,7 +117,7 @@
     response.status = status;
     response.body = std::move(body);
     response.close = hooks_.stopping();
-    if (status == front_status::kUnavailable) {
+    if (status == http_status::kUnavailable) {
       response.retry_after = health_.ComeBackAfter(BootNow());
     }
     numbers_.CountAnswer(
@@ -147,7 +148,7 @@
   // that it does not exist, but to come back.
   void RefuseAbsent(const call& current, int status, const char* word) {
     const bool newest = hooks_.trust(current.arrived) == version_trust::kNewest;
-    Refuse(current, newest ? status : front_status::kUnavailable,
+    Refuse(current, newest ? status : http_status::kUnavailable,
            newest ? word : kVersionUnconfirmed);
   }
 
@@ -165,10 +166,10 @@
     }
     if (method == "POST") return Submit(std::make_shared<call>(std::move(now)));
     if (method != "GET" && method != "DELETE") {
-      return Refuse(now, front_status::kWrongMethod, "wrong_method");
+      return Refuse(now, http_status::kMethodNotAllowed, "wrong_method");
     }
     // No job can have such a name.
-    if (!IsGraphId(now.id)) return Refuse(now, front_status::kGone, "no_such_job");
+    if (!IsGraphId(now.id)) return Refuse(now, http_status::kGone, "no_such_job");
     if (method == "GET") return TellState(std::make_shared<call>(std::move(now)));
     Cancel(std::make_shared<call>(std::move(now)));
   }
@@ -177,7 +178,7 @@
 
   void Submit(const shared_call& current) {
     if (current->request.body.size() > current->version->Limits().body_bytes) {
-      return Refuse(*current, front_status::kTooLarge, "body_too_large");
+      return Refuse(*current, http_status::kTooLarge, "body_too_large");
     }
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
@@ -195,9 +196,9 @@
         },
         [&](graph_fault fault) {
           const std::string word(ToText(fault));
-          Refuse(*current, front_status::kBadRequest, word.c_str());
+          Refuse(*current, http_status::kBadRequest, word.c_str());
         },
-        [&] { Refuse(*current, front_status::kBadRequest, "malformed"); });
+        [&] { Refuse(*current, http_status::kBadRequest, "malformed"); });
   }
 
   // What is not sent surely never runs. Sent to a store that is silent, the job may be kept or not,
@@ -211,7 +212,7 @@
         return;
       case store_state::kDown:
         Log(site_event::kJobRefused, *current, "why=store_down sent=0");
-        return Answer(*current, front_status::kUnavailable,
+        return Answer(*current, http_status::kUnavailable,
                       Platform::EncodeError("store_unavailable"));
     }
   }
@@ -223,7 +224,7 @@
     const std::string key = kJobPrefix + current->id;
     write.expected = {{key, 0}};
     write.puts.push_back({key, *text, {}});
-    platform_.Store().Commit(write, Here([this, current, text, unsure](const store_reply& reply) {
+    platform_.Store().Commit(write, OnLoop([this, current, text, unsure](const store_reply& reply) {
                                OnStoreAnswer(current, text, unsure, reply);
                              }));
   }
@@ -235,18 +236,18 @@
       Log(site_event::kJobAccepted, *current,
           absl::StrCat("again=", reply.status == store_status::kConflict));
       if (reply.status == store_status::kDone) hooks_.tell_job(current->id, *text);
-      return Answer(*current, front_status::kOk, "{}");
+      return Answer(*current, http_status::kOk, "{}");
     }
     const bool uncertain = unsure || reply.status == store_status::kUnknown;
     const bool late = BootNow() - current->arrived > answer_within_;
     if (!uncertain) {
       Log(site_event::kJobRefused, *current, "why=store_unavailable");
-      return Answer(*current, front_status::kUnavailable,
+      return Answer(*current, http_status::kUnavailable,
                     Platform::EncodeError("store_unavailable"));
     }
     if (late) {
       Log(site_event::kJobUnsettled, *current, "why=store_did_not_say");
-      return Answer(*current, front_status::kUnsettled, Platform::EncodeError("unsettled"));
+      return Answer(*current, http_status::kUnsettled, Platform::EncodeError("unsettled"));
     }
     // The condition makes a second try harmless.
     loop_.After(kStoreRetry, [this, current, text] { Store(current, text, true); });
@@ -255,25 +256,25 @@
   // --- cancel ------------------------------------------------------------------------------------
 
   void Cancel(const shared_call& current) {
-    platform_.Store().Get(kJobPrefix + current->id, Here([this, current](const store_reply& reply) {
-                            if (reply.status == store_status::kAbsent) {
-                              Log(site_event::kCancelRefused, *current, "why=no_such_job");
-                              return Answer(*current, front_status::kGone,
-                                            Platform::EncodeError("no_such_job"));
-                            }
-                            if (reply.status == store_status::kDone) return MarkCancelled(current);
-                            RetryCancel(current);
-                          }));
+    platform_.Store().Get(
+        kJobPrefix + current->id, OnLoop([this, current](const store_reply& reply) {
+          if (reply.status == store_status::kAbsent) {
+            Log(site_event::kCancelRefused, *current, "why=no_such_job");
+            return Answer(*current, http_status::kGone, Platform::EncodeError("no_such_job"));
+          }
+          if (reply.status == store_status::kDone) return MarkCancelled(current);
+          RetryCancel(current);
+        }));
   }
 
   void MarkCancelled(const shared_call& current) {
     store_write write;
     write.puts.push_back({kCancelPrefix + current->id, "{}", {}});
-    platform_.Store().Commit(write, Here([this, current](const store_reply& reply) {
+    platform_.Store().Commit(write, OnLoop([this, current](const store_reply& reply) {
                                if (reply.status != store_status::kDone) return RetryCancel(current);
                                Log(site_event::kCancelTaken, *current, "");
                                hooks_.tell_cancel(current->id);
-                               Answer(*current, front_status::kOk, "{}");
+                               Answer(*current, http_status::kOk, "{}");
                              }));
   }
 
@@ -283,7 +284,7 @@
       return;
     }
     Log(site_event::kCancelRefused, *current, "why=store_unavailable");
-    Answer(*current, front_status::kUnsettled, Platform::EncodeError("unsettled"));
+    Answer(*current, http_status::kUnsettled, Platform::EncodeError("unsettled"));
   }
 
   // --- state -------------------------------------------------------------------------------------
@@ -298,25 +299,25 @@
   void Tell(const shared_call& current, graph_phase phase, const char* source) {
     Log(site_event::kStateTold, *current,
         absl::StrCat("phase=", std::string(ToText(phase)), " source=", source));
-    Answer(*current, front_status::kOk, Platform::EncodePhase(phase));
+    Answer(*current, http_status::kOk, Platform::EncodePhase(phase));
   }
 
   // The owner does not answer, or has not heard of the job yet: the records say it.
   void ReadState(const shared_call& current) {
-    platform_.Store().Get(kJobPrefix + current->id, Here([this, current](const store_reply& reply) {
-                            if (reply.status == store_status::kAbsent) {
-                              Log(site_event::kStateTold, *current, "phase=none source=store");
-                              return Answer(*current, front_status::kGone,
-                                            Platform::EncodeError("no_such_job"));
-                            }
-                            if (reply.status != store_status::kDone) return RetryState(current);
-                            ReadProgress(current, reply.items.front().value);
-                          }));
+    platform_.Store().Get(
+        kJobPrefix + current->id, OnLoop([this, current](const store_reply& reply) {
+          if (reply.status == store_status::kAbsent) {
+            Log(site_event::kStateTold, *current, "phase=none source=store");
+            return Answer(*current, http_status::kGone, Platform::EncodeError("no_such_job"));
+          }
+          if (reply.status != store_status::kDone) return RetryState(current);
+          ReadProgress(current, reply.items.front().value);
+        }));
   }
 
   void ReadProgress(const shared_call& current, const std::string& job_text) {
     platform_.Store().Get(kProgressPrefix + current->id,
-                          Here([this, current, job_text](const store_reply& reply) {
+                          OnLoop([this, current, job_text](const store_reply& reply) {
                             const bool absent = reply.status == store_status::kAbsent;
                             if (reply.status != store_status::kDone && !absent)
                               return RetryState(current);
@@ -346,20 +347,20 @@
       return;
     }
     Log(site_event::kStateRefused, *current, "why=store_unavailable");
-    Answer(*current, front_status::kUnavailable, Platform::EncodeError("store_unavailable"));
+    Answer(*current, http_status::kUnavailable, Platform::EncodeError("store_unavailable"));
   }
 
   // --- how many wait -----------------------------------------------------------------------------
 
   void TellPending(const shared_call& current) {
     hooks_.pending(current->queue->name, [this, current](std::optional<size_t> pending) {
-      if (pending) return Answer(*current, front_status::kOk, Platform::EncodePending(*pending));
+      if (pending) return Answer(*current, http_status::kOk, Platform::EncodePending(*pending));
       if (BootNow() - current->arrived < answer_within_) {
         loop_.After(kStoreRetry, [this, current] { TellPending(current); });
         return;
       }
       Log(site_event::kStateRefused, *current, "why=no_owner");
-      Answer(*current, front_status::kUnavailable, Platform::EncodeError("no_owner"));
+      Answer(*current, http_status::kUnavailable, Platform::EncodeError("no_owner"));
     });
   }
 
@@ -369,9 +370,9 @@
   site_log& log_;
   site_metrics& numbers_;
   std::chrono::milliseconds answer_within_;
-  front_hooks hooks_;
+  frontend_hooks hooks_;
 };
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_CALLER_FRONT_H_
+#endif  // CATKINFORD_PROCESS_SITE_CALLER_FRONTEND_H_
--- a/src/process/site/event_loop.cc
+++ b/src/process/site/event_loop.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kLongestWait{200};
+constexpr milliseconds kMaxWait{200};
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   return std::chrono::time_point_cast<milliseconds>(std::chrono::system_clock::now());
 }
 
-event_loop::event_loop(size_t capacity) : ring_(capacity) {}
+event_loop::event_loop(size_t capacity) : posted_(capacity) {}
 
 event_loop::~event_loop() { Stop(); }
 
@@ -32,26 +32,26 @@
   thread_ = std::thread([this] { Run(); });
 }
 
-void event_loop::Post(work task) { ring_.Push(std::move(task)); }
+void event_loop::Post(work task) { posted_.Push(std::move(task)); }
 
-bool event_loop::TryPost(work task) { return ring_.TryPush(std::move(task)); }
+bool event_loop::TryPost(work task) { return posted_.TryPush(std::move(task)); }
 
 void event_loop::After(milliseconds delay, work task) {
   timers_.push({BootNow() + delay, next_order_++, std::move(task)});
 }
 
 void event_loop::Stop() {
-  ring_.Close();
+  posted_.Close();
   if (thread_.joinable()) thread_.join();
 }
 
-milliseconds event_loop::UntilDue() const {
-  if (timers_.empty()) return kLongestWait;
+milliseconds event_loop::TimeToNextTimer() const {
+  if (timers_.empty()) return kMaxWait;
   const auto left = std::chrono::ceil<milliseconds>(timers_.top().due - BootNow());
-  return std::clamp(left, milliseconds{0}, kLongestWait);
+  return std::clamp(left, milliseconds{0}, kMaxWait);
 }
 
-void event_loop::RunDue() {
+void event_loop::RunDueTimers() {
   const monotonic_time now = BootNow();
   if (!timers_.empty() && timers_.top().due <= now) {
     delay_.Note(std::chrono::duration_cast<milliseconds>(now - timers_.top().due), now);
@@ -65,10 +65,10 @@
 
 void event_loop::Run() {
   std::vector<work> batch;
-  while (ring_.PopAll(batch, UntilDue())) {
+  while (posted_.PopAll(batch, TimeToNextTimer())) {
     for (work& task : batch) task();
     batch.clear();
-    RunDue();
+    RunDueTimers();
   }
 }
 
--- a/src/process/site/event_loop.h
+++ b/src/process/site/event_loop.h
@@ -47,7 +47,7 @@
   void Stop();
   // Takes `done`, to be called on another thread, to the loop's thread.
   template <typename... Args>
-  std::function<void(Args...)> Here(std::function<void(Args...)> done) {
+  std::function<void(Args...)> OnLoop(std::function<void(Args...)> done) {
     return [this, done = std::move(done)](Args... args) mutable {
       Post([done, ... held = std::move(args)]() mutable { done(std::move(held)...); });
     };
@@ -64,10 +64,10 @@
   };
 
   void Run();
-  void RunDue();
-  std::chrono::milliseconds UntilDue() const;
+  void RunDueTimers();
+  std::chrono::milliseconds TimeToNextTimer() const;
 
-  bounded_ring<work> ring_;
+  bounded_ring<work> posted_;
   std::priority_queue<timed_work> timers_;
   uint64_t next_order_ = 0;
   recent_delay delay_;
--- a/src/process/site/owner_suspicion.h
+++ b/src/process/site/owner_failure_detector.h
@@ -8,8 +8,8 @@
 //
 // A busy owner is silent too: on a narrow link its answers wait behind its work. One that said so,
 // or whose changes go on arriving at the store, is left to its lease.
-#ifndef CATKINFORD_PROCESS_SITE_OWNER_SUSPICION_H_
-#define CATKINFORD_PROCESS_SITE_OWNER_SUSPICION_H_
+#ifndef CATKINFORD_PROCESS_SITE_OWNER_FAILURE_DETECTOR_H_
+#define CATKINFORD_PROCESS_SITE_OWNER_FAILURE_DETECTOR_H_
 
 #include <chrono>
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 namespace catkinford {
 
-enum class alive_answer : uint8_t {
+enum class liveness : uint8_t {
   kAlive,
   kBusy,          // alive, and has more to do than it bears
   kOtherProcess,  // a later process at the same address
@@ -29,35 +29,35 @@
   kSilent         // no answer in time
 };
 
-class owner_suspicion {
+class owner_failure_detector {
  public:
   // Another owner is watched from now on.
   void Watch(uint64_t epoch, monotonic_time now);
-  void OnAnswer(alive_answer answer, monotonic_time now);
+  void OnAnswer(liveness answer, monotonic_time now);
   // The revision of the owner's last change at the store, 0 for none, read because its process was
   // silent.
-  void OnChange(uint64_t revision, monotonic_time now);
+  void OnCommit(uint64_t revision, monotonic_time now);
   bool Suspected(monotonic_time now) const;
   // Nothing says that the process is gone: it may be out of reach, or busy.
-  bool OnlySilent() const;
+  bool OnlyTimeouts() const;
   // Until the next question. Short after a refusal: the second one decides.
-  std::chrono::milliseconds Pause() const;
+  std::chrono::milliseconds QueryInterval() const;
 
  private:
   uint64_t epoch_ = 0;
-  monotonic_time heard_{};
-  uint32_t refused_ = 0;  // in a row
-  uint32_t silent_ = 0;   // in a row
+  monotonic_time last_answer_{};
+  uint32_t refusals_ = 0;  // in a row
+  uint32_t timeouts_ = 0;  // in a row
   bool replaced_ = false;
-  bool busy_ = false;               // as it last said
-  std::optional<uint64_t> change_;  // the owner's last one that was read
-  monotonic_time change_since_{};   // it was first read then
+  bool busy_ = false;                             // as it last said
+  std::optional<uint64_t> last_commit_revision_;  // the owner's last one that was read
+  monotonic_time last_commit_seen_{};             // it was first read then
 };
 
 // What other entries answer when they are asked to look for themselves: one that reaches the owner
 // suffices to drop the suspicion, and nobody's answer means that the asker may be the one cut off.
-bool SuspicionShared(const std::vector<alive_answer>& answers);
+bool SuspicionConfirmed(const std::vector<liveness>& answers);
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_OWNER_SUSPICION_H_
+#endif  // CATKINFORD_PROCESS_SITE_OWNER_FAILURE_DETECTOR_H_
--- a/src/process/site/owner_history.h
+++ b/src/process/site/owner_history.h
@@ -21,19 +21,19 @@
   void OnSeen(const owner_word& owner, monotonic_time now) {
     if (owner.epoch == epoch_) return;
     epoch_ = owner.epoch;
-    early_ = owner.early;
-    since_ = now;
+    claimed_early_ = owner.early;
+    first_seen_ = now;
   }
 
   // Of the owners before the last one that was seen. `lease`: of an owner.
   bool EarlierMayAct(std::chrono::milliseconds lease, monotonic_time now) const {
-    return early_ && now < since_ + lease;
+    return claimed_early_ && now < first_seen_ + lease;
   }
 
  private:
   uint64_t epoch_ = 0;
-  bool early_ = false;
-  monotonic_time since_{};  // this entry knows of it
+  bool claimed_early_ = false;
+  monotonic_time first_seen_{};  // this entry knows of it
 };
 
 }  // namespace catkinford
--- a/src/process/site/payload_cache.h
+++ b/src/process/site/payload_cache.h
@@ -18,13 +18,13 @@
 
   void Put(const std::string& job, const std::string& payload) {
     if (!payloads_.try_emplace(job, payload).second) return;
-    order_.push_back(job);
+    insertion_order_.push_back(job);
     bytes_ += payload.size();
     while (bytes_ > limit_) {
-      const auto oldest = payloads_.find(order_.front());
+      const auto oldest = payloads_.find(insertion_order_.front());
       bytes_ -= oldest->second.size();
       payloads_.erase(oldest);
-      order_.pop_front();
+      insertion_order_.pop_front();
     }
   }
   // Null: not here. Good until the next Put().
@@ -36,7 +36,7 @@
  private:
   size_t limit_;
   size_t bytes_ = 0;
-  std::deque<std::string> order_;  // the oldest first
+  std::deque<std::string> insertion_order_;  // the oldest first
   absl::flat_hash_map<std::string, std::string> payloads_;
 };
 
--- a/src/process/site/peer_words.cc
+++ b/src/process/site/peer_words.cc
@@ -110,15 +110,13 @@
   });
 }
 
-std::string LookToText(alive_answer answer) {
-  return json{{"owner", static_cast<int>(answer)}}.dump();
-}
+std::string LookToText(liveness answer) { return json{{"owner", static_cast<int>(answer)}}.dump(); }
 
-std::optional<alive_answer> LookFromText(std::string_view text) {
+std::optional<liveness> LookFromText(std::string_view text) {
   const auto owner =
       Parse<int>(text, [](const json& in, int& out) { out = in.at("owner").get<int>(); });
-  if (!owner || *owner < 0 || *owner > static_cast<int>(alive_answer::kSilent)) return std::nullopt;
-  return static_cast<alive_answer>(*owner);
+  if (!owner || *owner < 0 || *owner > static_cast<int>(liveness::kSilent)) return std::nullopt;
+  return static_cast<liveness>(*owner);
 }
 
 std::string OwnerWitnessToText(const owner_witness& witness) {
--- a/src/process/site/peer_words.h
+++ b/src/process/site/peer_words.h
@@ -29,7 +29,7 @@
 
 #include "process/scheduling/graph_state.h"
 #include "process/scheduling/scheduler_messages.h"
-#include "process/site/owner_suspicion.h"
+#include "process/site/owner_failure_detector.h"
 #include "process/site/version_plan.h"
 
 namespace catkinford {
@@ -89,8 +89,8 @@
 std::optional<told_version> ToldVersionFromText(std::string_view text);
 std::string AliveToText(const told_alive& alive);
 std::optional<told_alive> AliveFromText(std::string_view text);
-std::string LookToText(alive_answer answer);
-std::optional<alive_answer> LookFromText(std::string_view text);
+std::string LookToText(liveness answer);
+std::optional<liveness> LookFromText(std::string_view text);
 std::string OwnerWitnessToText(const owner_witness& witness);
 std::optional<owner_witness> OwnerWitnessFromText(std::string_view text);
 // True when the witness rules out starts without records whose leases still hold.
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -21,7 +21,7 @@
 #include "process/site/event_loop.h"
 #include "process/site/owner_history.h"
 #include "process/site/site_log.h"
-#include "process/site/site_ports.h"
+#include "process/site/site_platform.h"
 #include "process/site/site_records.h"
 #include "process/site/store_health.h"
 
@@ -104,7 +104,7 @@
     if (owns_) Lose("resigned");
     if (lease_.empty()) return done();
     store_.EndLease(std::exchange(lease_, {}),
-                    Here([done = std::move(done)](const store_reply&) { done(); }));
+                    OnLoop([done = std::move(done)](const store_reply&) { done(); }));
   }
 
   // The owner of this epoch is dead, as this entry and others see it: its lease is not waited for.
@@ -160,7 +160,7 @@
   // A weak owner goes on this long beside a strong entry: one that just started may end again.
   static constexpr std::chrono::milliseconds kYieldAfter{2000};
 
-  store_callback Here(std::function<void(const store_reply&)> done) {
+  store_callback OnLoop(std::function<void(const store_reply&)> done) {
     const uint64_t call = health_.Sent(BootNow());
     return [this, call, done = std::move(done)](store_reply reply) {
       loop_.Post([this, call, done, reply = std::move(reply)] {
@@ -197,7 +197,7 @@
     keep_in_flight_ = true;
     keep_sent_ = sent;
     if (lease_.empty()) {
-      store_.GrantLease(ttl_, Here([this, sent](const store_reply& reply) {
+      store_.GrantLease(ttl_, OnLoop([this, sent](const store_reply& reply) {
                           keep_in_flight_ = false;
                           if (reply.status != store_status::kDone || resigning_) return;
                           lease_ = reply.lease;
@@ -206,7 +206,7 @@
                         }));
       return;
     }
-    store_.KeepLease(lease_, Here([this, sent, kept = lease_](const store_reply& reply) {
+    store_.KeepLease(lease_, OnLoop([this, sent, kept = lease_](const store_reply& reply) {
                        keep_in_flight_ = false;
                        if (kept != lease_) return;
                        if (reply.status == store_status::kDone) kept_ = std::max(kept_, sent);
@@ -226,7 +226,7 @@
   void Register() {
     store_write write;
     write.puts.push_back({kEntryPrefix + self_.name, EntryToText(self_), lease_});
-    store_.Commit(write, Here([this, lease = lease_](const store_reply& reply) {
+    store_.Commit(write, OnLoop([this, lease = lease_](const store_reply& reply) {
                     if (reply.status == store_status::kDone || lease != lease_ || resigning_) {
                       if (reply.status == store_status::kDone && lease == lease_) {
                         registered_ = BootNow();
@@ -244,7 +244,7 @@
     if (reading_ || resigning_) return;
     reading_ = true;
     const uint64_t watch = ++watch_number_;
-    store_.Range(kSitePrefix, "", Here([this, watch](const store_reply& reply) {
+    store_.Range(kSitePrefix, "", OnLoop([this, watch](const store_reply& reply) {
                    reading_ = false;
                    if (watch != watch_number_) return;
                    const bool old =
@@ -331,8 +331,8 @@
     write.puts.push_back({kOwnerKey, OwnerToText(word), lease_});
     write.puts.push_back({kEpochKey, absl::StrCat(word.epoch), {}});
     claim_pending_ = true;
-    store_.Commit(write, Here([this, word, early, others,
-                               previous = previous_seen_](const store_reply& reply) {
+    store_.Commit(write, OnLoop([this, word, early, others,
+                                 previous = previous_seen_](const store_reply& reply) {
                     claim_pending_ = false;
                     if (reply.status != store_status::kDone || resigning_) {
                       loop_.After(kRetry, [this] { ReadView(); });
@@ -376,7 +376,7 @@
     stronger_since_ = monotonic_time::max();
     registered_ = monotonic_time::max();
     Lose("a much stronger entry is there");
-    store_.EndLease(std::exchange(lease_, {}), Here([](const store_reply&) {}));
+    store_.EndLease(std::exchange(lease_, {}), OnLoop([](const store_reply&) {}));
     keep_in_flight_ = false;
     Keep();
   }
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -21,21 +21,21 @@
 #include "connection/http_client.h"
 #include "connection/http_server.h"
 #include "process/site/advice_spread.h"
-#include "process/site/caller_front.h"
+#include "process/site/caller_frontend.h"
 #include "process/site/event_loop.h"
 #include "process/site/owner_budget.h"
-#include "process/site/owner_suspicion.h"
+#include "process/site/owner_failure_detector.h"
 #include "process/site/peer_words.h"
 #include "process/site/site_log.h"
 #include "process/site/site_membership.h"
 #include "process/site/site_metrics.h"
 #include "process/site/site_owner.h"
-#include "process/site/site_ports.h"
+#include "process/site/site_platform.h"
 #include "process/site/site_settings.h"
-#include "process/site/start_carrier.h"
-#include "process/site/start_relay.h"
+#include "process/site/start_dispatcher.h"
+#include "process/site/start_forwarder.h"
 #include "process/site/store_health.h"
-#include "process/site/takeover_spacing.h"
+#include "process/site/takeover_backoff.h"
 #include "process/site/text_ration.h"
 #include "process/site/version_follow.h"
 
@@ -68,7 +68,7 @@
  private:
   static constexpr size_t kLoopCapacity = 65536;
   // Answers to callers, within the shortest time that callers wait for one.
-  static constexpr std::chrono::milliseconds kAnswerWithin{2300};
+  static constexpr std::chrono::milliseconds kAnswerTimeout{2300};
   static constexpr std::chrono::milliseconds kPeerTimeout{400};
   // Between two bytes of a peer's answer: a configuration takes a narrow link a second and more.
   static constexpr std::chrono::milliseconds kPeerStall{1000};
@@ -93,10 +93,10 @@
   using peer_answer = std::function<void(const std::optional<std::string>&)>;
 
   http_server_options OptionsFor(const std::string& address, uint16_t port) const;
-  front_hooks FrontHooks();
+  frontend_hooks FrontendHooks();
   membership_hooks MembershipHooks();
   version_hooks VersionHooks();
-  relay_hooks RelayHooks();
+  dispatcher_hooks DispatcherHooks();
   owner_hooks OwnerHooks();
   // As of now.
   const owner_budget& Budget(monotonic_time now);
@@ -126,9 +126,9 @@
   void JudgeOutage(const std::function<void(outage_verdict)>& done);
   // Watching the owner's process.
   void WatchOwner();
-  void LookAt(const site_entry& process, const std::function<void(alive_answer)>& done);
+  void LookAt(const site_entry& process, const std::function<void(liveness)>& done);
   void LookAtPrevious(int tries);
-  void LookAtOwner(const std::function<void(alive_answer)>& done);
+  void LookAtOwner(const std::function<void(liveness)>& done);
   void ReadOwnersChange(uint64_t epoch);
   void JudgeOwner(uint64_t epoch);
   void OnSuspected(uint64_t epoch);
@@ -151,18 +151,18 @@
   store_health store_health_;
   site_membership<std::remove_reference_t<decltype(std::declval<Platform>().Store())>> membership_;
   version_follow<Platform> versions_;
-  caller_front<Platform> front_;
+  caller_frontend<Platform> front_;
   owner_budget budget_;
-  start_relay<Platform> relay_;      // of this entry's starts, while it owns the site
-  start_carrier<Platform> carrier_;  // of another owner's
+  start_dispatcher<Platform> relay_;   // of this entry's starts, while it owns the site
+  start_forwarder<Platform> carrier_;  // of another owner's
   advice_spread advice_;
   std::shared_ptr<site_owner<Platform>> owner_;
   std::map<std::string, bool> peer_silent_;
   text_ration texts_;  // of the configuration, for other entries
   absl::BitGen random_;
   bool ask_strong_ = false;  // entries for the configuration: any and strong ones by turns
-  owner_suspicion suspicion_;
-  takeover_spacing spacing_;
+  owner_failure_detector suspicion_;
+  takeover_backoff spacing_;
   bool asking_others_ = false;    // whether they see the owner dead too
   uint64_t witnessed_epoch_ = 0;  // of the ownership for which a witness was found
   std::optional<monotonic_time> outage_confirmed_;  // when this entry last told an owner of one
@@ -194,15 +194,15 @@
           std::max(settings_.timing.owner_lease, settings_.platform.shortest_lease),
           settings_.timing.watch_wait, MembershipHooks()),
       versions_(platform, loop_, log_, numbers_, settings_.bounds.config_limit, VersionHooks()),
-      front_(platform, store_health_, loop_, log_, numbers_, kAnswerWithin, FrontHooks()),
+      front_(platform, store_health_, loop_, log_, numbers_, kAnswerTimeout, FrontendHooks()),
       budget_(settings_.machine.link_mbps, settings_.machine.cpu_share),
-      relay_(platform, starts, budget_, loop_, log_, membership_.Self().address, RelayHooks()),
+      relay_(platform, starts, budget_, loop_, log_, membership_.Self().address, DispatcherHooks()),
       carrier_(platform, starts, loop_, log_, [this] { return membership_.View().epoch; }),
       texts_(settings_.machine.link_mbps) {}
 
 template <site_platform Platform>
-front_hooks site_node<Platform>::FrontHooks() {
-  front_hooks hooks;
+frontend_hooks site_node<Platform>::FrontendHooks() {
+  frontend_hooks hooks;
   hooks.entry = settings_.name;
   hooks.version = [this] { return versions_.Version(); };
   hooks.trust = [this](monotonic_time now) { return versions_.Trust(now); };
@@ -223,15 +223,15 @@
     TellOwner(absl::StrCat(kPeerCancelPath, "?id=", id), {});
   };
   hooks.keep_payload = [this](const std::string& id, const std::string& payload) {
-    carrier_.Keep(id, payload);
+    carrier_.CachePayload(id, payload);
   };
   hooks.stopping = [this] { return stopping_.load(); };
   return hooks;
 }
 
 template <site_platform Platform>
-relay_hooks site_node<Platform>::RelayHooks() {
-  relay_hooks hooks;
+dispatcher_hooks site_node<Platform>::DispatcherHooks() {
+  dispatcher_hooks hooks;
   hooks.address = [this](const std::string& name) {
     const auto found = membership_.View().entries.find(name);
     return found == membership_.View().entries.end() ? std::string() : found->second.address;
@@ -379,7 +379,7 @@
   });
   if (taken) return;
   http_response busy;
-  busy.status = front_status::kUnavailable;
+  busy.status = http_status::kUnavailable;
   busy.body = Platform::EncodeError("overloaded");
   busy.retry_after = std::chrono::seconds(1);
   callers_->Respond(token, std::move(busy));
@@ -388,7 +388,7 @@
 template <site_platform Platform>
 void site_node<Platform>::OnReady(http_server::token token) {
   http_response response;
-  response.status = ready_ ? front_status::kOk : front_status::kUnavailable;
+  response.status = ready_ ? http_status::kOk : http_status::kUnavailable;
   response.body = "{}";
   readiness_->Respond(token, std::move(response));
 }
@@ -409,7 +409,7 @@
   }
   const bool taken =
       loop_.TryPost([this, token, request = std::move(request)] { AnswerPeer(token, request); });
-  if (!taken) peer_server_->Respond(token, {.status = front_status::kUnavailable});
+  if (!taken) peer_server_->Respond(token, {.status = http_status::kUnavailable});
 }
 
 template <site_platform Platform>
@@ -432,7 +432,7 @@
   } else if (request.path == kPeerWitnessPath) {
     response.body = OwnerWitnessToText(Witness());
   } else if (request.path == kPeerLookPath) {
-    return LookAtOwner([this, token](alive_answer answer) {
+    return LookAtOwner([this, token](liveness answer) {
       peer_server_->Respond(token, {.body = LookToText(answer)});
     });
   } else if (request.path == kPeerVersionPath) {
@@ -444,13 +444,13 @@
   } else if (request.path == kPeerAdvisePath) {
     return AdviseFor(token, request);
   } else if (request.path == kPeerStartPath) {
-    return carrier_.Carry(request.body, [this, token](http_response answer) {
+    return carrier_.Forward(request.body, [this, token](http_response answer) {
       peer_server_->Respond(token, std::move(answer));
     });
   } else if (request.path == kPeerStartedPath) {
     relay_.OnStarted(request.body);
   } else {
-    response.status = front_status::kNotFound;
+    response.status = http_status::kNotFound;
   }
   peer_server_->Respond(token, std::move(response));
 }
@@ -458,7 +458,7 @@
 template <site_platform Platform>
 void site_node<Platform>::AdviseFor(http_server::token token, const http_request& request) {
   const auto question = PeerQuestionFromText(request.body);
-  if (!question) return peer_server_->Respond(token, {.status = front_status::kBadRequest});
+  if (!question) return peer_server_->Respond(token, {.status = http_status::kBadRequest});
   platform_.Advisor().Ask(question->order, question->timeout,
                           [this, token](const advice_answer& answer) {
                             peer_server_->Respond(token, {.body = PeerAdviceToText(answer)});
@@ -524,16 +524,16 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::LookAtOwner(const std::function<void(alive_answer)>& done) {
+void site_node<Platform>::LookAtOwner(const std::function<void(liveness)>& done) {
   const site_entry* owner = Owner();
-  if (owner == nullptr) return done(alive_answer::kAlive);  // nobody, or this entry
+  if (owner == nullptr) return done(liveness::kAlive);  // nobody, or this entry
   LookAt(*owner, done);
 }
 
 // One question to another entry's process.
 template <site_platform Platform>
 void site_node<Platform>::LookAt(const site_entry& process,
-                                 const std::function<void(alive_answer)>& done) {
+                                 const std::function<void(liveness)>& done) {
   http_call call;
   call.url = absl::StrCat("http://", process.address, kPeerAlivePath);
   call.timeout = kAliveTimeout;
@@ -542,11 +542,11 @@
     loop_.Post([done, asked, nonce, result = std::move(result)] {
       if (result.status == transfer_status::kDone) {
         const auto alive = AliveFromText(result.body);
-        if (!alive || alive->nonce != nonce) return done(alive_answer::kOtherProcess);
-        return done(alive->busy ? alive_answer::kBusy : alive_answer::kAlive);
+        if (!alive || alive->nonce != nonce) return done(liveness::kOtherProcess);
+        return done(alive->busy ? liveness::kBusy : liveness::kAlive);
       }
       const bool refused = BootNow() - asked < kRefusedWithin;
-      done(refused ? alive_answer::kRefused : alive_answer::kSilent);
+      done(refused ? liveness::kRefused : liveness::kSilent);
     });
   });
 }
@@ -558,14 +558,14 @@
   };
   const bool watches = WatchesOwner(membership_.View(), settings_.name) && !stopping_ &&
                        store_health_.State(BootNow()) == store_state::kUp;
-  if (!watches) return again(suspicion_.Pause());
+  if (!watches) return again(suspicion_.QueryInterval());
   const uint64_t epoch = membership_.View().owner->epoch;
   suspicion_.Watch(epoch, BootNow());
-  LookAtOwner([this, epoch, again](alive_answer answer) {
+  LookAtOwner([this, epoch, again](liveness answer) {
     suspicion_.OnAnswer(answer, BootNow());
-    if (answer == alive_answer::kSilent) ReadOwnersChange(epoch);
+    if (answer == liveness::kSilent) ReadOwnersChange(epoch);
     JudgeOwner(epoch);
-    again(suspicion_.Pause());
+    again(suspicion_.QueryInterval());
   });
 }
 
@@ -579,7 +579,7 @@
       const bool told =
           reply.status == store_status::kDone || reply.status == store_status::kAbsent;
       if (!same || !told) return;
-      suspicion_.OnChange(reply.items.empty() ? 0 : reply.items.front().revision, BootNow());
+      suspicion_.OnCommit(reply.items.empty() ? 0 : reply.items.front().revision, BootNow());
       JudgeOwner(epoch);
     });
   });
@@ -589,7 +589,7 @@
 void site_node<Platform>::JudgeOwner(uint64_t epoch) {
   const monotonic_time now = BootNow();
   if (!suspicion_.Suspected(now)) return;
-  if (suspicion_.OnlySilent() && !spacing_.SilenceSuffices(now)) return;
+  if (suspicion_.OnlyTimeouts() && !spacing_.MayTakeOverOnSilence(now)) return;
   OnSuspected(epoch);
 }
 
@@ -598,7 +598,7 @@
 void site_node<Platform>::OnSuspected(uint64_t epoch) {
   if (std::exchange(asking_others_, true)) return;
   log_.Write(site_event::kOwnerSuspected, BootNow(),
-             absl::StrCat("epoch=", epoch, " only_silent=", suspicion_.OnlySilent()));
+             absl::StrCat("epoch=", epoch, " only_silent=", suspicion_.OnlyTimeouts()));
   std::vector<site_entry> others;
   std::set<std::string> domains;
   for (const bool fresh_domain : {true, false}) {
@@ -612,7 +612,7 @@
     asking_others_ = false;
     return;
   }
-  auto answers = std::make_shared<std::vector<alive_answer>>();
+  auto answers = std::make_shared<std::vector<liveness>>();
   auto left = std::make_shared<size_t>(others.size());
   for (const site_entry& other : others) {
     AskPeer(other, kPeerLookPath,
@@ -621,7 +621,7 @@
               if (seen) answers->push_back(*seen);
               if (--*left > 0) return;
               asking_others_ = false;
-              const bool shared = SuspicionShared(*answers);
+              const bool shared = SuspicionConfirmed(*answers);
               log_.Write(
                   site_event::kOwnerSuspected, BootNow(),
                   absl::StrCat("epoch=", epoch, " answers=", answers->size(), " shared=", shared));
@@ -645,7 +645,7 @@
   };
   const uint64_t epoch = membership_.Epoch();
   hooks.start = [this, epoch](start_order order, const std::string& accepted_by,
-                              order_callback done) {
+                              command_callback done) {
     relay_.Send(std::move(order), accepted_by, epoch, std::move(done));
   };
   hooks.budget = [this](monotonic_time now) -> const owner_budget& { return Budget(now); };
@@ -654,7 +654,7 @@
 
 template <site_platform Platform>
 const owner_budget& site_node<Platform>::Budget(monotonic_time now) {
-  budget_.OnUse(link_.Total(), now);
+  budget_.OnTraffic(link_.Total(), now);
   overloaded_ = budget_.Overloaded();
   return budget_;
 }
@@ -685,10 +685,10 @@
     return owner_->OnEarlierOwnerDead();
   }
   const std::weak_ptr<site_owner<Platform>> weak = owner_;
-  LookAt(*previous, [this, weak, tries](alive_answer answer) {
+  LookAt(*previous, [this, weak, tries](liveness answer) {
     const auto owner = weak.lock();
     if (owner == nullptr || owner != owner_) return;
-    if (answer == alive_answer::kOtherProcess) return owner->OnEarlierOwnerDead();
+    if (answer == liveness::kOtherProcess) return owner->OnEarlierOwnerDead();
     loop_.After(kPreviousPause, [this, tries] { LookAtPrevious(tries - 1); });
   });
 }
@@ -766,7 +766,7 @@
   peers_.Send(std::move(call), [this, asked, name = peer.name,
                                 done = std::move(done)](http_result result) {
     loop_.Post([this, asked, name, done, result = std::move(result)] {
-      const bool good = result.status == transfer_status::kDone && result.code == front_status::kOk;
+      const bool good = result.status == transfer_status::kDone && result.code == http_status::kOk;
       bool& silent = peer_silent_[name];
       if (silent == good) {
         silent = !good;
@@ -936,7 +936,7 @@
   call.timeout = timeout + kPeerTimeout;
   peers_.Send(std::move(call), [this, finish](http_result result) {
     loop_.Post([finish, result = std::move(result)] {
-      const bool good = result.status == transfer_status::kDone && result.code == front_status::kOk;
+      const bool good = result.status == transfer_status::kDone && result.code == http_status::kOk;
       const auto answer = good ? PeerAdviceFromText(result.body) : std::nullopt;
       finish(answer.value_or(advice_answer{}));
     });
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -26,7 +26,7 @@
 #include "process/site/site_log.h"
 #include "process/site/site_membership.h"
 #include "process/site/site_metrics.h"
-#include "process/site/site_ports.h"
+#include "process/site/site_platform.h"
 #include "process/site/site_records.h"
 #include "process/site/site_settings.h"
 #include "request/packed_text.h"
@@ -47,7 +47,7 @@
   // A question to a queue's policy; answered by OnAdvice().
   std::function<void(advice_order)> ask_advice;
   // Brings a start to its instance, from here or by the entry that accepted the job.
-  std::function<void(start_order, const std::string& accepted_by, order_callback)> start;
+  std::function<void(start_order, const std::string& accepted_by, command_callback)> start;
   // What this entry still bears.
   std::function<const owner_budget&(monotonic_time now)> budget;
 };
@@ -171,7 +171,7 @@
 
   // Brings an answer to the loop's thread, and drops it once this ownership is over.
   template <typename... Args>
-  std::function<void(Args...)> Here(std::function<void(self_type&, Args...)> done) {
+  std::function<void(Args...)> OnLoop(std::function<void(self_type&, Args...)> done) {
     std::weak_ptr<self_type> weak = this->weak_from_this();
     event_loop& loop = loop_;
     return [weak, &loop, done = std::move(done)](Args... args) {
@@ -182,10 +182,10 @@
     };
   }
   store_callback OnReply(std::function<void(self_type&, store_reply)> done) {
-    return Here<store_reply>(std::move(done));
+    return OnLoop<store_reply>(std::move(done));
   }
-  order_callback OnAnswer(std::function<void(self_type&, order_answer)> done) {
-    return Here<order_answer>(std::move(done));
+  command_callback OnAnswer(std::function<void(self_type&, order_answer)> done) {
+    return OnLoop<order_answer>(std::move(done));
   }
   void Later(std::chrono::milliseconds delay, std::function<void(self_type&)> task) {
     std::weak_ptr<self_type> weak = this->weak_from_this();
@@ -521,7 +521,7 @@
           self.Soon();
         };
     platform_.Instances().List(
-        order, epoch_, Here<std::optional<instance_listing>, order_result>(std::move(done)));
+        order, epoch_, OnLoop<std::optional<instance_listing>, order_result>(std::move(done)));
   }
 
   // --- storing -----------------------------------------------------------------------------------
@@ -544,7 +544,8 @@
     if (committing_ || now < next_commit_ || now < last_commit_ + pause) return;
     NoteFleet(now);
     const size_t most = Platform::kMostInOneChange - kOwnEntries;
-    std::vector<job_progress_write> writes = scheduler_.TakeUnstored(most, budget.RecordBytes());
+    std::vector<job_progress_write> writes =
+        scheduler_.TakeUnstored(most, budget.RecordBytesPerCommit());
     const bool declares = mode_.WantsDeclared();
     const bool withdraws = !declares && mode_.WantsWithdrawn(scheduler_.RecordsKnown());
     if (writes.empty() && !fleet_unstored_ && expired_.empty() && !declares && !withdraws) return;
--- a/src/process/site/site_ports.h
+++ b/src/process/site/site_platform.h
@@ -1,7 +1,7 @@
 // What a site needs from its platform, as concepts: an adapter for the users' platform and the
 // fakes of the tests both satisfy them.
-#ifndef CATKINFORD_PROCESS_SITE_SITE_PORTS_H_
-#define CATKINFORD_PROCESS_SITE_SITE_PORTS_H_
+#ifndef CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
+#define CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
 
 #include <chrono>
 #include <concepts>
@@ -27,7 +27,7 @@
 }
 
 using store_callback = std::function<void(store_reply)>;
-using order_callback = std::function<void(order_answer)>;
+using command_callback = std::function<void(order_answer)>;
 using listing_callback = std::function<void(std::optional<instance_listing>, order_result)>;
 using advice_callback = std::function<void(advice_answer)>;
 
@@ -48,7 +48,7 @@
 template <typename Endpoints>
 concept instance_endpoints =
     requires(Endpoints to, start_order start, stop_order stop, pace_order pace, list_order list,
-             uint64_t epoch, order_callback done, listing_callback listed) {
+             uint64_t epoch, command_callback done, listing_callback listed) {
       to.Start(start, epoch, done);
       to.Stop(stop, epoch, done);
       to.Pace(pace, epoch, done);
@@ -85,4 +85,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_SITE_PORTS_H_
+#endif  // CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
--- /dev/null
+++ b/src/process/site/start_dispatcher.h
@@ -0,0 +1,218 @@
+// The owner's starts on their way to instances, from this entry or through others.
+//
+// A start that another entry brings is an order like any other: it names the owner's epoch, the
+// instance's life and the end of its lease, so one that arrives late is refused by the instance.
+// The entry between adds that what became of it may never be heard: after a time it counts as
+// unanswered.
+#ifndef CATKINFORD_PROCESS_SITE_START_DISPATCHER_H_
+#define CATKINFORD_PROCESS_SITE_START_DISPATCHER_H_
+
+#include <chrono>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "absl/strings/str_cat.h"
+#include "connection/http_client.h"
+#include "process/site/event_loop.h"
+#include "process/site/http_status.h"
+#include "process/site/owner_budget.h"
+#include "process/site/site_log.h"
+#include "process/site/site_platform.h"
+#include "process/site/start_messages.h"
+#include "process/site/start_router.h"
+
+namespace catkinford {
+
+struct dispatcher_hooks {
+  // The address of an entry that lives, "ip:port"; empty: it does not.
+  std::function<std::string(const std::string& entry)> address;
+  // False once this entry no longer owns the site by this epoch.
+  std::function<bool(uint64_t epoch, monotonic_time now)> may_send;
+};
+
+template <site_platform Platform>
+class start_dispatcher {
+ public:
+  // `self`: this entry's address for results. `http`: calls that give starts away, and no others.
+  start_dispatcher(Platform& platform, http_client& http, owner_budget& budget, event_loop& loop,
+                   site_log& log, std::string own_address, dispatcher_hooks hooks)
+      : platform_(platform),
+        http_(http),
+        budget_(budget),
+        loop_(loop),
+        log_(log),
+        own_address_(std::move(own_address)),
+        hooks_(std::move(hooks)) {}
+
+  void SetEntries(std::vector<std::string> others) { route_.SetEntries(std::move(others)); }
+  // This ownership is over: what waits for an answer is nobody's any more.
+  void Clear() {
+    pending_.clear();
+    batches_.clear();
+  }
+
+  void Send(start_order command, const std::string& accepted_by, uint64_t epoch,
+            command_callback done) {
+    const monotonic_time now = BootNow();
+    const uint32_t group =
+        command.key.index / budget_.StartsPerGroup(command.payload.size() + kStartOverheadBytes);
+    const auto forwarder =
+        route_.ForwarderFor(command.key.job, accepted_by, group, budget_.Busy(), now);
+    if (!forwarder) return SendDirect(command, epoch, std::move(done));
+    budget_.OnStart(kForwardedBytes);
+    const uint64_t number = ++last_number_;
+    batches_[*forwarder].push_back(number);
+    pending_.emplace_hint(pending_.end(), number,
+                          pending_start{*forwarder, std::move(command), epoch, now,
+                                        now + kResultTimeout, std::move(done)});
+    if (!std::exchange(flush_planned_, true)) loop_.After(kBatchDelay, [this] { Flush(); });
+    if (!std::exchange(sweep_planned_, true))
+      loop_.After(kSweepInterval, [this] { SweepOverdue(); });
+  }
+
+  // What became of starts that were not answered at once.
+  void OnStarted(const std::string& text) {
+    const auto results = StartResultsFromText(text);
+    if (results) ApplyResults(*results);
+  }
+
+ private:
+  struct pending_start {
+    std::string forwarder;
+    start_order command;
+    uint64_t epoch = 0;
+    monotonic_time sent{};
+    monotonic_time due{};  // unheard by then, it counts as unanswered
+    command_callback done;
+  };
+
+  // Starts that are decided on together leave together.
+  static constexpr std::chrono::milliseconds kBatchDelay{2};
+  static constexpr std::chrono::milliseconds kSweepInterval{50};
+  // Longer than an order to an instance takes, with its way there and back.
+  static constexpr std::chrono::milliseconds kResultTimeout{1100};
+  // A carrier answers within 100 ms, whatever its instances do.
+  static constexpr std::chrono::milliseconds kMessageTimeout{500};
+  // Given back sooner than this, a start is still as it was decided on.
+  static constexpr std::chrono::milliseconds kReclaimLimit{250};
+  // Of a row, its part of the head and its result, about; a carrier on a narrow link is not given
+  // more at once than it can send in time.
+  static constexpr size_t kForwardedBytes = 330;
+  static constexpr size_t kStartOverheadBytes =
+      400;  // of a start's own call without the payload, about
+
+  void SendDirect(const start_order& command, uint64_t epoch, command_callback done) {
+    budget_.OnStart(command.payload.size() + kStartOverheadBytes);
+    platform_.Instances().Start(command, epoch, std::move(done));
+  }
+
+  void Flush() {
+    flush_planned_ = false;
+    for (const auto& [forwarder, numbers] : std::exchange(batches_, {}))
+      Forward(forwarder, numbers);
+  }
+
+  void Forward(const std::string& forwarder, const std::vector<uint64_t>& numbers) {
+    const std::string address = hooks_.address(forwarder);
+    if (address.empty()) return Reclaim(numbers);
+    forwarded_starts message{0, own_address_, {}};
+    for (const uint64_t number : numbers) {
+      const auto found = pending_.find(number);
+      if (found == pending_.end()) continue;
+      message.epoch = found->second.epoch;
+      message.starts.push_back({number, found->second.command});
+    }
+    if (message.starts.empty()) return;
+    http_call call;
+    call.method = "POST";
+    call.url = absl::StrCat("http://", address, kPeerStartPath);
+    call.body = ForwardedStartsToText(message);
+    call.timeout = kMessageTimeout;
+    const uint64_t sent = route_.Sent(forwarder, BootNow());
+    http_.Send(std::move(call), [this, sent, forwarder, numbers](const http_result& result) {
+      loop_.Post([this, sent, forwarder, numbers, result] {
+        OnForwarded(sent, forwarder, numbers, result);
+      });
+    });
+  }
+
+  void OnForwarded(uint64_t message, const std::string& forwarder,
+                   const std::vector<uint64_t>& numbers, const http_result& result) {
+    const bool answered = result.status == transfer_status::kDone;
+    const auto results = answered && result.code == http_status::kOk
+                             ? StartResultsFromText(result.body)
+                             : std::nullopt;
+    route_.OnAnswer(message, results.has_value(), BootNow());
+    if (results) return ApplyResults(*results);
+    log_.Write(site_event::kStartsNotCarried, BootNow(),
+               absl::StrCat("peer=", forwarder, " starts=", numbers.size(), " answered=", answered,
+                            " status=", result.code));
+    // It may have them, and tell yet what became of them; else they fall due.
+    if (!answered && result.status != transfer_status::kNotSent) return;
+    Reclaim(numbers);
+  }
+
+  void ApplyResults(const std::vector<start_result>& results) {
+    for (const start_result& result : results) {
+      auto node = pending_.extract(result.number);
+      if (node.empty()) continue;
+      if (result.sent) {
+        node.mapped().done(result.answer);
+      } else {
+        SendReclaimed(std::move(node.mapped()));
+      }
+    }
+  }
+
+  // These were surely not sent.
+  void Reclaim(const std::vector<uint64_t>& numbers) {
+    for (const uint64_t number : numbers) {
+      auto node = pending_.extract(number);
+      if (!node.empty()) SendReclaimed(std::move(node.mapped()));
+    }
+  }
+
+  void SendReclaimed(pending_start item) {
+    const monotonic_time now = BootNow();
+    if (now - item.sent > kReclaimLimit || !hooks_.may_send(item.epoch, now)) {
+      return item.done({order_result::kNotDone, std::nullopt});
+    }
+    SendDirect(item.command, item.epoch, std::move(item.done));
+  }
+
+  void SweepOverdue() {
+    sweep_planned_ = false;
+    const monotonic_time now = BootNow();
+    // All have the same time, so the first ones fall due first.
+    while (!pending_.empty() && pending_.begin()->second.due <= now) {
+      const pending_start item = std::move(pending_.extract(pending_.begin()).mapped());
+      route_.OnResultMissing(item.forwarder, now);
+      item.done({order_result::kUnknown, std::nullopt});
+    }
+    if (pending_.empty() || std::exchange(sweep_planned_, true)) return;
+    loop_.After(kSweepInterval, [this] { SweepOverdue(); });
+  }
+
+  Platform& platform_;
+  http_client& http_;
+  owner_budget& budget_;
+  event_loop& loop_;
+  site_log& log_;
+  std::string own_address_;
+  dispatcher_hooks hooks_;
+  start_router route_;
+  std::map<uint64_t, pending_start> pending_;             // by number
+  std::map<std::string, std::vector<uint64_t>> batches_;  // numbers to give away, by carrier
+  uint64_t last_number_ = 0;
+  bool flush_planned_ = false;
+  bool sweep_planned_ = false;
+};
+
+}  // namespace catkinford
+
+#endif  // CATKINFORD_PROCESS_SITE_START_DISPATCHER_H_
--- a/src/process/site/start_carrier.h
+++ b/src/process/site/start_forwarder.h
@@ -1,8 +1,8 @@
 // Brings starts of another entry, the owner, to instances, and tells it what became of them.
 //
 // Nothing is decided here: a start goes out at once with the payload of its job, or not at all.
-#ifndef CATKINFORD_PROCESS_SITE_START_CARRIER_H_
-#define CATKINFORD_PROCESS_SITE_START_CARRIER_H_
+#ifndef CATKINFORD_PROCESS_SITE_START_FORWARDER_H_
+#define CATKINFORD_PROCESS_SITE_START_FORWARDER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -17,23 +17,23 @@
 #include "connection/http_client.h"
 #include "connection/http_server.h"
 #include "process/site/event_loop.h"
-#include "process/site/front_status.h"
+#include "process/site/http_status.h"
 #include "process/site/payload_cache.h"
 #include "process/site/site_log.h"
-#include "process/site/site_ports.h"
+#include "process/site/site_platform.h"
 #include "process/site/site_records.h"
-#include "process/site/start_words.h"
+#include "process/site/start_messages.h"
 
 namespace catkinford {
 
 template <site_platform Platform>
-class start_carrier {
+class start_forwarder {
  public:
   using responder = std::function<void(http_response)>;
 
   // `http`: calls to owners. `epoch`: the highest that this entry has heard of.
-  start_carrier(Platform& platform, http_client& http, event_loop& loop, site_log& log,
-                std::function<uint64_t()> epoch)
+  start_forwarder(Platform& platform, http_client& http, event_loop& loop, site_log& log,
+                  std::function<uint64_t()> epoch)
       : platform_(platform),
         http_(http),
         loop_(loop),
@@ -42,25 +42,27 @@
         payloads_(kPayloadBytes) {}
 
   // The payload of a job that this entry is taking.
-  void Keep(const std::string& job, const std::string& payload) { payloads_.Put(job, payload); }
+  void CachePayload(const std::string& job, const std::string& payload) {
+    payloads_.Put(job, payload);
+  }
 
   // Answers when it is known what became of all starts, or after a while.
-  void Carry(const std::string& text, const responder& respond) {
-    auto message = GivenStartsFromText(text);
-    if (!message) return respond({.status = front_status::kBadRequest});
-    const auto all = std::make_shared<batch>();
-    all->owner = std::move(message->owner);
-    all->epoch = message->epoch;
-    all->left = message->starts.size();
-    all->respond = respond;
+  void Forward(const std::string& text, const responder& respond) {
+    auto message = ForwardedStartsFromText(text);
+    if (!message) return respond({.status = http_status::kBadRequest});
+    const auto incoming = std::make_shared<batch>();
+    incoming->owner = std::move(message->owner);
+    incoming->epoch = message->epoch;
+    incoming->missing = message->starts.size();
+    incoming->respond = respond;
     if (message->epoch < epoch_()) {
-      for (const given_start& start : message->starts) {
-        OnResult(all, {start.number, true, {order_result::kFenced, std::nullopt}});
+      for (const forwarded_start& start : message->starts) {
+        OnResult(incoming, {start.number, true, {order_result::kFenced, std::nullopt}});
       }
       return;
     }
-    for (given_start& start : message->starts) Start({all, std::move(start), BootNow()});
-    loop_.After(kAnswerWithin, [this, all] { Tell(all); });
+    for (forwarded_start& start : message->starts) Start({incoming, std::move(start), BootNow()});
+    loop_.After(kAnswerTimeout, [this, incoming] { Answer(incoming); });
   }
 
  private:
@@ -68,29 +70,29 @@
   struct batch {
     std::string owner;
     uint64_t epoch = 0;
-    size_t left = 0;    // without a result
-    responder respond;  // empty once it was answered
+    size_t missing = 0;  // without a result
+    responder respond;   // empty once it was answered
     std::vector<start_result> results;
-    bool told_later_planned = false;
+    bool report_scheduled = false;
   };
   using shared_batch = std::shared_ptr<batch>;
   struct waiting_start {
     shared_batch from;
-    given_start start;
-    monotonic_time came{};
+    forwarded_start start;
+    monotonic_time arrived{};
   };
 
   static constexpr size_t kPayloadBytes = size_t{2} << 20;
   // An instance answers within some 10 ms; one that does not must not hold up what is known of the
   // others.
-  static constexpr std::chrono::milliseconds kAnswerWithin{60};
-  static constexpr std::chrono::milliseconds kTellLater{10};
-  static constexpr std::chrono::milliseconds kTellTimeout{600};
+  static constexpr std::chrono::milliseconds kAnswerTimeout{60};
+  static constexpr std::chrono::milliseconds kReportDelay{10};
+  static constexpr std::chrono::milliseconds kReportTimeout{600};
   // A start whose payload took longer to read is left to the owner.
   static constexpr std::chrono::milliseconds kFetchLimit{250};
 
   void Start(waiting_start item) {
-    const std::string job = item.start.order.key.job;
+    const std::string job = item.start.command.key.job;
     if (const std::string* payload = payloads_.Find(job)) return SendStart(item, *payload);
     // This entry did not take the job, or was started since: one read serves all its tasks.
     std::vector<waiting_start>& waiting = fetching_[job];
@@ -99,9 +101,9 @@
   }
 
   void SendStart(waiting_start& item, const std::string& payload) {
-    item.start.order.payload = payload;
+    item.start.command.payload = payload;
     platform_.Instances().Start(
-        item.start.order, item.from->epoch,
+        item.start.command, item.from->epoch,
         [this, from = item.from, number = item.start.number](const order_answer& answer) {
           loop_.Post([this, from, number, answer] { OnResult(from, {number, true, answer}); });
         });
@@ -130,7 +132,7 @@
     if (node.empty()) return;
     const std::string* payload = payloads_.Find(job);
     for (waiting_start& item : node.mapped()) {
-      const bool late = BootNow() - item.came > kFetchLimit;
+      const bool late = BootNow() - item.arrived > kFetchLimit;
       if (payload == nullptr || late || item.from->epoch < epoch_()) {
         OnResult(item.from, {item.start.number, false, {}});
       } else {
@@ -141,24 +143,24 @@
 
   void OnResult(const shared_batch& from, const start_result& result) {
     from->results.push_back(result);
-    if (--from->left == 0 && from->respond) return Tell(from);
-    if (from->respond || std::exchange(from->told_later_planned, true)) return;
-    loop_.After(kTellLater, [this, from] { TellLater(from); });
+    if (--from->missing == 0 && from->respond) return Answer(from);
+    if (from->respond || std::exchange(from->report_scheduled, true)) return;
+    loop_.After(kReportDelay, [this, from] { ReportLate(from); });
   }
 
-  void Tell(const shared_batch& from) {
+  void Answer(const shared_batch& from) {
     if (!from->respond) return;
     std::exchange(from->respond,
                   nullptr)({.body = StartResultsToText(std::exchange(from->results, {}))});
   }
 
-  void TellLater(const shared_batch& from) {
-    from->told_later_planned = false;
+  void ReportLate(const shared_batch& from) {
+    from->report_scheduled = false;
     http_call call;
     call.method = "POST";
     call.url = absl::StrCat("http://", from->owner, kPeerStartedPath);
     call.body = StartResultsToText(std::exchange(from->results, {}));
-    call.timeout = kTellTimeout;
+    call.timeout = kReportTimeout;
     // Unheard, these starts count as unanswered, as they would without an entry between.
     http_.Send(std::move(call), [](const http_result&) {});
   }
@@ -174,4 +176,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_START_CARRIER_H_
+#endif  // CATKINFORD_PROCESS_SITE_START_FORWARDER_H_
--- a/src/process/site/start_words.cc
+++ b/src/process/site/start_messages.cc
@@ -1,4 +1,4 @@
-#include "process/site/start_words.h"
+#include "process/site/start_messages.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -23,19 +23,20 @@
   size_t at_ = 0;
 };
 
-json RowOf(const given_start& start) {
-  const start_order& order = start.order;
-  return {start.number,  order.to.instance,    order.to.address, order.to.incarnation,
-          order.key.job, order.key.occurrence, order.key.step,   order.key.index,
-          order.run,     order.lease_until_ms, order.checkpoint, order.ticket};
+json RowOf(const forwarded_start& start) {
+  const start_order& command = start.command;
+  return {start.number,    command.to.instance,    command.to.address, command.to.incarnation,
+          command.key.job, command.key.occurrence, command.key.step,   command.key.index,
+          command.run,     command.lease_until_ms, command.checkpoint, command.ticket};
 }
 
-given_start StartFrom(const json& row) {
-  given_start out;
-  start_order& order = out.order;
-  row_reader(row) >> out.number >> order.to.instance >> order.to.address >> order.to.incarnation >>
-      order.key.job >> order.key.occurrence >> order.key.step >> order.key.index >> order.run >>
-      order.lease_until_ms >> order.checkpoint >> order.ticket;
+forwarded_start StartFrom(const json& row) {
+  forwarded_start out;
+  start_order& command = out.command;
+  row_reader(row) >> out.number >> command.to.instance >> command.to.address >>
+      command.to.incarnation >> command.key.job >> command.key.occurrence >> command.key.step >>
+      command.key.index >> command.run >> command.lease_until_ms >> command.checkpoint >>
+      command.ticket;
   return out;
 }
 
@@ -47,17 +48,17 @@
 
 }  // namespace
 
-std::string GivenStartsToText(const given_starts& starts) {
+std::string ForwardedStartsToText(const forwarded_starts& starts) {
   json rows = json::array();
-  for (const given_start& start : starts.starts) rows.push_back(RowOf(start));
+  for (const forwarded_start& start : starts.starts) rows.push_back(RowOf(start));
   const json out{{"epoch", starts.epoch}, {"owner", starts.owner}, {"starts", std::move(rows)}};
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<given_starts> GivenStartsFromText(std::string_view text) {
+std::optional<forwarded_starts> ForwardedStartsFromText(std::string_view text) {
   const json in = json::parse(text, nullptr, false);
   if (!in.is_object()) return std::nullopt;
-  given_starts out;
+  forwarded_starts out;
   try {
     in.at("epoch").get_to(out.epoch);
     in.at("owner").get_to(out.owner);
--- a/src/process/site/start_words.h
+++ b/src/process/site/start_messages.h
@@ -4,8 +4,8 @@
 //   POST /peer/start     starts without the payload of their job; the answer says what became of
 //                        those that were answered soon
 //   POST /peer/started   what became of the others
-#ifndef CATKINFORD_PROCESS_SITE_START_WORDS_H_
-#define CATKINFORD_PROCESS_SITE_START_WORDS_H_
+#ifndef CATKINFORD_PROCESS_SITE_START_MESSAGES_H_
+#define CATKINFORD_PROCESS_SITE_START_MESSAGES_H_
 
 #include <cstdint>
 #include <optional>
@@ -20,14 +20,14 @@
 inline constexpr char kPeerStartPath[] = "/peer/start";
 inline constexpr char kPeerStartedPath[] = "/peer/started";
 
-struct given_start {
+struct forwarded_start {
   uint64_t number = 0;  // of the owner's; the result names it
-  start_order order;    // its payload is the carrier's to fill in
+  start_order command;  // its payload is the carrier's to fill in
 };
-struct given_starts {
+struct forwarded_starts {
   uint64_t epoch = 0;  // of the owner
   std::string owner;   // "ip:port": where late results go
-  std::vector<given_start> starts;
+  std::vector<forwarded_start> starts;
 };
 
 struct start_result {
@@ -37,11 +37,11 @@
 };
 
 // Parsing answers nothing for other text.
-std::string GivenStartsToText(const given_starts& starts);
-std::optional<given_starts> GivenStartsFromText(std::string_view text);
+std::string ForwardedStartsToText(const forwarded_starts& starts);
+std::optional<forwarded_starts> ForwardedStartsFromText(std::string_view text);
 std::string StartResultsToText(const std::vector<start_result>& results);
 std::optional<std::vector<start_result>> StartResultsFromText(std::string_view text);
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_START_WORDS_H_
+#endif  // CATKINFORD_PROCESS_SITE_START_MESSAGES_H_
--- a/src/process/site/takeover_spacing.h
+++ b/src/process/site/takeover_backoff.h
@@ -5,8 +5,8 @@
 // changes hands once a second, nothing starts, and it goes on after the load that began it is over.
 // Early takeovers for silence are spaced, longer after each one that came soon after another; an
 // owner that is gone for good is followed when its lease ends in any case.
-#ifndef CATKINFORD_PROCESS_SITE_TAKEOVER_SPACING_H_
-#define CATKINFORD_PROCESS_SITE_TAKEOVER_SPACING_H_
+#ifndef CATKINFORD_PROCESS_SITE_TAKEOVER_BACKOFF_H_
+#define CATKINFORD_PROCESS_SITE_TAKEOVER_BACKOFF_H_
 
 #include <algorithm>
 #include <chrono>
@@ -16,33 +16,33 @@
 
 namespace catkinford {
 
-class takeover_spacing {
+class takeover_backoff {
  public:
   // The store names the owner of this epoch.
   void OnOwner(uint64_t epoch, monotonic_time now) {
     if (epoch == epoch_) return;
     // The first one that is seen may have owned the site for long.
     if (epoch_ != 0) {
-      const bool soon = now - since_ < kQuiet;
-      pause_ = soon ? std::clamp(pause_ * 2, kShortest, kLongest) : kShortest;
+      const bool soon = now - owner_since_ < kQuietPeriod;
+      pause_ = soon ? std::clamp(pause_ * 2, kMinPause, kMaxPause) : kMinPause;
     }
     epoch_ = epoch;
-    since_ = now;
+    owner_since_ = now;
   }
   // Of the present owner.
-  bool SilenceSuffices(monotonic_time now) const { return now >= since_ + pause_; }
+  bool MayTakeOverOnSilence(monotonic_time now) const { return now >= owner_since_ + pause_; }
 
  private:
   // A loaded owner is done with its records and its first listings by then.
-  static constexpr std::chrono::milliseconds kShortest{3000};
-  static constexpr std::chrono::milliseconds kLongest{24000};
-  static constexpr std::chrono::milliseconds kQuiet{15000};
+  static constexpr std::chrono::milliseconds kMinPause{3000};
+  static constexpr std::chrono::milliseconds kMaxPause{24000};
+  static constexpr std::chrono::milliseconds kQuietPeriod{15000};
 
   uint64_t epoch_ = 0;
-  monotonic_time since_{};
+  monotonic_time owner_since_{};
   std::chrono::milliseconds pause_{0};  // nothing is known against the first owner
 };
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_TAKEOVER_SPACING_H_
+#endif  // CATKINFORD_PROCESS_SITE_TAKEOVER_BACKOFF_H_
--- a/src/process/site/version_follow.h
+++ b/src/process/site/version_follow.h
@@ -19,7 +19,7 @@
 #include "process/site/peer_words.h"
 #include "process/site/site_log.h"
 #include "process/site/site_metrics.h"
-#include "process/site/site_ports.h"
+#include "process/site/site_platform.h"
 #include "process/site/version_plan.h"
 
 namespace catkinford {
--- a/test/carried_starts_fleet_test.cc
+++ b/test/forwarded_starts_fleet_test.cc
@@ -44,7 +44,7 @@
     }
     return true;
   }
-  double StartsGiven(size_t at) {
+  double StartsForwarded(size_t at) {
     http_call call;
     call.url = absl::StrCat("http://127.0.0.1:", entries_[at]->metrics, "/metrics");
     const std::string text = http_.SendAndWait(call).body;
@@ -64,7 +64,7 @@
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
   CHECK(instances_.Starts().size() == kJobs * kTasks);
   CHECK(instances_.Doubles().empty());
-  CHECK(Eventually([&] { return StartsGiven(owner) > 0; }));
+  CHECK(Eventually([&] { return StartsForwarded(owner) > 0; }));
 }
 
 // Guards against jobs that wait for ever because the entry that holds their payload is gone.
--- a/test/owner_budget_test.cc
+++ b/test/owner_budget_test.cc
@@ -21,14 +21,14 @@
     constexpr milliseconds kStep{20};
     for (const monotonic_time end = now + time; now < end; now += kStep) {
       total.sent += bytes_per_second * static_cast<uint64_t>(kStep.count()) / 1000;
-      budget.OnUse(total, now);
+      budget.OnTraffic(total, now);
     }
   }
   void Call(owner_budget& budget, uint64_t calls_per_second, seconds time) {
     constexpr milliseconds kStep{20};
     for (const monotonic_time end = now + time; now < end; now += kStep) {
       total.calls += calls_per_second * static_cast<uint64_t>(kStep.count()) / 1000;
-      budget.OnUse(total, now);
+      budget.OnTraffic(total, now);
     }
   }
 
@@ -83,7 +83,7 @@
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes);
   const auto most = static_cast<uint64_t>(kNarrowMbps * kBytesInMegabit / 10);
   CHECK(narrow.StartsInFlight(160) * kStartBytes <= most);
-  CHECK(narrow.RecordBytes() <= most);
+  CHECK(narrow.RecordBytesPerCommit() <= most);
   // Smaller ones may be more at a time.
   const uint32_t before = narrow.StartsInFlight(160);
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes / 5);
@@ -94,8 +94,8 @@
 // Guards against a wide job that is given to one entry and fills its link in place of the owner's.
 TEST_CASE_METHOD(owner_budget_fixture, "owner budget, narrow links, wide jobs go in small groups") {
   constexpr size_t kStartBytes = 1500;
-  CHECK(owner_budget(kNarrowMbps, kWholeProcessor).StartsOfGroup(kStartBytes) <= 8);
-  const uint32_t wide = owner_budget(kWideMbps, kWholeProcessor).StartsOfGroup(kStartBytes);
+  CHECK(owner_budget(kNarrowMbps, kWholeProcessor).StartsPerGroup(kStartBytes) <= 8);
+  const uint32_t wide = owner_budget(kWideMbps, kWholeProcessor).StartsPerGroup(kStartBytes);
   CHECK(wide > 8);
   // At 0.25 ms a call, an entry with an eighth of a processor sends no more in 30 ms.
   CHECK(wide <= 15);
--- a/test/owner_history_test.cc
+++ b/test/owner_history_test.cc
@@ -14,10 +14,10 @@
 class owner_history_fixture {
  protected:
   void Seen(uint64_t epoch, bool early, monotonic_time when) {
-    owner_word word;
-    word.epoch = epoch;
-    word.early = early;
-    history.OnSeen(word, when);
+    owner_word record;
+    record.epoch = epoch;
+    record.early = early;
+    history.OnSeen(record, when);
   }
   const monotonic_time now{seconds(100)};
   owner_history history;
@@ -47,10 +47,10 @@
 }
 
 TEST_CASE_METHOD(owner_history_fixture, "owner word, stored and read, keeps how it was claimed") {
-  owner_word word;
-  word.epoch = 7;
-  word.early = true;
-  const auto read = OwnerFromText(OwnerToText(word));
+  owner_word record;
+  record.epoch = 7;
+  record.early = true;
+  const auto read = OwnerFromText(OwnerToText(record));
   REQUIRE(read);
   CHECK(read->early);
 }
--- a/test/start_route_test.cc
+++ b/test/start_router_test.cc
@@ -1,4 +1,4 @@
-#include "process/site/start_route.h"
+#include "process/site/start_router.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "process/site/payload_cache.h"
-#include "process/site/start_words.h"
+#include "process/site/start_messages.h"
 
 namespace catkinford {
 namespace {
@@ -15,91 +15,92 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-class start_route_fixture {
+class start_router_fixture {
  protected:
-  start_route_fixture() { route.SetEntries({"b", "c", "d"}); }
-  std::optional<std::string> Carrier(const std::string& accepted_by, bool busy = true) {
-    return route.CarrierFor("job", accepted_by, 0, busy, now);
+  start_router_fixture() { route.SetEntries({"b", "c", "d"}); }
+  std::optional<std::string> Forwarder(const std::string& accepted_by, bool busy = true) {
+    return route.ForwarderFor("job", accepted_by, 0, busy, now);
   }
 
-  start_route route;
+  start_router route;
   monotonic_time now{seconds(100)};
 };
 
 // Guards against a link that is filled by copies of one payload: jobs of many tasks, narrow link.
-TEST_CASE_METHOD(start_route_fixture,
+TEST_CASE_METHOD(start_router_fixture,
                  "start route, wide job and busy link, is sent where its payload is") {
-  CHECK(Carrier("c") == "c");
-  CHECK_FALSE(Carrier("c", false));
+  CHECK(Forwarder("c") == "c");
+  CHECK_FALSE(Forwarder("c", false));
 }
 
 // Guards against starts that nobody sends because the entry that took their job is gone.
-TEST_CASE_METHOD(start_route_fixture,
+TEST_CASE_METHOD(start_router_fixture,
                  "start route, accepting entry gone, one other brings all tasks of the job") {
-  const auto other = Carrier("gone");
+  const auto other = Forwarder("gone");
   REQUIRE(other);
-  CHECK(Carrier("gone") == other);
-  CHECK(Carrier("") == other);
+  CHECK(Forwarder("gone") == other);
+  CHECK(Forwarder("") == other);
   route.SetEntries({});
-  CHECK_FALSE(Carrier("gone"));
+  CHECK_FALSE(Forwarder("gone"));
 }
 
 // Guards against a carrier whose own link is filled by a job of many tasks.
-TEST_CASE_METHOD(start_route_fixture, "start route, wide job, its groups go several ways") {
-  std::set<std::string> carriers;
+TEST_CASE_METHOD(start_router_fixture, "start route, wide job, its groups go several ways") {
+  std::set<std::string> forwarders;
   for (uint32_t group = 0; group < 20; ++group) {
-    const auto carrier = route.CarrierFor("job", "c", group, true, now);
-    REQUIRE(carrier);
-    CHECK(route.CarrierFor("job", "c", group, true, now) == carrier);
-    carriers.insert(*carrier);
+    const auto forwarder = route.ForwarderFor("job", "c", group, true, now);
+    REQUIRE(forwarder);
+    CHECK(route.ForwarderFor("job", "c", group, true, now) == forwarder);
+    forwarders.insert(*forwarder);
   }
-  CHECK(carriers.size() == 3);
+  CHECK(forwarders.size() == 3);
 }
 
 // Guards against starts that wait for an entry which is cut off, one timeout after the other.
-TEST_CASE_METHOD(start_route_fixture, "start route, carrier silent, is not used for a while") {
+TEST_CASE_METHOD(start_router_fixture, "start route, carrier silent, is not used for a while") {
   const uint64_t call = route.Sent("c", now);
   now += milliseconds{100};
-  CHECK(Carrier("c") == "c");
+  CHECK(Forwarder("c") == "c");
   now += milliseconds{100};
-  CHECK(Carrier("c") != "c");
+  CHECK(Forwarder("c") != "c");
   now += milliseconds{800};
-  route.Answered(call, false, now);
-  CHECK(Carrier("c") != "c");
+  route.OnAnswer(call, false, now);
+  CHECK(Forwarder("c") != "c");
   now += seconds(4);
-  CHECK(Carrier("c") == "c");
-  route.Unheard("c", now);
-  CHECK(Carrier("c") != "c");
+  CHECK(Forwarder("c") == "c");
+  route.OnResultMissing("c", now);
+  CHECK(Forwarder("c") != "c");
 }
 
 // Guards against a start that reaches another task, instance or life than the one decided on.
 TEST_CASE("given starts, written and read, are the same without their payload") {
-  start_order order;
-  order.to = {"i-1", "10.0.0.1:80", 1'700'000'000'000};
-  order.key = {"0123456789abcdef", 2, 3, 41};
-  order.run = 2007;
-  order.payload = "payload";
-  order.lease_until_ms = 482'113;
-  order.checkpoint = "c";
-  order.ticket = "t";
-  const auto read = GivenStartsFromText(GivenStartsToText({9, "10.0.0.2:81", {{77, order}}}));
+  start_order command;
+  command.to = {"i-1", "10.0.0.1:80", 1'700'000'000'000};
+  command.key = {"0123456789abcdef", 2, 3, 41};
+  command.run = 2007;
+  command.payload = "payload";
+  command.lease_until_ms = 482'113;
+  command.checkpoint = "c";
+  command.ticket = "t";
+  const auto read =
+      ForwardedStartsFromText(ForwardedStartsToText({9, "10.0.0.2:81", {{77, command}}}));
   REQUIRE(read);
   CHECK(read->epoch == 9);
   CHECK(read->owner == "10.0.0.2:81");
   REQUIRE(read->starts.size() == 1);
   CHECK(read->starts[0].number == 77);
-  const start_order& again = read->starts[0].order;
-  CHECK(again.key == order.key);
-  CHECK(again.to.instance == order.to.instance);
-  CHECK(again.to.address == order.to.address);
-  CHECK(again.to.incarnation == order.to.incarnation);
-  CHECK(again.run == order.run);
-  CHECK(again.lease_until_ms == order.lease_until_ms);
-  CHECK(again.checkpoint == order.checkpoint);
-  CHECK(again.ticket == order.ticket);
+  const start_order& again = read->starts[0].command;
+  CHECK(again.key == command.key);
+  CHECK(again.to.instance == command.to.instance);
+  CHECK(again.to.address == command.to.address);
+  CHECK(again.to.incarnation == command.to.incarnation);
+  CHECK(again.run == command.run);
+  CHECK(again.lease_until_ms == command.lease_until_ms);
+  CHECK(again.checkpoint == command.checkpoint);
+  CHECK(again.ticket == command.ticket);
   CHECK(again.payload.empty());
   for (const char* text : {"", "[]", "{}", R"({"epoch":1,"owner":"a","starts":[[1,2]]})"}) {
-    CHECK_FALSE(GivenStartsFromText(text));
+    CHECK_FALSE(ForwardedStartsFromText(text));
   }
 }
 
