--- a/src/main/catkinford-site.cc
+++ b/src/main/catkinford-site.cc
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr int kNoSettings = 2;
-constexpr int kPortTaken = 3;
+constexpr int kExitBadSettings = 2;
+constexpr int kExitAddressUnavailable = 3;
 
 // Connections to one address: the store has three watches open besides its other calls; an instance
 // has a listing that waits and orders.
@@ -57,20 +57,20 @@
 
   catkinford::traffic_meter traffic;
   catkinford::http_client store_http(kStoreConnections, {}, &traffic);
-  catkinford::http_client order_http(kInstanceConnections, {}, &traffic);
+  catkinford::http_client command_http(kInstanceConnections, {}, &traffic);
   catkinford::http_client peer_http(kPeerConnections, {}, &traffic);
   catkinford::http_client start_http(kStartConnections, {}, &traffic);
   store_http.Start();
-  order_http.Start();
+  command_http.Start();
   peer_http.Start();
   start_http.Start();
-  catkinford::platform::adapter platform(store_http, order_http, settings);
+  catkinford::platform::adapter platform(store_http, command_http, settings);
   catkinford::site_node<catkinford::platform::adapter> node(std::move(settings), platform,
                                                             peer_http, start_http, traffic);
   const catkinford::site_start_fault fault = node.Start();
   if (fault != catkinford::site_start_fault::kNone) {
     std::fputs(Explain(fault), stderr);
-    return kPortTaken;
+    return kExitAddressUnavailable;
   }
   int signal = SIGHUP;
   while (signal == SIGHUP) {
@@ -81,7 +81,7 @@
   // Calls under way end with the process: their answers would find a node that is gone.
   start_http.Stop();
   peer_http.Stop();
-  order_http.Stop();
+  command_http.Stop();
   store_http.Stop();
   return 0;
 }
@@ -93,7 +93,7 @@
   absl::ParseCommandLine(argc, argv);
   if (absl::GetFlag(FLAGS_settings).empty()) {
     std::fputs("catkinford-site: --settings FILE is needed\n", stderr);
-    return kNoSettings;
+    return kExitBadSettings;
   }
   return catkinford::leaf::try_handle_all(
       []() -> catkinford::leaf::result<int> {
@@ -104,5 +104,5 @@
         std::fprintf(stderr, "catkinford-site: %s\n", catkinford::ToText(error).c_str());
         return catkinford::ExitCode(error.fault);
       },
-      [] { return kNoSettings; });
+      [] { return kExitBadSettings; });
 }
--- a/src/process/site/caller_frontend.h
+++ b/src/process/site/caller_frontend.h
@@ -36,10 +36,10 @@
   std::function<void(const std::string& queue, std::function<void(std::optional<size_t>)>)> pending;
   // Tell the owner of what was just stored, so that it need not wait for its watch. Nothing rests
   // on it: what gets lost here, the watch brings.
-  std::function<void(const std::string& id, const std::string& record)> tell_job;
+  std::function<void(const std::string& id, const std::string& record)> notify_job_stored;
   // A job is being accepted here: its tasks may have to be started from here.
-  std::function<void(const std::string& id, const std::string& payload)> keep_payload;
-  std::function<void(const std::string& id)> tell_cancel;
+  std::function<void(const std::string& id, const std::string& payload)> cache_payload;
+  std::function<void(const std::string& id)> notify_cancel_stored;
   std::function<bool()> stopping;
 };
 
@@ -49,14 +49,14 @@
   using responder = std::function<void(http_response)>;
 
   caller_frontend(Platform& platform, store_health& health, event_loop& loop, site_log& log,
-                  site_metrics& numbers, std::chrono::milliseconds answer_within,
+                  site_metrics& metrics, std::chrono::milliseconds answer_timeout,
                   frontend_hooks hooks)
       : platform_(platform),
         health_(health),
         loop_(loop),
         log_(log),
-        numbers_(numbers),
-        answer_within_(answer_within),
+        metrics_(metrics),
+        answer_timeout_(answer_timeout),
         hooks_(std::move(hooks)) {}
 
   // On the loop's thread.
@@ -64,24 +64,24 @@
     call now{std::move(request), std::move(respond), BootNow(), {}, {}, {}, nullptr};
     now.version = hooks_.version();
     if (now.version == nullptr) {
-      return Refuse(now, http_status::kUnavailable, "no_configuration_yet");
+      return Reject(now, http_status::kUnavailable, "no_configuration_yet");
     }
     const queue_terms* queue = now.version->QueueFor(now.request.host, now.request.path);
-    if (queue == nullptr) return RefuseAbsent(now, http_status::kNotFound, "no_such_queue");
+    if (queue == nullptr) return RejectAbsent(now, http_status::kNotFound, "no_such_queue");
     now.queue = queue;
     now.id = now.request.path.substr(queue->prefix.size());
     const workspace_terms* holder = now.version->HolderOf(now.request.bearer);
     if (!queue->anonymous && holder == nullptr) {
-      return RefuseAbsent(now, http_status::kUnauthorized, "unknown_key");
+      return RejectAbsent(now, http_status::kUnauthorized, "unknown_key");
     }
-    if (!MayServe(now)) return Refuse(now, http_status::kUnavailable, kVersionUnconfirmed);
+    if (!MayServe(now)) return Reject(now, http_status::kUnavailable, kVersionUnconfirmed);
     if (holder != nullptr && !queue->anonymous) now.workspace = holder->name;
     Route(std::move(now));
   }
 
  private:
   static constexpr std::chrono::milliseconds kStoreRetry{100};
-  static constexpr std::chrono::milliseconds kDoubtfulPause{40};
+  static constexpr std::chrono::milliseconds kSuspectStorePause{40};
   static constexpr char kVersionUnconfirmed[] = "version_unconfirmed";
 
   // What lives for one call. The version stays as it was when the call came.
@@ -120,7 +120,7 @@
     if (status == http_status::kUnavailable) {
       response.retry_after = health_.ComeBackAfter(BootNow());
     }
-    numbers_.CountAnswer(
+    metrics_.CountAnswer(
         NameOf(current), status,
         std::chrono::duration_cast<std::chrono::microseconds>(BootNow() - current.arrived));
     current.respond(std::move(response));
@@ -139,17 +139,17 @@
             " ", detail));
   }
 
-  void Refuse(const call& current, int status, const char* word) {
-    Log(site_event::kRequestRefused, current, absl::StrCat("status=", status, " why=", word));
-    Answer(current, status, Platform::EncodeError(word));
+  void Reject(const call& current, int status, const char* reason) {
+    Log(site_event::kRequestRefused, current, absl::StrCat("status=", status, " why=", reason));
+    Answer(current, status, Platform::EncodeError(reason));
   }
 
   // What is not in this entry's configuration may be in a newer one: then the caller is not told
   // that it does not exist, but to come back.
-  void RefuseAbsent(const call& current, int status, const char* word) {
+  void RejectAbsent(const call& current, int status, const char* reason) {
     const bool newest = hooks_.trust(current.arrived) == version_trust::kNewest;
-    Refuse(current, newest ? status : http_status::kUnavailable,
-           newest ? word : kVersionUnconfirmed);
+    Reject(current, newest ? status : http_status::kUnavailable,
+           newest ? reason : kVersionUnconfirmed);
   }
 
   // By a configuration that may be out of force, a withdrawn key or a dropped queue would still be
@@ -162,15 +162,15 @@
   void Route(call now) {
     const std::string& method = now.request.method;
     if (now.id.empty() && method == "GET") {
-      return TellPending(std::make_shared<call>(std::move(now)));
+      return AnswerPending(std::make_shared<call>(std::move(now)));
     }
     if (method == "POST") return Submit(std::make_shared<call>(std::move(now)));
     if (method != "GET" && method != "DELETE") {
-      return Refuse(now, http_status::kMethodNotAllowed, "wrong_method");
+      return Reject(now, http_status::kMethodNotAllowed, "wrong_method");
     }
     // No job can have such a name.
-    if (!IsGraphId(now.id)) return Refuse(now, http_status::kGone, "no_such_job");
-    if (method == "GET") return TellState(std::make_shared<call>(std::move(now)));
+    if (!IsGraphId(now.id)) return Reject(now, http_status::kGone, "no_such_job");
+    if (method == "GET") return AnswerState(std::make_shared<call>(std::move(now)));
     Cancel(std::make_shared<call>(std::move(now)));
   }
 
@@ -178,7 +178,7 @@
 
   void Submit(const shared_call& current) {
     if (current->request.body.size() > current->version->Limits().body_bytes) {
-      return Refuse(*current, http_status::kTooLarge, "body_too_large");
+      return Reject(*current, http_status::kTooLarge, "body_too_large");
     }
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
@@ -190,15 +190,15 @@
           job.terms = current->queue->jobs;
           job.accepted = WallNow();
           job.accepted_by = hooks_.entry;
-          hooks_.keep_payload(job.id, job.payload);
+          hooks_.cache_payload(job.id, job.payload);
           StoreWhenUp(current, std::make_shared<const std::string>(JobToText(job)));
           return {};
         },
         [&](graph_fault fault) {
-          const std::string word(ToText(fault));
-          Refuse(*current, http_status::kBadRequest, word.c_str());
+          const std::string reason(ToText(fault));
+          Reject(*current, http_status::kBadRequest, reason.c_str());
         },
-        [&] { Refuse(*current, http_status::kBadRequest, "malformed"); });
+        [&] { Reject(*current, http_status::kBadRequest, "malformed"); });
   }
 
   // What is not sent surely never runs. Sent to a store that is silent, the job may be kept or not,
@@ -208,7 +208,7 @@
       case store_state::kUp:
         return Store(current, text, false);
       case store_state::kDoubtful:
-        loop_.After(kDoubtfulPause, [this, current, text] { StoreWhenUp(current, text); });
+        loop_.After(kSuspectStorePause, [this, current, text] { StoreWhenUp(current, text); });
         return;
       case store_state::kDown:
         Log(site_event::kJobRefused, *current, "why=store_down sent=0");
@@ -219,28 +219,29 @@
 
   // `unsure`: an earlier try got no answer, so the job may be kept already.
   void Store(const shared_call& current, const std::shared_ptr<const std::string>& text,
-             bool unsure) {
+             bool may_be_stored) {
     store_write write;
     const std::string key = kJobPrefix + current->id;
     write.expected = {{key, 0}};
     write.puts.push_back({key, *text, {}});
-    platform_.Store().Commit(write, OnLoop([this, current, text, unsure](const store_reply& reply) {
-                               OnStoreAnswer(current, text, unsure, reply);
+    platform_.Store().Commit(write,
+                             OnLoop([this, current, text, may_be_stored](const store_reply& reply) {
+                               OnStoreAnswer(current, text, may_be_stored, reply);
                              }));
   }
 
   void OnStoreAnswer(const shared_call& current, const std::shared_ptr<const std::string>& text,
-                     bool unsure, const store_reply& reply) {
+                     bool may_be_stored, const store_reply& reply) {
     // A conflict: the same job came before, here or at another entry. It remains one job.
     if (reply.status == store_status::kDone || reply.status == store_status::kConflict) {
       Log(site_event::kJobAccepted, *current,
           absl::StrCat("again=", reply.status == store_status::kConflict));
-      if (reply.status == store_status::kDone) hooks_.tell_job(current->id, *text);
+      if (reply.status == store_status::kDone) hooks_.notify_job_stored(current->id, *text);
       return Answer(*current, http_status::kOk, "{}");
     }
-    const bool uncertain = unsure || reply.status == store_status::kUnknown;
-    const bool late = BootNow() - current->arrived > answer_within_;
-    if (!uncertain) {
+    const bool unknown = may_be_stored || reply.status == store_status::kUnknown;
+    const bool late = BootNow() - current->arrived > answer_timeout_;
+    if (!unknown) {
       Log(site_event::kJobRefused, *current, "why=store_unavailable");
       return Answer(*current, http_status::kUnavailable,
                     Platform::EncodeError("store_unavailable"));
@@ -273,13 +274,13 @@
     platform_.Store().Commit(write, OnLoop([this, current](const store_reply& reply) {
                                if (reply.status != store_status::kDone) return RetryCancel(current);
                                Log(site_event::kCancelTaken, *current, "");
-                               hooks_.tell_cancel(current->id);
+                               hooks_.notify_cancel_stored(current->id);
                                Answer(*current, http_status::kOk, "{}");
                              }));
   }
 
   void RetryCancel(const shared_call& current) {
-    if (BootNow() - current->arrived < answer_within_) {
+    if (BootNow() - current->arrived < answer_timeout_) {
       loop_.After(kStoreRetry, [this, current] { Cancel(current); });
       return;
     }
@@ -289,14 +290,14 @@
 
   // --- state -------------------------------------------------------------------------------------
 
-  void TellState(const shared_call& current) {
+  void AnswerState(const shared_call& current) {
     hooks_.phase(current->id, [this, current](std::optional<graph_phase> phase) {
-      if (phase) return Tell(current, *phase, "owner");
+      if (phase) return AnswerPhase(current, *phase, "owner");
       ReadState(current);
     });
   }
 
-  void Tell(const shared_call& current, graph_phase phase, const char* source) {
+  void AnswerPhase(const shared_call& current, graph_phase phase, const char* source) {
     Log(site_event::kStateTold, *current,
         absl::StrCat("phase=", std::string(ToText(phase)), " source=", source));
     Answer(*current, http_status::kOk, Platform::EncodePhase(phase));
@@ -336,14 +337,14 @@
                                   log_.Write(site_event::kRecordUnreadable, BootNow(),
                                              absl::StrCat("id=", LogField(current->id)));
                                 });
-                            Tell(current, entry.phase, "store");
+                            AnswerPhase(current, entry.phase, "store");
                           }));
   }
 
   void RetryState(const shared_call& current) {
     const bool down = health_.State(BootNow()) == store_state::kDown;
-    if (!down && BootNow() - current->arrived < answer_within_) {
-      loop_.After(kStoreRetry, [this, current] { TellState(current); });
+    if (!down && BootNow() - current->arrived < answer_timeout_) {
+      loop_.After(kStoreRetry, [this, current] { AnswerState(current); });
       return;
     }
     Log(site_event::kStateRefused, *current, "why=store_unavailable");
@@ -352,11 +353,11 @@
 
   // --- how many wait -----------------------------------------------------------------------------
 
-  void TellPending(const shared_call& current) {
+  void AnswerPending(const shared_call& current) {
     hooks_.pending(current->queue->name, [this, current](std::optional<size_t> pending) {
       if (pending) return Answer(*current, http_status::kOk, Platform::EncodePending(*pending));
-      if (BootNow() - current->arrived < answer_within_) {
-        loop_.After(kStoreRetry, [this, current] { TellPending(current); });
+      if (BootNow() - current->arrived < answer_timeout_) {
+        loop_.After(kStoreRetry, [this, current] { AnswerPending(current); });
         return;
       }
       Log(site_event::kStateRefused, *current, "why=no_owner");
@@ -368,8 +369,8 @@
   store_health& health_;
   event_loop& loop_;
   site_log& log_;
-  site_metrics& numbers_;
-  std::chrono::milliseconds answer_within_;
+  site_metrics& metrics_;
+  std::chrono::milliseconds answer_timeout_;
   frontend_hooks hooks_;
 };
 
--- a/src/process/site/site_membership.cc
+++ b/src/process/site/site_membership.cc
@@ -10,19 +10,19 @@
 namespace {
 
 // Between the claims of two entries: a claim and its answer take a few milliseconds.
-constexpr std::chrono::milliseconds kBetweenClaims{60};
+constexpr std::chrono::milliseconds kClaimInterval{60};
 // Weaker entries leave the strong ones this much time: all of these have claimed by then.
-constexpr std::chrono::milliseconds kWeakWait{600};
+constexpr std::chrono::milliseconds kWeakEntryDelay{600};
 constexpr double kMuchStronger = 2;
 // Orders and listings of 350 instances took up to 20 Mbit/s: a link above this is never what binds.
 constexpr double kWideLinkMbps = 100;
-constexpr double kLeastLinkShare = 0.05;
-constexpr size_t kWatchers = 2;   // of the owner: one may be dead or cut off too
-constexpr size_t kMostSteps = 8;  // however many entries live, one of the first claims
+constexpr double kMinLinkShare = 0.05;
+constexpr size_t kOwnerWatchers = 2;  // of the owner: one may be dead or cut off too
+constexpr size_t kMaxClaimSteps = 8;  // however many entries live, one of the first claims
 
 }  // namespace
 
-void site_view::Take(const store_item& item) {
+void site_view::Apply(const store_item& item) {
   if (item.key == kOwnerKey) {
     if (item.revision < owner_changed) return;
     owner_changed = item.revision;
@@ -50,45 +50,45 @@
 }
 
 double Strength(double cpu_share, double link_mbps) {
-  return cpu_share * std::clamp(link_mbps / kWideLinkMbps, kLeastLinkShare, 1.0);
+  return cpu_share * std::clamp(link_mbps / kWideLinkMbps, kMinLinkShare, 1.0);
 }
 
-bool MuchStrongerLives(const site_view& view, const site_entry& self) {
+bool MuchStrongerExists(const site_view& view, const site_entry& self) {
   return std::any_of(view.entries.begin(), view.entries.end(), [&](const auto& item) {
     return item.second.strength >= kMuchStronger * self.strength;
   });
 }
 
-std::optional<site_entry> PickEntry(const site_view& view, const std::string& self, bool strong,
-                                    uint64_t random) {
+std::optional<site_entry> PickPeer(const site_view& view, const std::string& self, bool strong,
+                                   uint64_t random) {
   double strongest = 0;
   for (const auto& [name, entry] : view.entries) {
     if (name != self) strongest = std::max(strongest, entry.strength);
   }
-  std::vector<const site_entry*> choice;
+  std::vector<const site_entry*> candidates;
   for (const auto& [name, entry] : view.entries) {
     const bool weak = entry.strength * kMuchStronger <= strongest;
-    if (name != self && !(strong && weak)) choice.push_back(&entry);
+    if (name != self && !(strong && weak)) candidates.push_back(&entry);
   }
-  if (choice.empty()) return std::nullopt;
-  return *choice[random % choice.size()];
+  if (candidates.empty()) return std::nullopt;
+  return *candidates[random % candidates.size()];
 }
 
 bool WatchesOwner(const site_view& view, const std::string& self) {
   if (!view.owner || view.owner->entry.name == self || !view.entries.contains(self)) return false;
   const auto mine = ClaimDelay(view, self);
-  size_t before = 0;
+  size_t ahead = 0;
   for (const auto& [name, entry] : view.entries) {
     if (name == self || name == view.owner->entry.name) continue;
     const auto theirs = ClaimDelay(view, name);
-    if (theirs < mine || (theirs == mine && name < self)) ++before;
+    if (theirs < mine || (theirs == mine && name < self)) ++ahead;
   }
-  return before < kWatchers;
+  return ahead < kOwnerWatchers;
 }
 
 std::chrono::milliseconds ClaimDelay(const site_view& view, const std::string& self) {
   const auto mine = view.entries.find(self);
-  if (mine == view.entries.end()) return kBetweenClaims;
+  if (mine == view.entries.end()) return kClaimInterval;
   // Each epoch begins with another entry of the same strength, so that a site does not always fall
   // to the same one.
   std::vector<std::string> equals;
@@ -98,11 +98,11 @@
     weak = weak || entry.strength > mine->second.strength;
   }
   const size_t count = equals.size();
-  const auto place =
+  const auto position =
       static_cast<size_t>(std::find(equals.begin(), equals.end(), self) - equals.begin());
-  const size_t turn = (place + count - view.epoch % count) % count;
-  return kBetweenClaims * std::min(turn, kMostSteps) +
-         (weak ? kWeakWait : std::chrono::milliseconds{0});
+  const size_t turn = (position + count - view.epoch % count) % count;
+  return kClaimInterval * std::min(turn, kMaxClaimSteps) +
+         (weak ? kWeakEntryDelay : std::chrono::milliseconds{0});
 }
 
 }  // namespace catkinford
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -52,8 +52,8 @@
  public:
   // `peers` carries the calls to other entries, `starts` those that bring starts, so that neither
   // holds up the other; `link` counts the bytes of all calls.
-  site_node(site_settings settings, Platform& platform, http_client& peers, http_client& starts,
-            traffic_meter& link);
+  site_node(site_settings settings, Platform& platform, http_client& peer_client,
+            http_client& start_client, traffic_meter& link);
   ~site_node() { Stop(); }
   site_node(const site_node&) = delete;
   site_node& operator=(const site_node&) = delete;
@@ -73,7 +73,7 @@
   // Between two bytes of a peer's answer: a configuration takes a narrow link a second and more.
   static constexpr std::chrono::milliseconds kPeerStall{1000};
   // Two looks of the balancer, a second apart, take an entry out of rotation.
-  static constexpr std::chrono::milliseconds kLinger{2300};
+  static constexpr std::chrono::milliseconds kDeregistrationDelay{2300};
   static constexpr std::chrono::milliseconds kShutdownMargin{1000};
   static constexpr std::chrono::milliseconds kSettleWait{400};
   // An answer to a question to a policy may take this much longer than the policy says.
@@ -81,16 +81,16 @@
   // A peer that heard of the store within this time shows that it is not down for all.
   static constexpr std::chrono::milliseconds kStoreFresh{900};
 
-  static constexpr std::chrono::milliseconds kReadinessCheck{100};
+  static constexpr std::chrono::milliseconds kReadinessInterval{100};
   static constexpr std::chrono::milliseconds kAliveTimeout{250};
   // A question that failed sooner was refused: a silent address takes the whole timeout.
-  static constexpr std::chrono::milliseconds kRefusedWithin{150};
+  static constexpr std::chrono::milliseconds kConnectionRefusedWithin{150};
   // As long as an owner may go on whose end nobody has seen, and its runs' leases.
-  static constexpr std::chrono::milliseconds kPreviousPause{200};
-  static constexpr int kPreviousTries = 40;
-  static constexpr size_t kOthersAsked = 4;  // of different failure domains, if there are
+  static constexpr std::chrono::milliseconds kPreviousOwnerCheckInterval{200};
+  static constexpr int kPreviousOwnerChecks = 40;
+  static constexpr size_t kMaxPeersQueried = 4;  // of different failure domains, if there are
 
-  using peer_answer = std::function<void(const std::optional<std::string>&)>;
+  using peer_callback = std::function<void(const std::optional<std::string>&)>;
 
   http_server_options OptionsFor(const std::string& address, uint16_t port) const;
   frontend_hooks FrontendHooks();
@@ -109,79 +109,79 @@
 
   // On the loop's thread.
   void AnswerPeer(http_server::token token, const http_request& request);
-  void AdviseFor(http_server::token token, const http_request& request);
+  void AdviseForPeer(http_server::token token, const http_request& request);
   void OnVersion();
-  void OnWon();
-  void OnLost();
+  void OnOwnershipWon();
+  void OnOwnershipLost();
   void OnViewChanged();
-  void AskPeer(const site_entry& peer, const std::string& path_and_query, peer_answer done,
-               byte_counter arrived = nullptr);
-  void TellOwner(const std::string& path_and_query, const std::string& body);
+  void QueryPeer(const site_entry& peer, const std::string& path_and_query, peer_callback done,
+                 byte_counter arrived = nullptr);
+  void NotifyOwner(const std::string& path_and_query, const std::string& body);
   const site_entry* Owner() const;
   void PhaseFromOwner(const std::string& job, std::function<void(std::optional<graph_phase>)> done);
   void PendingFromOwner(const std::string& queue, std::function<void(std::optional<size_t>)> done);
-  told_version TellVersion(const http_request& request);
+  told_version VersionForPeer(const http_request& request);
   void VersionFromPeer(uint64_t have, bool text, byte_counter arrived,
                        const std::function<void(std::optional<told_version>)>& done);
-  void JudgeOutage(const std::function<void(outage_verdict)>& done);
+  void PollPeersOnOutage(const std::function<void(outage_verdict)>& done);
   // Watching the owner's process.
   void WatchOwner();
-  void LookAt(const site_entry& process, const std::function<void(liveness)>& done);
-  void LookAtPrevious(int tries);
-  void LookAtOwner(const std::function<void(liveness)>& done);
-  void ReadOwnersChange(uint64_t epoch);
-  void JudgeOwner(uint64_t epoch);
-  void OnSuspected(uint64_t epoch);
-  owner_witness Witness() const;
-  void SeekWitness();
-  void SpreadAdvice();
-  void AskAdvice(const advice_order& order, const std::string& entry);
-  void TellReadiness();
-  void WatchReadiness();
-  void UpdateAges();
-  void TellLinkUse();
+  void CheckAlive(const site_entry& process, const std::function<void(liveness)>& done);
+  void CheckPreviousOwner(int tries);
+  void CheckOwnerAlive(const std::function<void(liveness)>& done);
+  void ReadOwnerCommit(uint64_t epoch);
+  void EvaluateSuspicion(uint64_t epoch);
+  void ConfirmSuspicion(uint64_t epoch);
+  owner_witness OutageConfirmation() const;
+  void SeekConfirmation();
+  void SendAdviceRequests();
+  void RequestAdvice(const advice_order& order, const std::string& entry);
+  void UpdateReadiness();
+  void PollReadiness();
+  void UpdateMetrics();
+  void ReportLinkUse();
 
   site_settings settings_;
   Platform& platform_;
-  http_client& peers_;
+  http_client& peer_client_;
   traffic_meter& link_;
-  site_metrics numbers_;
+  site_metrics metrics_;
   site_log log_;
   event_loop loop_;
   store_health store_health_;
   site_membership<std::remove_reference_t<decltype(std::declval<Platform>().Store())>> membership_;
   version_follow<Platform> versions_;
-  caller_frontend<Platform> front_;
+  caller_frontend<Platform> frontend_;
   owner_budget budget_;
-  start_dispatcher<Platform> relay_;   // of this entry's starts, while it owns the site
-  start_forwarder<Platform> carrier_;  // of another owner's
+  start_dispatcher<Platform> start_dispatcher_;  // of this entry's starts, while it owns the site
+  start_forwarder<Platform> start_forwarder_;    // of another owner's
   advice_spread advice_;
   std::shared_ptr<site_owner<Platform>> owner_;
   std::map<std::string, bool> peer_silent_;
-  text_ration texts_;  // of the configuration, for other entries
+  text_ration text_limiter_;  // of the configuration, for other entries
   absl::BitGen random_;
-  bool ask_strong_ = false;  // entries for the configuration: any and strong ones by turns
-  owner_failure_detector suspicion_;
-  takeover_backoff spacing_;
-  bool asking_others_ = false;    // whether they see the owner dead too
-  uint64_t witnessed_epoch_ = 0;  // of the ownership for which a witness was found
-  std::optional<monotonic_time> outage_confirmed_;  // when this entry last told an owner of one
+  bool query_strong_peer_ = false;  // entries for the configuration: any and strong ones by turns
+  owner_failure_detector owner_detector_;
+  takeover_backoff takeover_backoff_;
+  bool confirming_suspicion_ = false;  // whether they see the owner dead too
+  uint64_t confirmed_epoch_ = 0;       // of the ownership for which a witness was found
+  std::optional<monotonic_time> outage_confirmed_at_;  // when this entry last told an owner of one
   std::atomic<bool> ready_{false};
   std::atomic<bool> overloaded_{false};
   std::atomic<bool> stopping_{false};
   bool stopped_ = false;
-  std::unique_ptr<http_server> callers_;
-  std::unique_ptr<http_server> readiness_;
+  std::unique_ptr<http_server> caller_server_;
+  std::unique_ptr<http_server> readiness_server_;
   std::unique_ptr<http_server> peer_server_;
   std::unique_ptr<http_server> metrics_server_;
 };
 
 template <site_platform Platform>
-site_node<Platform>::site_node(site_settings settings, Platform& platform, http_client& peers,
-                               http_client& starts, traffic_meter& link)
+site_node<Platform>::site_node(site_settings settings, Platform& platform, http_client& peer_client,
+                               http_client& start_client, traffic_meter& link)
     : settings_(std::move(settings)),
       platform_(platform),
-      peers_(peers),
+      peer_client_(peer_client),
       link_(link),
       log_(settings_.name, settings_.logs.lines_per_second),
       loop_(kLoopCapacity),
@@ -193,12 +193,14 @@
                      Strength(settings_.machine.cpu_share, settings_.machine.link_mbps)},
           std::max(settings_.timing.owner_lease, settings_.platform.shortest_lease),
           settings_.timing.watch_wait, MembershipHooks()),
-      versions_(platform, loop_, log_, numbers_, settings_.bounds.config_limit, VersionHooks()),
-      front_(platform, store_health_, loop_, log_, numbers_, kAnswerTimeout, FrontendHooks()),
+      versions_(platform, loop_, log_, metrics_, settings_.bounds.config_limit, VersionHooks()),
+      frontend_(platform, store_health_, loop_, log_, metrics_, kAnswerTimeout, FrontendHooks()),
       budget_(settings_.machine.link_mbps, settings_.machine.cpu_share),
-      relay_(platform, starts, budget_, loop_, log_, membership_.Self().address, DispatcherHooks()),
-      carrier_(platform, starts, loop_, log_, [this] { return membership_.View().epoch; }),
-      texts_(settings_.machine.link_mbps) {}
+      start_dispatcher_(platform, start_client, budget_, loop_, log_, membership_.Self().address,
+                        DispatcherHooks()),
+      start_forwarder_(platform, start_client, loop_, log_,
+                       [this] { return membership_.View().epoch; }),
+      text_limiter_(settings_.machine.link_mbps) {}
 
 template <site_platform Platform>
 frontend_hooks site_node<Platform>::FrontendHooks() {
@@ -214,16 +216,16 @@
                          std::function<void(std::optional<size_t>)> done) {
     PendingFromOwner(queue, std::move(done));
   };
-  hooks.tell_job = [this](const std::string& id, const std::string& record) {
+  hooks.notify_job_stored = [this](const std::string& id, const std::string& record) {
     if (owner_ != nullptr) return owner_->OnJobStored(id, record);
-    TellOwner(absl::StrCat(kPeerJobPath, "?id=", id), record);
+    NotifyOwner(absl::StrCat(kPeerJobPath, "?id=", id), record);
   };
-  hooks.tell_cancel = [this](const std::string& id) {
+  hooks.notify_cancel_stored = [this](const std::string& id) {
     if (owner_ != nullptr) return owner_->OnCancelStored(id);
-    TellOwner(absl::StrCat(kPeerCancelPath, "?id=", id), {});
+    NotifyOwner(absl::StrCat(kPeerCancelPath, "?id=", id), {});
   };
-  hooks.keep_payload = [this](const std::string& id, const std::string& payload) {
-    carrier_.CachePayload(id, payload);
+  hooks.cache_payload = [this](const std::string& id, const std::string& payload) {
+    start_forwarder_.CachePayload(id, payload);
   };
   hooks.stopping = [this] { return stopping_.load(); };
   return hooks;
@@ -245,10 +247,12 @@
 template <site_platform Platform>
 membership_hooks site_node<Platform>::MembershipHooks() {
   membership_hooks hooks;
-  hooks.won = [this] { OnWon(); };
-  hooks.lost = [this](const std::string&) { OnLost(); };
+  hooks.won = [this] { OnOwnershipWon(); };
+  hooks.lost = [this](const std::string&) { OnOwnershipLost(); };
   hooks.view_changed = [this] { OnViewChanged(); };
-  hooks.ask_peers = [this](const std::function<void(outage_verdict)>& done) { JudgeOutage(done); };
+  hooks.poll_peers = [this](const std::function<void(outage_verdict)>& done) {
+    PollPeersOnOutage(done);
+  };
   return hooks;
 }
 
@@ -278,10 +282,10 @@
   std::string address;
   uint16_t port = 0;
   if (!SplitAddress(settings_.listen.ready, address, port)) return site_start_fault::kReadyAddress;
-  readiness_ = std::make_unique<http_server>(
+  readiness_server_ = std::make_unique<http_server>(
       OptionsFor(address, port),
       [this](http_server::token token, const http_request&) { OnReady(token); });
-  if (!readiness_->Start()) return site_start_fault::kReadyAddress;
+  if (!readiness_server_->Start()) return site_start_fault::kReadyAddress;
 
   peer_server_ = std::make_unique<http_server>(
       OptionsFor(settings_.listen.address, settings_.listen.peer_port),
@@ -293,11 +297,11 @@
   if (!SplitAddress(settings_.listen.callers, address, port)) {
     return site_start_fault::kCallerAddress;
   }
-  callers_ = std::make_unique<http_server>(OptionsFor(address, port),
-                                           [this](http_server::token token, http_request request) {
-                                             OnCaller(token, std::move(request));
-                                           });
-  if (!callers_->Start()) return site_start_fault::kCallerAddress;
+  caller_server_ = std::make_unique<http_server>(
+      OptionsFor(address, port), [this](http_server::token token, http_request request) {
+        OnCaller(token, std::move(request));
+      });
+  if (!caller_server_->Start()) return site_start_fault::kCallerAddress;
 
   if (settings_.listen.metrics_port != 0) {
     metrics_server_ = std::make_unique<http_server>(
@@ -314,8 +318,8 @@
   loop_.Post([this] {
     membership_.Start();
     versions_.Start();
-    UpdateAges();
-    WatchReadiness();
+    UpdateMetrics();
+    PollReadiness();
     WatchOwner();
   });
   return site_start_fault::kNone;
@@ -329,7 +333,7 @@
 template <site_platform Platform>
 void site_node<Platform>::Shutdown() {
   const monotonic_time begun = BootNow();
-  log_.Write(site_event::kStopping, begun, absl::StrCat("waiting=", callers_->Waiting()));
+  log_.Write(site_event::kStopping, begun, absl::StrCat("waiting=", caller_server_->Waiting()));
   stopping_ = true;
   ready_ = false;
   std::mutex mutex;
@@ -349,13 +353,13 @@
     changed.wait_for(lock, limit, [&] { return resigned; });
   }
   // Callers keep their open connections until the balancer has taken this entry out.
-  constexpr std::chrono::milliseconds kLook{20};
+  constexpr std::chrono::milliseconds kPollInterval{20};
   while (BootNow() - begun < limit) {
-    const bool idle = callers_->Waiting() == 0;
-    if (idle && BootNow() - begun >= kLinger) break;
-    std::this_thread::sleep_for(kLook);
+    const bool idle = caller_server_->Waiting() == 0;
+    if (idle && BootNow() - begun >= kDeregistrationDelay) break;
+    std::this_thread::sleep_for(kPollInterval);
   }
-  log_.Write(site_event::kStopped, BootNow(), absl::StrCat("waiting=", callers_->Waiting()));
+  log_.Write(site_event::kStopped, BootNow(), absl::StrCat("waiting=", caller_server_->Waiting()));
   // `resigned` and its lock live here: nothing may call back into them.
   Stop();
 }
@@ -364,7 +368,7 @@
 void site_node<Platform>::Stop() {
   if (std::exchange(stopped_, true)) return;
   for (http_server* server :
-       {callers_.get(), readiness_.get(), peer_server_.get(), metrics_server_.get()}) {
+       {caller_server_.get(), readiness_server_.get(), peer_server_.get(), metrics_server_.get()}) {
     if (server != nullptr) server->Stop();
   }
   loop_.Stop();
@@ -373,8 +377,8 @@
 template <site_platform Platform>
 void site_node<Platform>::OnCaller(http_server::token token, http_request request) {
   const bool taken = loop_.TryPost([this, token, request = std::move(request)]() mutable {
-    front_.Handle(std::move(request), [this, token](http_response response) {
-      callers_->Respond(token, std::move(response));
+    frontend_.Handle(std::move(request), [this, token](http_response response) {
+      caller_server_->Respond(token, std::move(response));
     });
   });
   if (taken) return;
@@ -382,7 +386,7 @@
   busy.status = http_status::kUnavailable;
   busy.body = Platform::EncodeError("overloaded");
   busy.retry_after = std::chrono::seconds(1);
-  callers_->Respond(token, std::move(busy));
+  caller_server_->Respond(token, std::move(busy));
 }
 
 template <site_platform Platform>
@@ -390,14 +394,14 @@
   http_response response;
   response.status = ready_ ? http_status::kOk : http_status::kUnavailable;
   response.body = "{}";
-  readiness_->Respond(token, std::move(response));
+  readiness_server_->Respond(token, std::move(response));
 }
 
 template <site_platform Platform>
 void site_node<Platform>::OnMetrics(http_server::token token) {
   http_response response;
   response.content_type = "text/plain; version=0.0.4";
-  response.body = numbers_.Text();
+  response.body = metrics_.Text();
   metrics_server_->Respond(token, std::move(response));
 }
 
@@ -427,28 +431,28 @@
     const monotonic_time now = BootNow();
     const auto age =
         std::chrono::duration_cast<std::chrono::milliseconds>(now - membership_.StoreAnswered());
-    if (age >= kStoreFresh) outage_confirmed_ = now;
+    if (age >= kStoreFresh) outage_confirmed_at_ = now;
     response.body = PeerHealthToText({age, membership_.View().epoch});
   } else if (request.path == kPeerWitnessPath) {
-    response.body = OwnerWitnessToText(Witness());
+    response.body = OwnerWitnessToText(OutageConfirmation());
   } else if (request.path == kPeerLookPath) {
-    return LookAtOwner([this, token](liveness answer) {
+    return CheckOwnerAlive([this, token](liveness answer) {
       peer_server_->Respond(token, {.body = LookToText(answer)});
     });
   } else if (request.path == kPeerVersionPath) {
-    response.body = ToldVersionToText(TellVersion(request));
+    response.body = ToldVersionToText(VersionForPeer(request));
   } else if (request.path == kPeerJobPath) {
     if (owner_ != nullptr) owner_->OnJobStored(request.Query("id"), request.body);
   } else if (request.path == kPeerCancelPath) {
     if (owner_ != nullptr) owner_->OnCancelStored(request.Query("id"));
   } else if (request.path == kPeerAdvisePath) {
-    return AdviseFor(token, request);
+    return AdviseForPeer(token, request);
   } else if (request.path == kPeerStartPath) {
-    return carrier_.Forward(request.body, [this, token](http_response answer) {
+    return start_forwarder_.Forward(request.body, [this, token](http_response answer) {
       peer_server_->Respond(token, std::move(answer));
     });
   } else if (request.path == kPeerStartedPath) {
-    relay_.OnStarted(request.body);
+    start_dispatcher_.OnStarted(request.body);
   } else {
     response.status = http_status::kNotFound;
   }
@@ -456,24 +460,23 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::AdviseFor(http_server::token token, const http_request& request) {
-  const auto question = PeerQuestionFromText(request.body);
-  if (!question) return peer_server_->Respond(token, {.status = http_status::kBadRequest});
-  platform_.Advisor().Ask(question->order, question->timeout,
-                          [this, token](const advice_answer& answer) {
-                            peer_server_->Respond(token, {.body = PeerAdviceToText(answer)});
-                          });
+void site_node<Platform>::AdviseForPeer(http_server::token token, const http_request& request) {
+  const auto query = PeerQuestionFromText(request.body);
+  if (!query) return peer_server_->Respond(token, {.status = http_status::kBadRequest});
+  platform_.Advisor().Ask(query->order, query->timeout, [this, token](const advice_answer& answer) {
+    peer_server_->Respond(token, {.body = PeerAdviceToText(answer)});
+  });
 }
 
 template <site_platform Platform>
 void site_node<Platform>::OnVersion() {
-  numbers_.version.Set(static_cast<double>(versions_.Version()->Number()));
-  TellReadiness();
+  metrics_.version.Set(static_cast<double>(versions_.Version()->Number()));
+  UpdateReadiness();
   if (owner_ != nullptr) owner_->SetVersion(versions_.Version());
 }
 
 template <site_platform Platform>
-void site_node<Platform>::TellReadiness() {
+void site_node<Platform>::UpdateReadiness() {
   // Callers whose entry cannot reach the store are better served by another one.
   const bool reaches = store_health_.State(BootNow()) != store_state::kDown;
   // And so are those whose entry does not know what is in force.
@@ -485,32 +488,32 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::WatchReadiness() {
-  loop_.After(kReadinessCheck, [this] { WatchReadiness(); });
-  TellReadiness();
+void site_node<Platform>::PollReadiness() {
+  loop_.After(kReadinessInterval, [this] { PollReadiness(); });
+  UpdateReadiness();
 }
 
 template <site_platform Platform>
-void site_node<Platform>::UpdateAges() {
-  loop_.After(std::chrono::seconds(1), [this] { UpdateAges(); });
+void site_node<Platform>::UpdateMetrics() {
+  loop_.After(std::chrono::seconds(1), [this] { UpdateMetrics(); });
   const auto now = BootNow();
   const auto seconds = [&](monotonic_time since) {
     return std::chrono::duration<double>(now - since).count();
   };
-  numbers_.store_age_seconds.Set(seconds(membership_.StoreAnswered()));
-  numbers_.version_age_seconds.Set(seconds(versions_.AsOf()));
+  metrics_.store_age_seconds.Set(seconds(membership_.StoreAnswered()));
+  metrics_.version_age_seconds.Set(seconds(versions_.AsOf()));
   const double left_out = static_cast<double>(log_.LeftOut());
-  numbers_.log_lines_left_out.Increment(left_out - numbers_.log_lines_left_out.Value());
-  TellLinkUse();
+  metrics_.log_lines_left_out.Increment(left_out - metrics_.log_lines_left_out.Value());
+  ReportLinkUse();
 }
 
 template <site_platform Platform>
-void site_node<Platform>::TellLinkUse() {
+void site_node<Platform>::ReportLinkUse() {
   std::string kinds;
   uint64_t sent = 0;
   uint64_t received = 0;
   for (const auto& [kind, use] : link_.Take()) {
-    numbers_.CountTraffic(kind, use);
+    metrics_.CountTraffic(kind, use);
     sent += use.sent;
     received += use.received;
     absl::StrAppend(&kinds, " ", kind, "=", use.calls, "/", use.sent, "/", use.received);
@@ -524,31 +527,32 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::LookAtOwner(const std::function<void(liveness)>& done) {
+void site_node<Platform>::CheckOwnerAlive(const std::function<void(liveness)>& done) {
   const site_entry* owner = Owner();
   if (owner == nullptr) return done(liveness::kAlive);  // nobody, or this entry
-  LookAt(*owner, done);
+  CheckAlive(*owner, done);
 }
 
 // One question to another entry's process.
 template <site_platform Platform>
-void site_node<Platform>::LookAt(const site_entry& process,
-                                 const std::function<void(liveness)>& done) {
+void site_node<Platform>::CheckAlive(const site_entry& process,
+                                     const std::function<void(liveness)>& done) {
   http_call call;
   call.url = absl::StrCat("http://", process.address, kPeerAlivePath);
   call.timeout = kAliveTimeout;
   const monotonic_time asked = BootNow();
-  peers_.Send(std::move(call), [this, done, asked, nonce = process.nonce](http_result result) {
-    loop_.Post([done, asked, nonce, result = std::move(result)] {
-      if (result.status == transfer_status::kDone) {
-        const auto alive = AliveFromText(result.body);
-        if (!alive || alive->nonce != nonce) return done(liveness::kOtherProcess);
-        return done(alive->busy ? liveness::kBusy : liveness::kAlive);
-      }
-      const bool refused = BootNow() - asked < kRefusedWithin;
-      done(refused ? liveness::kRefused : liveness::kSilent);
-    });
-  });
+  peer_client_.Send(std::move(call),
+                    [this, done, asked, nonce = process.nonce](http_result result) {
+                      loop_.Post([done, asked, nonce, result = std::move(result)] {
+                        if (result.status == transfer_status::kDone) {
+                          const auto alive = AliveFromText(result.body);
+                          if (!alive || alive->nonce != nonce) return done(liveness::kOtherProcess);
+                          return done(alive->busy ? liveness::kBusy : liveness::kAlive);
+                        }
+                        const bool refused = BootNow() - asked < kConnectionRefusedWithin;
+                        done(refused ? liveness::kRefused : liveness::kSilent);
+                      });
+                    });
 }
 
 template <site_platform Platform>
@@ -558,75 +562,75 @@
   };
   const bool watches = WatchesOwner(membership_.View(), settings_.name) && !stopping_ &&
                        store_health_.State(BootNow()) == store_state::kUp;
-  if (!watches) return again(suspicion_.QueryInterval());
+  if (!watches) return again(owner_detector_.QueryInterval());
   const uint64_t epoch = membership_.View().owner->epoch;
-  suspicion_.Watch(epoch, BootNow());
-  LookAtOwner([this, epoch, again](liveness answer) {
-    suspicion_.OnAnswer(answer, BootNow());
-    if (answer == liveness::kSilent) ReadOwnersChange(epoch);
-    JudgeOwner(epoch);
-    again(suspicion_.QueryInterval());
+  owner_detector_.Watch(epoch, BootNow());
+  CheckOwnerAlive([this, epoch, again](liveness answer) {
+    owner_detector_.OnAnswer(answer, BootNow());
+    if (answer == liveness::kSilent) ReadOwnerCommit(epoch);
+    EvaluateSuspicion(epoch);
+    again(owner_detector_.QueryInterval());
   });
 }
 
 // An owner that is busy answers late, but what it writes still arrives.
 template <site_platform Platform>
-void site_node<Platform>::ReadOwnersChange(uint64_t epoch) {
+void site_node<Platform>::ReadOwnerCommit(uint64_t epoch) {
   platform_.Store().Get(kCommitKey, [this, epoch](const store_reply& reply) {
     loop_.Post([this, epoch, reply] {
       const auto& owner = membership_.View().owner;
       const bool same = owner && owner->epoch == epoch;
-      const bool told =
+      const bool reported =
           reply.status == store_status::kDone || reply.status == store_status::kAbsent;
-      if (!same || !told) return;
-      suspicion_.OnCommit(reply.items.empty() ? 0 : reply.items.front().revision, BootNow());
-      JudgeOwner(epoch);
+      if (!same || !reported) return;
+      owner_detector_.OnCommit(reply.items.empty() ? 0 : reply.items.front().revision, BootNow());
+      EvaluateSuspicion(epoch);
     });
   });
 }
 
 template <site_platform Platform>
-void site_node<Platform>::JudgeOwner(uint64_t epoch) {
+void site_node<Platform>::EvaluateSuspicion(uint64_t epoch) {
   const monotonic_time now = BootNow();
-  if (!suspicion_.Suspected(now)) return;
-  if (suspicion_.OnlyTimeouts() && !spacing_.MayTakeOverOnSilence(now)) return;
-  OnSuspected(epoch);
+  if (!owner_detector_.Suspected(now)) return;
+  if (owner_detector_.OnlyTimeouts() && !takeover_backoff_.MayTakeOverOnSilence(now)) return;
+  ConfirmSuspicion(epoch);
 }
 
 // This entry may be the one that is cut off: others are asked what they see.
 template <site_platform Platform>
-void site_node<Platform>::OnSuspected(uint64_t epoch) {
-  if (std::exchange(asking_others_, true)) return;
+void site_node<Platform>::ConfirmSuspicion(uint64_t epoch) {
+  if (std::exchange(confirming_suspicion_, true)) return;
   log_.Write(site_event::kOwnerSuspected, BootNow(),
-             absl::StrCat("epoch=", epoch, " only_silent=", suspicion_.OnlyTimeouts()));
+             absl::StrCat("epoch=", epoch, " only_silent=", owner_detector_.OnlyTimeouts()));
   std::vector<site_entry> others;
   std::set<std::string> domains;
   for (const bool fresh_domain : {true, false}) {
     for (const auto& [name, entry] : membership_.View().entries) {
       const bool owner = Owner() != nullptr && name == Owner()->name;
-      if (name == settings_.name || owner || others.size() >= kOthersAsked) continue;
+      if (name == settings_.name || owner || others.size() >= kMaxPeersQueried) continue;
       if (domains.insert(entry.failure_domain).second == fresh_domain) others.push_back(entry);
     }
   }
   if (others.empty()) {
-    asking_others_ = false;
+    confirming_suspicion_ = false;
     return;
   }
   auto answers = std::make_shared<std::vector<liveness>>();
-  auto left = std::make_shared<size_t>(others.size());
+  auto remaining = std::make_shared<size_t>(others.size());
   for (const site_entry& other : others) {
-    AskPeer(other, kPeerLookPath,
-            [this, answers, left, epoch](const std::optional<std::string>& text) {
-              const auto seen = text ? LookFromText(*text) : std::nullopt;
-              if (seen) answers->push_back(*seen);
-              if (--*left > 0) return;
-              asking_others_ = false;
-              const bool shared = SuspicionConfirmed(*answers);
-              log_.Write(
-                  site_event::kOwnerSuspected, BootNow(),
-                  absl::StrCat("epoch=", epoch, " answers=", answers->size(), " shared=", shared));
-              if (shared && !stopping_) membership_.ClaimFrom(epoch);
-            });
+    QueryPeer(other, kPeerLookPath,
+              [this, answers, remaining, epoch](const std::optional<std::string>& text) {
+                const auto seen = text ? LookFromText(*text) : std::nullopt;
+                if (seen) answers->push_back(*seen);
+                if (--*remaining > 0) return;
+                confirming_suspicion_ = false;
+                const bool shared = SuspicionConfirmed(*answers);
+                log_.Write(site_event::kOwnerSuspected, BootNow(),
+                           absl::StrCat("epoch=", epoch, " answers=", answers->size(),
+                                        " shared=", shared));
+                if (shared && !stopping_) membership_.ClaimFrom(epoch);
+              });
   }
 }
 
@@ -635,18 +639,20 @@
   owner_hooks hooks;
   hooks.superseded = [this](const std::string& why) { membership_.OnSuperseded(why); };
   hooks.may_act = [this](monotonic_time now) { return membership_.MayAct(now); };
-  hooks.store_down_for_all = [this](monotonic_time now) { return membership_.OutageTrusted(now); };
+  hooks.store_down_for_all = [this](monotonic_time now) {
+    return membership_.OutageConfirmed(now);
+  };
   hooks.version_confirmed = [this](monotonic_time now) {
     return versions_.Trust(now) != version_trust::kUnconfirmed;
   };
-  hooks.ask_advice = [this](advice_order order) {
+  hooks.request_advice = [this](advice_order order) {
     advice_.Add(std::move(order));
-    SpreadAdvice();
+    SendAdviceRequests();
   };
   const uint64_t epoch = membership_.Epoch();
   hooks.start = [this, epoch](start_order order, const std::string& accepted_by,
                               command_callback done) {
-    relay_.Send(std::move(order), accepted_by, epoch, std::move(done));
+    start_dispatcher_.Send(std::move(order), accepted_by, epoch, std::move(done));
   };
   hooks.budget = [this](monotonic_time now) -> const owner_budget& { return Budget(now); };
   return hooks;
@@ -660,80 +666,81 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::OnWon() {
+void site_node<Platform>::OnOwnershipWon() {
   owner_ = std::make_shared<site_owner<Platform>>(
-      platform_, loop_, log_, numbers_, settings_, membership_.Epoch(), membership_.OwnerRevision(),
-      membership_.ClaimedEarly() || membership_.OthersMayAct(), OwnerHooks());
-  numbers_.owns_site.Set(1);
-  numbers_.takeovers.Increment();
+      platform_, loop_, log_, metrics_, settings_, membership_.Epoch(), membership_.OwnerRevision(),
+      membership_.ClaimedEarly() || membership_.EarlierOwnersMayAct(), OwnerHooks());
+  metrics_.owns_site.Set(1);
+  metrics_.takeovers.Increment();
   owner_->Start(versions_.Version());
-  SeekWitness();
-  LookAtPrevious(kPreviousTries);
+  SeekConfirmation();
+  CheckPreviousOwner(kPreviousOwnerChecks);
 }
 
 // An owner whose process is gone gives no orders any more. Its machine may start again only after
 // this one took over: asked until it answers, or until all is known anyhow.
 template <site_platform Platform>
-void site_node<Platform>::LookAtPrevious(int tries) {
-  const auto& previous = membership_.Previous();
+void site_node<Platform>::CheckPreviousOwner(int tries) {
+  const auto& previous = membership_.PreviousOwner();
   if (!previous || owner_ == nullptr || tries == 0) return;
   // That it is dead says nothing of the one before it.
-  if (membership_.OthersMayAct()) return;
+  if (membership_.EarlierOwnersMayAct()) return;
   // This entry was restarted at the previous owner's address.
   const site_entry& self = membership_.Self();
   if (previous->name == self.name && previous->nonce != self.nonce) {
     return owner_->OnEarlierOwnerDead();
   }
-  const std::weak_ptr<site_owner<Platform>> weak = owner_;
-  LookAt(*previous, [this, weak, tries](liveness answer) {
-    const auto owner = weak.lock();
+  const std::weak_ptr<site_owner<Platform>> weak_owner = owner_;
+  CheckAlive(*previous, [this, weak_owner, tries](liveness answer) {
+    const auto owner = weak_owner.lock();
     if (owner == nullptr || owner != owner_) return;
     if (answer == liveness::kOtherProcess) return owner->OnEarlierOwnerDead();
-    loop_.After(kPreviousPause, [this, tries] { LookAtPrevious(tries - 1); });
+    loop_.After(kPreviousOwnerCheckInterval, [this, tries] { CheckPreviousOwner(tries - 1); });
   });
 }
 
 template <site_platform Platform>
-owner_witness site_node<Platform>::Witness() const {
+owner_witness site_node<Platform>::OutageConfirmation() const {
   const monotonic_time now = BootNow();
   owner_witness out;
   out.registered = membership_.RegisteredFor(now);
-  if (outage_confirmed_) {
+  if (outage_confirmed_at_) {
     out.confirmed_age =
-        std::chrono::duration_cast<std::chrono::milliseconds>(now - *outage_confirmed_);
+        std::chrono::duration_cast<std::chrono::milliseconds>(now - *outage_confirmed_at_);
   }
   return out;
 }
 
 // One good witness suffices: this entry, or the first of the others.
 template <site_platform Platform>
-void site_node<Platform>::SeekWitness() {
-  const std::weak_ptr<site_owner<Platform>> weak = owner_;
-  const auto take = [this, weak](const owner_witness& witness, const std::string& from) {
-    const auto owner = weak.lock();
-    if (owner == nullptr || owner != owner_ || !RulesOutUnrecordedStarts(witness)) return false;
-    if (std::exchange(witnessed_epoch_, membership_.Epoch()) == membership_.Epoch()) return true;
+void site_node<Platform>::SeekConfirmation() {
+  const std::weak_ptr<site_owner<Platform>> weak_owner = owner_;
+  const auto take = [this, weak_owner](const owner_witness& confirmation, const std::string& from) {
+    const auto owner = weak_owner.lock();
+    if (owner == nullptr || owner != owner_ || !RulesOutUnrecordedStarts(confirmation))
+      return false;
+    if (std::exchange(confirmed_epoch_, membership_.Epoch()) == membership_.Epoch()) return true;
     log_.Write(site_event::kRecordsComplete, BootNow(),
                absl::StrCat("epoch=", membership_.Epoch(), " witness=", from,
-                            " registered_ms=", witness.registered.count()));
+                            " registered_ms=", confirmation.registered.count()));
     owner->OnRecordsComplete();
     return true;
   };
-  if (take(Witness(), settings_.name)) return;
+  if (take(OutageConfirmation(), settings_.name)) return;
   for (const auto& [name, entry] : membership_.View().entries) {
     if (name == settings_.name) continue;
-    AskPeer(entry, kPeerWitnessPath, [take, name](const std::optional<std::string>& text) {
-      const auto witness = text ? OwnerWitnessFromText(*text) : std::nullopt;
-      if (witness) take(*witness, name);
+    QueryPeer(entry, kPeerWitnessPath, [take, name](const std::optional<std::string>& text) {
+      const auto confirmation = text ? OwnerWitnessFromText(*text) : std::nullopt;
+      if (confirmation) take(*confirmation, name);
     });
   }
 }
 
 template <site_platform Platform>
-void site_node<Platform>::OnLost() {
-  numbers_.owns_site.Set(0);
+void site_node<Platform>::OnOwnershipLost() {
+  metrics_.owns_site.Set(0);
   overloaded_ = false;
-  relay_.Clear();
+  start_dispatcher_.Clear();
   if (owner_ == nullptr) return;
   owner_->End();
   owner_.reset();
@@ -743,28 +750,29 @@
 
 template <site_platform Platform>
 void site_node<Platform>::OnViewChanged() {
-  if (const auto& owner = membership_.View().owner) spacing_.OnOwner(owner->epoch, BootNow());
+  if (const auto& owner = membership_.View().owner)
+    takeover_backoff_.OnOwner(owner->epoch, BootNow());
   std::vector<std::string> names;
   for (const auto& [name, entry] : membership_.View().entries) {
     if (name != settings_.name) names.push_back(name);
   }
-  relay_.SetEntries(names);
+  start_dispatcher_.SetEntries(names);
   names.insert(names.begin(), settings_.name);
   advice_.SetEntries(names);
-  SpreadAdvice();
+  SendAdviceRequests();
 }
 
 template <site_platform Platform>
-void site_node<Platform>::AskPeer(const site_entry& peer, const std::string& path_and_query,
-                                  peer_answer done, byte_counter arrived) {
+void site_node<Platform>::QueryPeer(const site_entry& peer, const std::string& path_and_query,
+                                    peer_callback done, byte_counter arrived) {
   http_call call;
   call.url = absl::StrCat("http://", peer.address, path_and_query);
   call.timeout = kPeerTimeout;
   call.stall = kPeerStall;
   call.arrived = std::move(arrived);
   const monotonic_time asked = BootNow();
-  peers_.Send(std::move(call), [this, asked, name = peer.name,
-                                done = std::move(done)](http_result result) {
+  peer_client_.Send(std::move(call), [this, asked, name = peer.name,
+                                      done = std::move(done)](http_result result) {
     loop_.Post([this, asked, name, done, result = std::move(result)] {
       const bool good = result.status == transfer_status::kDone && result.code == http_status::kOk;
       bool& silent = peer_silent_[name];
@@ -782,7 +790,7 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::TellOwner(const std::string& path_and_query, const std::string& body) {
+void site_node<Platform>::NotifyOwner(const std::string& path_and_query, const std::string& body) {
   const site_entry* owner = Owner();
   if (owner == nullptr) return;
   http_call call;
@@ -791,7 +799,7 @@
   call.body = body;
   call.timeout = kPeerTimeout;
   // Whether it arrives does not matter: the owner's watch brings the same.
-  peers_.Send(std::move(call), [](const http_result&) {});
+  peer_client_.Send(std::move(call), [](const http_result&) {});
 }
 
 template <site_platform Platform>
@@ -806,11 +814,11 @@
   if (owner_ != nullptr) return done(owner_->PhaseOf(job));
   const site_entry* owner = Owner();
   if (owner == nullptr) return done(std::nullopt);
-  AskPeer(*owner, absl::StrCat(kPeerStatePath, "?id=", job),
-          [done = std::move(done)](const std::optional<std::string>& text) {
-            const auto state = text ? ToldPhaseFromText(*text) : std::nullopt;
-            done(state && state->owns ? state->phase : std::nullopt);
-          });
+  QueryPeer(*owner, absl::StrCat(kPeerStatePath, "?id=", job),
+            [done = std::move(done)](const std::optional<std::string>& text) {
+              const auto state = text ? ToldPhaseFromText(*text) : std::nullopt;
+              done(state && state->owns ? state->phase : std::nullopt);
+            });
 }
 
 template <site_platform Platform>
@@ -819,42 +827,45 @@
   if (owner_ != nullptr && owner_->Loaded()) return done(owner_->Pending(queue));
   const site_entry* owner = Owner();
   if (owner == nullptr) return done(std::nullopt);
-  AskPeer(*owner, absl::StrCat(kPeerPendingPath, "?queue=", queue),
-          [done = std::move(done)](const std::optional<std::string>& text) {
-            const auto pending = text ? ToldPendingFromText(*text) : std::nullopt;
-            done(pending && pending->owns ? std::optional<size_t>(pending->pending) : std::nullopt);
-          });
+  QueryPeer(
+      *owner, absl::StrCat(kPeerPendingPath, "?queue=", queue),
+      [done = std::move(done)](const std::optional<std::string>& text) {
+        const auto pending = text ? ToldPendingFromText(*text) : std::nullopt;
+        done(pending && pending->owns ? std::optional<size_t>(pending->pending) : std::nullopt);
+      });
 }
 
 // What this entry tells another one of its configuration.
 template <site_platform Platform>
-told_version site_node<Platform>::TellVersion(const http_request& request) {
+told_version site_node<Platform>::VersionForPeer(const http_request& request) {
   const monotonic_time now = BootNow();
-  told_version told;
-  told.version = versions_.Word(now);
+  told_version reported;
+  reported.version = versions_.Word(now);
   uint64_t have = 0;
-  const bool newer = absl::SimpleAtoi(request.Query("have"), &have) && told.version.number > have;
-  if (!newer || request.Query("text") != "1") return told;
-  const bool given = texts_.Take(versions_.Text().size(), now);
-  if (given) {
-    told.text = versions_.Text();
-    numbers_.version_texts.Increment();
+  const bool newer =
+      absl::SimpleAtoi(request.Query("have"), &have) && reported.version.number > have;
+  if (!newer || request.Query("text") != "1") return reported;
+  const bool granted = text_limiter_.Take(versions_.Text().size(), now);
+  if (granted) {
+    reported.text = versions_.Text();
+    metrics_.version_texts.Increment();
   }
-  log_.Write(site_event::kVersionTold, now,
-             absl::StrCat("peer=", LogField(request.Query("by")), " version=", told.version.number,
-                          " have=", have, " given=", given, " bytes=", told.text.size()));
-  return told;
+  log_.Write(
+      site_event::kVersionTold, now,
+      absl::StrCat("peer=", LogField(request.Query("by")), " version=", reported.version.number,
+                   " have=", have, " given=", granted, " bytes=", reported.text.size()));
+  return reported;
 }
 
 template <site_platform Platform>
 void site_node<Platform>::VersionFromPeer(
     uint64_t have, bool text, byte_counter arrived,
     const std::function<void(std::optional<told_version>)>& done) {
-  ask_strong_ = !ask_strong_;
-  const auto peer =
-      PickEntry(membership_.View(), settings_.name, ask_strong_, absl::Uniform<uint64_t>(random_));
+  query_strong_peer_ = !query_strong_peer_;
+  const auto peer = PickPeer(membership_.View(), settings_.name, query_strong_peer_,
+                             absl::Uniform<uint64_t>(random_));
   if (!peer) return done(std::nullopt);
-  AskPeer(
+  QueryPeer(
       *peer, absl::StrCat(kPeerVersionPath, "?have=", have, "&text=", text, "&by=", settings_.name),
       [done](const std::optional<std::string>& answer) {
         done(answer ? ToldVersionFromText(*answer) : std::nullopt);
@@ -863,9 +874,9 @@
 }
 
 template <site_platform Platform>
-void site_node<Platform>::JudgeOutage(const std::function<void(outage_verdict)>& done) {
+void site_node<Platform>::PollPeersOnOutage(const std::function<void(outage_verdict)>& done) {
   struct poll {
-    size_t left = 0;
+    size_t remaining = 0;
     size_t answered = 0;
     size_t asked = 0;
     bool up_elsewhere = false;
@@ -874,39 +885,39 @@
   auto asked = std::make_shared<poll>();
   const uint64_t epoch = membership_.Epoch();
   for (const auto& [name, entry] : membership_.View().entries) {
-    if (name != settings_.name) ++asked->left;
+    if (name != settings_.name) ++asked->remaining;
   }
-  asked->asked = asked->left;
-  if (asked->left == 0) return done(outage_verdict::kSomeSilent);
+  asked->asked = asked->remaining;
+  if (asked->remaining == 0) return done(outage_verdict::kSomeSilent);
   for (const auto& [name, entry] : membership_.View().entries) {
     if (name == settings_.name) continue;
-    AskPeer(entry, kPeerHealthPath,
-            [this, asked, epoch, done](const std::optional<std::string>& text) {
-              const auto health = text ? PeerHealthFromText(*text) : std::nullopt;
-              if (health) {
-                ++asked->answered;
-                asked->up_elsewhere = asked->up_elsewhere || health->store_age < kStoreFresh;
-                asked->other_owner = asked->other_owner || health->epoch > epoch;
-              }
-              if (--asked->left > 0) return;
-              if (asked->other_owner) return done(outage_verdict::kOtherOwner);
-              if (asked->up_elsewhere) return done(outage_verdict::kUpElsewhere);
-              // One that is silent may reach the store: a failure domain that is cut off hears only
-              // its own entries, and all of those are cut off from the store too.
-              if (asked->answered < asked->asked) return done(outage_verdict::kSomeSilent);
-              outage_confirmed_ = BootNow();
-              done(outage_verdict::kDownForAll);
-            });
+    QueryPeer(entry, kPeerHealthPath,
+              [this, asked, epoch, done](const std::optional<std::string>& text) {
+                const auto health = text ? PeerHealthFromText(*text) : std::nullopt;
+                if (health) {
+                  ++asked->answered;
+                  asked->up_elsewhere = asked->up_elsewhere || health->store_age < kStoreFresh;
+                  asked->other_owner = asked->other_owner || health->epoch > epoch;
+                }
+                if (--asked->remaining > 0) return;
+                if (asked->other_owner) return done(outage_verdict::kOtherOwner);
+                if (asked->up_elsewhere) return done(outage_verdict::kUpElsewhere);
+                // One that is silent may reach the store: a failure domain that is cut off hears
+                // only its own entries, and all of those are cut off from the store too.
+                if (asked->answered < asked->asked) return done(outage_verdict::kSomeSilent);
+                outage_confirmed_at_ = BootNow();
+                done(outage_verdict::kDownForAll);
+              });
   }
 }
 
 template <site_platform Platform>
-void site_node<Platform>::SpreadAdvice() {
-  while (auto next = advice_.Next()) AskAdvice(next->first, next->second);
+void site_node<Platform>::SendAdviceRequests() {
+  while (auto next = advice_.Next()) RequestAdvice(next->first, next->second);
 }
 
 template <site_platform Platform>
-void site_node<Platform>::AskAdvice(const advice_order& order, const std::string& entry) {
+void site_node<Platform>::RequestAdvice(const advice_order& order, const std::string& entry) {
   const auto timeout = order.expected + kAdviceSlack;
   const monotonic_time asked = BootNow();
   const auto finish = [this, order, entry, asked](const advice_answer& answer) {
@@ -920,7 +931,7 @@
                      " waiting=", advice_.Waiting()));
     advice_.OnAnswered(entry);
     if (owner_ != nullptr) owner_->OnAdvice(order, answer);
-    SpreadAdvice();
+    SendAdviceRequests();
   };
   const auto found = membership_.View().entries.find(entry);
   if (entry == settings_.name || found == membership_.View().entries.end()) {
@@ -934,7 +945,7 @@
   call.url = absl::StrCat("http://", found->second.address, kPeerAdvisePath);
   call.body = PeerQuestionToText({order, timeout});
   call.timeout = timeout + kPeerTimeout;
-  peers_.Send(std::move(call), [this, finish](http_result result) {
+  peer_client_.Send(std::move(call), [this, finish](http_result result) {
     loop_.Post([finish, result = std::move(result)] {
       const bool good = result.status == transfer_status::kDone && result.code == http_status::kOk;
       const auto answer = good ? PeerAdviceFromText(result.body) : std::nullopt;
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -45,7 +45,7 @@
   // True while the configuration here is known to be in force.
   std::function<bool(monotonic_time now)> version_confirmed;
   // A question to a queue's policy; answered by OnAdvice().
-  std::function<void(advice_order)> ask_advice;
+  std::function<void(advice_order)> request_advice;
   // Brings a start to its instance, from here or by the entry that accepted the job.
   std::function<void(start_order, const std::string& accepted_by, command_callback)> start;
   // What this entry still bears.
@@ -58,22 +58,22 @@
 template <site_platform Platform>
 class site_owner : public std::enable_shared_from_this<site_owner<Platform>> {
  public:
-  site_owner(Platform& platform, event_loop& loop, site_log& log, site_metrics& numbers,
-             const site_settings& settings, uint64_t epoch, uint64_t owner_revision, bool early,
-             owner_hooks hooks)
+  site_owner(Platform& platform, event_loop& loop, site_log& log, site_metrics& metrics,
+             const site_settings& settings, uint64_t epoch, uint64_t owner_revision,
+             bool earlier_owner_may_act, owner_hooks hooks)
       : platform_(platform),
         loop_(loop),
         log_(log),
-        numbers_(numbers),
+        metrics_(metrics),
         settings_(settings),
         epoch_(epoch),
         owner_revision_(owner_revision),
         hooks_(std::move(hooks)),
-        most_starts_(OptionsOf(settings, early).starts_in_flight),
-        scheduler_(OptionsOf(settings, early), epoch, BootNow()) {}
+        max_starts_in_flight_(OptionsOf(settings, earlier_owner_may_act).starts_in_flight),
+        scheduler_(OptionsOf(settings, earlier_owner_may_act), epoch, BootNow()) {}
 
   void Start(std::shared_ptr<const site_version> version) {
-    began_ = BootNow();
+    load_started_ = BootNow();
     scheduler_.SetVersion(std::move(version));
     LoadInbox("");
   }
@@ -82,27 +82,27 @@
 
   void SetVersion(std::shared_ptr<const site_version> version) {
     scheduler_.SetVersion(std::move(version));
-    Soon();
+    ScheduleDecision();
   }
   // News of the inbox that came before the watch told it.
   void OnJobStored(const std::string& id, const std::string& record) {
     if (!loaded_) return;
-    TakeInbox({kJobPrefix + id, record}, false);
-    Soon();
+    ApplyInboxItem({kJobPrefix + id, record}, false);
+    ScheduleDecision();
   }
   void OnCancelStored(const std::string& id) {
     if (!loaded_) return;
-    TakeInbox({kCancelPrefix + id, {}}, false);
-    Soon();
+    ApplyInboxItem({kCancelPrefix + id, {}}, false);
+    ScheduleDecision();
   }
   // Another entry, or this one, vouches that no earlier owner sent starts without records.
   void OnRecordsComplete() {
-    vouched_ = true;
-    TrustRecords();
+    records_confirmed_ = true;
+    UpdateRecordTrust();
   }
   void OnEarlierOwnerDead() {
-    earlier_dead_ = true;
-    TrustRecords();
+    earlier_owner_dead_ = true;
+    UpdateRecordTrust();
   }
   bool Loaded() const { return loaded_; }
   // Nothing while the records are still being read.
@@ -113,9 +113,9 @@
     return entry->VisiblePhase();
   }
   size_t Pending(const std::string& queue) const { return scheduler_.Pending(queue); }
-  void OnAdvice(const advice_order& order, const advice_answer& answer) {
-    scheduler_.OnAdvice(order, answer, BootNow());
-    Soon();
+  void OnAdvice(const advice_order& request, const advice_answer& answer) {
+    scheduler_.OnAdvice(request, answer, BootNow());
+    ScheduleDecision();
   }
   // What deciding took since the last time.
   std::chrono::milliseconds TakeDecideTime() {
@@ -129,41 +129,42 @@
   using self_type = site_owner<Platform>;
 
   static constexpr std::chrono::milliseconds kRetry{150};
-  static constexpr std::chrono::milliseconds kTick{50};
+  static constexpr std::chrono::milliseconds kDecisionInterval{50};
   // Events that come together are decided together.
-  static constexpr std::chrono::milliseconds kSoon{3};
-  static constexpr int kRestPerRound = 3;  // deciding takes a quarter of the time at most
+  static constexpr std::chrono::milliseconds kDecisionDelay{3};
+  static constexpr int kIdlePerDecisionTime = 3;  // deciding takes a quarter of the time at most
   // Ends are stored together: a write for each would be most of the store's rate.
-  static constexpr std::chrono::milliseconds kBetweenCommits{60};
+  static constexpr std::chrono::milliseconds kCommitInterval{60};
   // But starts wait for their records: these go out as soon as the change before them is done. Each
   // change takes about 10 ms, so this is some 60 writes a second at most.
-  static constexpr std::chrono::milliseconds kBetweenStartCommits{6};
+  static constexpr std::chrono::milliseconds kStartCommitInterval{6};
   // A change without an answer after this time is looked for in the store: its answer may be lost,
   // and all that waits for it would wait for the call's timeout.
-  static constexpr std::chrono::milliseconds kProbeAfter{150};
+  static constexpr std::chrono::milliseconds kProbeDelay{150};
   static constexpr std::chrono::milliseconds kCommitRetry{150};
-  static constexpr std::chrono::milliseconds kExpiryEvery{2000};
-  static constexpr std::chrono::milliseconds kFleetLook{100};
+  static constexpr std::chrono::milliseconds kExpiryInterval{2000};
+  static constexpr std::chrono::milliseconds kFleetCheckInterval{100};
   // After a listing: ends that come together are told together, and each look costs.
   static constexpr std::chrono::milliseconds kListingPause{120};
   // What this process is late by is added to the patience with others, up to this.
-  static constexpr std::chrono::milliseconds kMostOwnDelay{1500};
-  static constexpr std::chrono::milliseconds kOwnDelayMatters{40};
+  static constexpr std::chrono::milliseconds kMaxLocalDelay{1500};
+  static constexpr std::chrono::milliseconds kMinLocalDelay{40};
   static constexpr std::chrono::milliseconds kIdleWatchPause{50};
-  static constexpr size_t kItemBytes = 150;   // of an item on the wire, beside its key and value
-  static constexpr size_t kExpireAtOnce = 8;  // jobs; three keys each
+  static constexpr size_t kItemOverheadBytes =
+      150;  // of an item on the wire, beside its key and value
+  static constexpr size_t kMaxExpiredPerCommit = 8;  // jobs; three keys each
   // Conditions and keys of the owner's own in each change.
-  static constexpr size_t kOwnEntries = 5;
+  static constexpr size_t kReservedEntries = 5;
 
   // `early`: the earlier owner's lease has not ended, and it may go on until then.
-  static scheduler_options OptionsOf(const site_settings& settings, bool early) {
+  static scheduler_options OptionsOf(const site_settings& settings, bool earlier_owner_may_act) {
     scheduler_options out;
     out.run_lease = std::min(settings.timing.run_lease, settings.bounds.longest_run_lease);
     out.stop_limit = settings.bounds.stop_limit;
     out.gang_limit = settings.bounds.gang_limit;
     out.keep_final = settings.bounds.keep_final;
-    if (early) out.earlier_owner += settings.timing.owner_lease;
-    out.unvouched_owner = kOwnerGoesOnAlone;
+    if (earlier_owner_may_act) out.earlier_owner += settings.timing.owner_lease;
+    out.unvouched_owner = kIsolatedOwnerLimit;
     out.early_limit = settings.bounds.early_limit;
     out.remote_factor = settings.bounds.remote_factor;
     return out;
@@ -187,7 +188,7 @@
   command_callback OnAnswer(std::function<void(self_type&, order_answer)> done) {
     return OnLoop<order_answer>(std::move(done));
   }
-  void Later(std::chrono::milliseconds delay, std::function<void(self_type&)> task) {
+  void RunAfter(std::chrono::milliseconds delay, std::function<void(self_type&)> task) {
     std::weak_ptr<self_type> weak = this->weak_from_this();
     loop_.After(delay, [weak, task = std::move(task)] {
       const std::shared_ptr<self_type> self = weak.lock();
@@ -206,7 +207,7 @@
                               if (reply.status != store_status::kDone) {
                                 read_way fresh;
                                 fresh.fresh_connection = true;
-                                self.Later(kRetry, [=](self_type& again) {
+                                self.RunAfter(kRetry, [=](self_type& again) {
                                   again.ReadPages(prefix, after, take, done, fresh);
                                 });
                                 return;
@@ -249,10 +250,10 @@
                 std::move(*text);
           }
         },
-        [](self_type& self) { self.LoadOwn(); });
+        [](self_type& self) { self.LoadOwnerRecords(); });
   }
 
-  void LoadOwn() {
+  void LoadOwnerRecords() {
     ReadPages(
         "owner/", "",
         [](self_type& self, const store_reply& reply) {
@@ -262,53 +263,54 @@
               const auto text = self.Unpacked(item);
               if (text) self.loaded_fleet_ = FleetFromText(*text);
             }
-            if (item.key == kBehindKey) self.records_behind_ = true;
+            if (item.key == kBehindKey) self.records_lagging_ = true;
           }
         },
         [](self_type& self) { self.LoadRegistry(); });
   }
 
   void LoadRegistry() {
-    ReadRegistry([](self_type& self) { self.Begin(); });
+    ReadRegistry([](self_type& self) { self.BeginScheduling(); });
   }
 
-  void Begin() {
+  void BeginScheduling() {
     const monotonic_time now = BootNow();
     loaded_ = true;
-    if (records_behind_) mode_.OnInherited();
-    if (!vouched_ && !records_behind_ && epoch_ > 1) mode_.OnUnvouched();
-    TrustRecords();
+    if (records_lagging_) record_mode_.OnInherited();
+    if (!records_confirmed_ && !records_lagging_ && epoch_ > 1) record_mode_.OnUnvouched();
+    UpdateRecordTrust();
     scheduler_.OnInherited(loaded_fleet_, now);
     scheduler_.OnRegistry(registry_, now);
     // In the order of their acceptance: shares are counted along it.
     std::sort(loaded_inbox_.begin(), loaded_inbox_.end(),
               [](const store_item& a, const store_item& b) { return a.revision < b.revision; });
-    for (const store_item& item : loaded_inbox_) TakeInbox(item, true);
-    log_.Write(site_event::kOwnerLoaded, now,
-               absl::StrCat(
-                   "epoch=", epoch_, " jobs=", scheduler_.JobCount(),
-                   " records=", loaded_inbox_.size(), " progress=", loaded_progress_.size(),
-                   " instances=", registry_.size(), " known_before=", loaded_fleet_.size(), " ms=",
-                   std::chrono::duration_cast<std::chrono::milliseconds>(now - began_).count()));
+    for (const store_item& item : loaded_inbox_) ApplyInboxItem(item, true);
+    log_.Write(
+        site_event::kOwnerLoaded, now,
+        absl::StrCat(
+            "epoch=", epoch_, " jobs=", scheduler_.JobCount(), " records=", loaded_inbox_.size(),
+            " progress=", loaded_progress_.size(), " instances=", registry_.size(),
+            " known_before=", loaded_fleet_.size(), " ms=",
+            std::chrono::duration_cast<std::chrono::milliseconds>(now - load_started_).count()));
     loaded_inbox_.clear();
     loaded_progress_.clear();
     loaded_fleet_.clear();
     WatchInbox(inbox_revision_);
-    Later(settings_.timing.registry_poll, [](self_type& self) { self.PollRegistry(); });
-    Later(kExpiryEvery, [](self_type& self) { self.Expire(); });
+    RunAfter(settings_.timing.registry_poll, [](self_type& self) { self.PollRegistry(); });
+    RunAfter(kExpiryInterval, [](self_type& self) { self.Expire(); });
     Tick();
   }
 
   // The records name all starts of earlier owners if none of them went on while the store was down,
   // and none has declared its records to run behind.
-  void TrustRecords() {
-    if (!loaded_ || records_behind_) return;
-    if (earlier_dead_) scheduler_.OnEarlierOwnerDead();
-    if (vouched_) scheduler_.SetRecordsComplete();
-    Soon();
+  void UpdateRecordTrust() {
+    if (!loaded_ || records_lagging_) return;
+    if (earlier_owner_dead_) scheduler_.OnEarlierOwnerDead();
+    if (records_confirmed_) scheduler_.SetRecordsComplete();
+    ScheduleDecision();
   }
 
-  void TakeInbox(const store_item& item, bool inherited) {
+  void ApplyInboxItem(const store_item& item, bool inherited) {
     if (item.deleted) return;
     const monotonic_time now = BootNow();
     const std::string jobs = kJobPrefix;
@@ -350,14 +352,14 @@
 
   void OnInbox(const store_reply& reply, uint64_t after, monotonic_time sent) {
     if (reply.status == store_status::kDone) {
-      for (const store_item& item : reply.items) TakeInbox(item, false);
-      if (!reply.items.empty()) Soon();
+      for (const store_item& item : reply.items) ApplyInboxItem(item, false);
+      if (!reply.items.empty()) ScheduleDecision();
       const uint64_t next = std::max(after, reply.revision);
       if (!reply.items.empty() || BootNow() - sent >= kIdleWatchPause) return WatchInbox(next);
-      return Later(kIdleWatchPause, [next](self_type& self) { self.WatchInbox(next); });
+      return RunAfter(kIdleWatchPause, [next](self_type& self) { self.WatchInbox(next); });
     }
     if (reply.status != store_status::kHistoryGone) {
-      return Later(kRetry, [after](self_type& self) { self.WatchInbox(after); });
+      return RunAfter(kRetry, [after](self_type& self) { self.WatchInbox(after); });
     }
     // What the watch missed is read in whole; jobs that are known already are left as they are.
     inbox_revision_ = 0;
@@ -365,10 +367,10 @@
         kInboxPrefix, "",
         [](self_type& self, const store_reply& page) {
           if (self.inbox_revision_ == 0) self.inbox_revision_ = page.revision;
-          for (const store_item& item : page.items) self.TakeInbox(item, false);
+          for (const store_item& item : page.items) self.ApplyInboxItem(item, false);
         },
         [](self_type& self) {
-          self.Soon();
+          self.ScheduleDecision();
           self.WatchInbox(self.inbox_revision_);
         });
   }
@@ -380,7 +382,7 @@
         Platform::kInstanceKeyPrefix, "",
         [reports](self_type& self, const store_reply& reply) {
           for (const store_item& item : reply.items) {
-            self.registry_bytes_ += item.key.size() + item.value.size() + kItemBytes;
+            self.registry_bytes_ += item.key.size() + item.value.size() + kItemOverheadBytes;
             auto report = Platform::DecodeRegistration(item.key, item.value);
             if (report) reports->push_back(std::move(*report));
           }
@@ -394,18 +396,18 @@
   void PollRegistry() {
     ReadRegistry([](self_type& self) {
       self.scheduler_.OnRegistry(self.registry_, BootNow());
-      self.Soon();
+      self.ScheduleDecision();
       const auto pause = self.hooks_.budget(BootNow()).RegistryPause(
           self.settings_.timing.registry_poll, self.registry_bytes_);
-      self.Later(pause, [](self_type& again) { again.PollRegistry(); });
+      self.RunAfter(pause, [](self_type& again) { again.PollRegistry(); });
     });
   }
 
   // The instances that may run work are kept in the store: the registry loses those that are cut
   // off from it and run on.
-  void NoteFleet(monotonic_time now) {
-    if (now < next_fleet_look_) return;
-    next_fleet_look_ = now + kFleetLook;
+  void UpdateFleetRecord(monotonic_time now) {
+    if (now < next_fleet_check_) return;
+    next_fleet_check_ = now + kFleetCheckInterval;
     auto fleet = fleet_record_.Update(scheduler_.Fleet(), now);
     if (!fleet) return;
     fleet_text_ = FleetToText(*fleet);
@@ -417,111 +419,113 @@
 
   void Tick() {
     Decide();
-    Later(kTick, [](self_type& self) { self.Tick(); });
+    RunAfter(kDecisionInterval, [](self_type& self) { self.Tick(); });
   }
 
-  void Soon() {
-    if (soon_ || !loaded_) return;
-    soon_ = true;
-    const auto rest = std::chrono::ceil<std::chrono::milliseconds>(next_decide_ - BootNow());
-    Later(std::max(hooks_.budget(BootNow()).RoundPause(kSoon), rest), [](self_type& self) {
-      self.soon_ = false;
-      self.Decide();
-    });
+  void ScheduleDecision() {
+    if (decision_scheduled_ || !loaded_) return;
+    decision_scheduled_ = true;
+    const auto min_wait = std::chrono::ceil<std::chrono::milliseconds>(next_decision_ - BootNow());
+    RunAfter(std::max(hooks_.budget(BootNow()).RoundPause(kDecisionDelay), min_wait),
+             [](self_type& self) {
+               self.decision_scheduled_ = false;
+               self.Decide();
+             });
   }
 
   void Decide() {
     const monotonic_time now = BootNow();
-    if (now < next_decide_ || !hooks_.may_act(now)) return;
-    if (committing_) mode_.OnWaiting(WaitedSince(last_commit_, now));
-    FollowMode(now);
+    if (now < next_decision_ || !hooks_.may_act(now)) return;
+    if (committing_) record_mode_.OnWaiting(MillisSince(last_commit_, now));
+    ApplyRecordMode(now);
     const owner_budget& budget = hooks_.budget(now);
-    scheduler_.SetStartsInFlight(budget.StartsInFlight(most_starts_));
+    scheduler_.SetStartsInFlight(budget.StartsInFlight(max_starts_in_flight_));
     scheduler_.SetListingPause(budget.ListingPause(kListingPause));
     // A call waits for its turn, and its answer to be read.
-    const auto late = 2 * std::max(loop_.Delay(), platform_.Instances().Delay());
-    scheduler_.SetOwnDelay(late < kOwnDelayMatters ? std::chrono::milliseconds{0}
-                                                   : std::min(late, kMostOwnDelay));
-    scheduler_orders orders = scheduler_.Decide(WallNow(), now);
-    for (const start_order& order : orders.starts) SendStart(order);
-    for (const stop_order& order : orders.stops) SendStop(order);
-    for (const pace_order& order : orders.paces) SendPace(order);
-    for (const list_order& order : orders.listings) SendListing(order);
-    for (advice_order& order : orders.advice) hooks_.ask_advice(std::move(order));
+    const auto local_delay = 2 * std::max(loop_.Delay(), platform_.Instances().Delay());
+    scheduler_.SetOwnDelay(local_delay < kMinLocalDelay ? std::chrono::milliseconds{0}
+                                                        : std::min(local_delay, kMaxLocalDelay));
+    scheduler_orders requests = scheduler_.Decide(WallNow(), now);
+    for (const start_order& request : requests.starts) SendStart(request);
+    for (const stop_order& request : requests.stops) SendStop(request);
+    for (const pace_order& request : requests.paces) SendSpeed(request);
+    for (const list_order& request : requests.listings) SendListing(request);
+    for (advice_order& request : requests.advice) hooks_.request_advice(std::move(request));
     WriteNotes(scheduler_.TakeNotes(), log_, now);
     const auto spent = BootNow() - now;
     // A round costs more the more waits. Without a pause after it, a backlog would take all the
     // processor, answers would be read too late, and what they were about would be given up.
-    next_decide_ = BootNow() + kRestPerRound * spent;
+    next_decision_ = BootNow() + kIdlePerDecisionTime * spent;
     decide_time_ += spent;
-    numbers_.decide_seconds.Observe(std::chrono::duration<double>(spent).count());
-    numbers_.jobs.Set(static_cast<double>(scheduler_.JobCount()));
-    numbers_.runs.Set(static_cast<double>(scheduler_.RunCount()));
+    metrics_.decide_seconds.Observe(std::chrono::duration<double>(spent).count());
+    metrics_.jobs.Set(static_cast<double>(scheduler_.JobCount()));
+    metrics_.runs.Set(static_cast<double>(scheduler_.RunCount()));
     Commit();
   }
 
-  static std::chrono::milliseconds WaitedSince(monotonic_time since, monotonic_time now) {
+  static std::chrono::milliseconds MillisSince(monotonic_time since, monotonic_time now) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(now - since);
   }
 
   // True when the answer ends this ownership.
-  bool Fenced(order_result result, const order_target& to) {
+  bool CheckFenced(order_result result, const order_target& to) {
     if (result != order_result::kFenced) return false;
     hooks_.superseded(absl::StrCat("instance ", to.instance, " has seen a higher epoch"));
     return true;
   }
 
-  void SendStart(const start_order& order) {
-    start_order remembered = order;
-    remembered.payload.clear();
-    const job_entry* entry = scheduler_.Find(order.key.job);
-    hooks_.start(order, entry == nullptr ? std::string() : entry->job.accepted_by,
-                 OnAnswer([order = std::move(remembered)](self_type& self, order_answer answer) {
-                   self.numbers_.CountOrder("start", std::string(ToText(answer.result)));
-                   if (self.Fenced(answer.result, order.to)) return;
-                   self.scheduler_.OnStartAnswer(order, answer, BootNow());
-                   if (self.scheduler_.StartsPlanned()) self.SendRecordedStarts(BootNow());
-                   if (answer.result != order_result::kDone) self.Soon();
-                 }));
+  void SendStart(const start_order& request) {
+    start_order without_payload = request;
+    without_payload.payload.clear();
+    const job_entry* entry = scheduler_.Find(request.key.job);
+    hooks_.start(
+        request, entry == nullptr ? std::string() : entry->job.accepted_by,
+        OnAnswer([request = std::move(without_payload)](self_type& self, order_answer answer) {
+          self.metrics_.CountOrder("start", std::string(ToText(answer.result)));
+          if (self.CheckFenced(answer.result, request.to)) return;
+          self.scheduler_.OnStartAnswer(request, answer, BootNow());
+          if (self.scheduler_.StartsPlanned()) self.SendRecordedStarts(BootNow());
+          if (answer.result != order_result::kDone) self.ScheduleDecision();
+        }));
   }
 
-  void SendStop(const stop_order& order) {
+  void SendStop(const stop_order& request) {
     platform_.Instances().Stop(
-        order, epoch_, OnAnswer([order](self_type& self, order_answer answer) {
-          self.numbers_.CountOrder("stop", std::string(ToText(answer.result)));
-          if (self.Fenced(answer.result, order.to)) return;
-          self.scheduler_.OnStopAnswer(order, answer, BootNow());
+        request, epoch_, OnAnswer([request](self_type& self, order_answer answer) {
+          self.metrics_.CountOrder("stop", std::string(ToText(answer.result)));
+          if (self.CheckFenced(answer.result, request.to)) return;
+          self.scheduler_.OnStopAnswer(request, answer, BootNow());
         }));
   }
 
-  void SendPace(const pace_order& order) {
+  void SendSpeed(const pace_order& request) {
     platform_.Instances().Pace(
-        order, epoch_, OnAnswer([order](self_type& self, order_answer answer) {
-          self.numbers_.CountOrder("pace", std::string(ToText(answer.result)));
-          if (self.Fenced(answer.result, order.to)) return;
-          self.scheduler_.OnPaceAnswer(order, answer, BootNow());
+        request, epoch_, OnAnswer([request](self_type& self, order_answer answer) {
+          self.metrics_.CountOrder("pace", std::string(ToText(answer.result)));
+          if (self.CheckFenced(answer.result, request.to)) return;
+          self.scheduler_.OnPaceAnswer(request, answer, BootNow());
         }));
   }
 
-  void SendListing(const list_order& order) {
+  void SendListing(const list_order& request) {
     const monotonic_time sent = BootNow();
     std::function<void(self_type&, std::optional<instance_listing>, order_result)> done =
-        [order, sent](self_type& self, std::optional<instance_listing> listing,
-                      order_result result) {
-          self.numbers_.CountOrder("list", std::string(ToText(result)));
-          if (self.Fenced(result, order.to)) return;
+        [request, sent](self_type& self, std::optional<instance_listing> listing,
+                        order_result result) {
+          self.metrics_.CountOrder("list", std::string(ToText(result)));
+          if (self.CheckFenced(result, request.to)) return;
           if (!listing) {
-            self.scheduler_.OnNoListing(order, result, BootNow());
+            self.scheduler_.OnNoListing(request, result, BootNow());
             return;
           }
           for (const ended_row& row : listing->ended) {
-            self.numbers_.CountEnd(std::string(ToText(row.how)));
+            self.metrics_.CountEnd(std::string(ToText(row.how)));
           }
-          self.scheduler_.OnListing(order, *listing, sent, BootNow());
-          self.Soon();
+          self.scheduler_.OnListing(request, *listing, sent, BootNow());
+          self.ScheduleDecision();
         };
     platform_.Instances().List(
-        order, epoch_, OnLoop<std::optional<instance_listing>, order_result>(std::move(done)));
+        request, epoch_, OnLoop<std::optional<instance_listing>, order_result>(std::move(done)));
   }
 
   // --- storing -----------------------------------------------------------------------------------
@@ -529,7 +533,7 @@
   // Each change holds only while this entry owns the site and no other change of its own came
   // between: one that the store carries out late finds that and does nothing.
   std::string CommitName() const { return absl::StrCat(epoch_, ".", commit_number_); }
-  store_write Guarded() const {
+  store_write GuardedWrite() const {
     store_write write;
     write.expected = {{kOwnerKey, owner_revision_}, {kCommitKey, commit_revision_}};
     write.puts.push_back({kCommitKey, CommitName(), {}});
@@ -540,20 +544,23 @@
     const monotonic_time now = BootNow();
     const owner_budget& budget = hooks_.budget(now);
     const auto pause =
-        scheduler_.StartsPlanned() ? budget.RoundPause(kBetweenStartCommits) : kBetweenCommits;
+        scheduler_.StartsPlanned() ? budget.RoundPause(kStartCommitInterval) : kCommitInterval;
     if (committing_ || now < next_commit_ || now < last_commit_ + pause) return;
-    NoteFleet(now);
-    const size_t most = Platform::kMostInOneChange - kOwnEntries;
+    UpdateFleetRecord(now);
+    const size_t most = Platform::kMostInOneChange - kReservedEntries;
     std::vector<job_progress_write> writes =
         scheduler_.TakeUnstored(most, budget.RecordBytesPerCommit());
-    const bool declares = mode_.WantsDeclared();
-    const bool withdraws = !declares && mode_.WantsWithdrawn(scheduler_.RecordsKnown());
-    if (writes.empty() && !fleet_unstored_ && expired_.empty() && !declares && !withdraws) return;
-    store_write change = Guarded();
-    if (declares) change.puts.push_back({kBehindKey, absl::StrCat(epoch_), {}});
-    if (withdraws) change.deletes.push_back(kBehindKey);
-    declares_ = declares;
-    withdraws_ = withdraws;
+    const bool declare_lagging = record_mode_.WantsDeclared();
+    const bool withdraw_lagging =
+        !declare_lagging && record_mode_.WantsWithdrawn(scheduler_.RecordsKnown());
+    if (writes.empty() && !fleet_unstored_ && expired_.empty() && !declare_lagging &&
+        !withdraw_lagging)
+      return;
+    store_write change = GuardedWrite();
+    if (declare_lagging) change.puts.push_back({kBehindKey, absl::StrCat(epoch_), {}});
+    if (withdraw_lagging) change.deletes.push_back(kBehindKey);
+    declares_lagging_ = declare_lagging;
+    withdraws_lagging_ = withdraw_lagging;
     for (const job_progress_write& write : writes) {
       change.puts.push_back({kProgressPrefix + write.job, PackText(write.text), {}});
     }
@@ -564,8 +571,8 @@
     }
     // Deletes go alone: three keys a job would not leave room for progress.
     std::vector<std::string> expired;
-    if (writes.empty() && !withdraws) {
-      const size_t count = std::min(expired_.size(), kExpireAtOnce);
+    if (writes.empty() && !withdraw_lagging) {
+      const size_t count = std::min(expired_.size(), kMaxExpiredPerCommit);
       const auto end = expired_.begin() + static_cast<std::ptrdiff_t>(count);
       expired.assign(expired_.begin(), end);
       expired_.erase(expired_.begin(), end);
@@ -584,7 +591,7 @@
         change, OnReply([number = commit_number_](self_type& self, const store_reply& reply) {
           self.OnCommitted(number, reply);
         }));
-    Later(kProbeAfter, [number = commit_number_](self_type& self) { self.ProbeCommit(number); });
+    RunAfter(kProbeDelay, [number = commit_number_](self_type& self) { self.ProbeCommit(number); });
   }
 
   void ProbeCommit(uint64_t number) {
@@ -595,7 +602,7 @@
           const bool done = reply.status == store_status::kDone && !reply.items.empty() &&
                             reply.items.front().value == self.CommitName();
           if (!done) {
-            self.Later(kProbeAfter, [number](self_type& again) { again.ProbeCommit(number); });
+            self.RunAfter(kProbeDelay, [number](self_type& again) { again.ProbeCommit(number); });
             return;
           }
           store_reply found;
@@ -615,10 +622,10 @@
     const std::optional<std::vector<instance_report>> fleet = std::move(committed_fleet_);
     const monotonic_time sent = last_commit_;
     const monotonic_time now = BootNow();
-    numbers_.CountStoreCall("commit", reply.status == store_status::kDone ? "done" : "not_done");
+    metrics_.CountStoreCall("commit", reply.status == store_status::kDone ? "done" : "not_done");
     if (reply.status == store_status::kDone) {
       commit_revision_ = reply.revision;
-      OnModeStored(WaitedSince(sent, now), now);
+      OnRecordModeStored(MillisSince(sent, now), now);
       scheduler_.OnStored(writes);
       if (fleet) scheduler_.OnFleetStored(*fleet);
       log_.Write(
@@ -626,7 +633,7 @@
           absl::StrCat("jobs=", writes.size(), " revision=", reply.revision, " ms=",
                        std::chrono::duration_cast<std::chrono::milliseconds>(now - sent).count()));
       SendRecordedStarts(now);
-      Soon();
+      ScheduleDecision();
       return Commit();
     }
     scheduler_.OnNotStored(writes);
@@ -643,55 +650,55 @@
     }
   }
 
-  void FollowMode(monotonic_time now) {
+  void ApplyRecordMode(monotonic_time now) {
     const bool store_down = hooks_.store_down_for_all(now);
-    scheduler_.SetUnrecordedStarts(!mode_.StartsWait() || store_down);
+    scheduler_.SetUnrecordedStarts(!record_mode_.StartsWait() || store_down);
     // With the store down for all, nothing newer can have been acknowledged.
     scheduler_.HoldStarts(!hooks_.version_confirmed(now) && !store_down);
   }
 
-  void OnModeStored(std::chrono::milliseconds took, monotonic_time now) {
-    mode_.OnChange(took, now);
-    FollowMode(now);
-    if (std::exchange(declares_, false)) {
-      mode_.OnDeclared();
+  void OnRecordModeStored(std::chrono::milliseconds took, monotonic_time now) {
+    record_mode_.OnChange(took, now);
+    ApplyRecordMode(now);
+    if (std::exchange(declares_lagging_, false)) {
+      record_mode_.OnDeclared();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=1 ms=", took.count()));
     }
-    if (std::exchange(withdraws_, false)) {
-      records_behind_ = false;
-      mode_.OnWithdrawn();
+    if (std::exchange(withdraws_lagging_, false)) {
+      records_lagging_ = false;
+      record_mode_.OnWithdrawn();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=0 ms=", took.count()));
     }
   }
 
   void SendRecordedStarts(monotonic_time now) {
     if (!hooks_.may_act(now)) return;
-    for (const start_order& order : scheduler_.TakeStarts(now)) SendStart(order);
+    for (const start_order& request : scheduler_.TakeStarts(now)) SendStart(request);
   }
 
   void Expire() {
-    for (std::string& id : scheduler_.TakeExpired(BootNow(), kExpireAtOnce)) {
+    for (std::string& id : scheduler_.TakeExpired(BootNow(), kMaxExpiredPerCommit)) {
       cancelled_.erase(id);
       expired_.push_back(std::move(id));
     }
-    Later(kExpiryEvery, [](self_type& self) { self.Expire(); });
+    RunAfter(kExpiryInterval, [](self_type& self) { self.Expire(); });
   }
 
   Platform& platform_;
   event_loop& loop_;
   site_log& log_;
-  site_metrics& numbers_;
+  site_metrics& metrics_;
   const site_settings& settings_;
   const uint64_t epoch_;
   const uint64_t owner_revision_;
   owner_hooks hooks_;
-  const uint32_t most_starts_;
+  const uint32_t max_starts_in_flight_;
   job_scheduler scheduler_;
   bool ended_ = false;
   bool loaded_ = false;
-  bool soon_ = false;
-  monotonic_time began_{};
-  monotonic_time next_decide_{};
+  bool decision_scheduled_ = false;
+  monotonic_time load_started_{};
+  monotonic_time next_decision_{};
   monotonic_time::duration decide_time_{0};
   // While the records are read:
   std::vector<store_item> loaded_inbox_;
@@ -703,12 +710,12 @@
   size_t registry_bytes_ = 0;        // of its last read
   std::set<std::string> cancelled_;  // until their jobs are forgotten
   uint64_t commit_revision_ = 0;
-  record_mode mode_;
-  bool records_behind_ = false;  // as an earlier owner declared
-  bool earlier_dead_ = false;    // its process is gone
-  bool vouched_ = false;         // that no owner went on while the store was down
-  bool declares_ = false;        // the change on its way does
-  bool withdraws_ = false;
+  record_mode record_mode_;
+  bool records_lagging_ = false;     // as an earlier owner declared
+  bool earlier_owner_dead_ = false;  // its process is gone
+  bool records_confirmed_ = false;   // that no owner went on while the store was down
+  bool declares_lagging_ = false;    // the change on its way does
+  bool withdraws_lagging_ = false;
   bool committing_ = false;
   uint64_t commit_number_ = 1;  // of the change on its way, or of the next one
   monotonic_time last_commit_{};
@@ -718,7 +725,7 @@
   std::vector<std::string> committed_expired_;
   std::optional<std::vector<instance_report>> committed_fleet_;
   fleet_record fleet_record_;
-  monotonic_time next_fleet_look_{};
+  monotonic_time next_fleet_check_{};
   std::string fleet_text_;
   std::vector<instance_report> fleet_;  // what fleet_text_ says
   bool fleet_unstored_ = false;
--- a/src/process/site/start_dispatcher.h
+++ b/src/process/site/start_dispatcher.h
@@ -49,7 +49,7 @@
         own_address_(std::move(own_address)),
         hooks_(std::move(hooks)) {}
 
-  void SetEntries(std::vector<std::string> others) { route_.SetEntries(std::move(others)); }
+  void SetEntries(std::vector<std::string> others) { router_.SetEntries(std::move(others)); }
   // This ownership is over: what waits for an answer is nobody's any more.
   void Clear() {
     pending_.clear();
@@ -62,7 +62,7 @@
     const uint32_t group =
         command.key.index / budget_.StartsPerGroup(command.payload.size() + kStartOverheadBytes);
     const auto forwarder =
-        route_.ForwarderFor(command.key.job, accepted_by, group, budget_.Busy(), now);
+        router_.ForwarderFor(command.key.job, accepted_by, group, budget_.Busy(), now);
     if (!forwarder) return SendDirect(command, epoch, std::move(done));
     budget_.OnStart(kForwardedBytes);
     const uint64_t number = ++last_number_;
@@ -133,7 +133,7 @@
     call.url = absl::StrCat("http://", address, kPeerStartPath);
     call.body = ForwardedStartsToText(message);
     call.timeout = kMessageTimeout;
-    const uint64_t sent = route_.Sent(forwarder, BootNow());
+    const uint64_t sent = router_.Sent(forwarder, BootNow());
     http_.Send(std::move(call), [this, sent, forwarder, numbers](const http_result& result) {
       loop_.Post([this, sent, forwarder, numbers, result] {
         OnForwarded(sent, forwarder, numbers, result);
@@ -147,7 +147,7 @@
     const auto results = answered && result.code == http_status::kOk
                              ? StartResultsFromText(result.body)
                              : std::nullopt;
-    route_.OnAnswer(message, results.has_value(), BootNow());
+    router_.OnAnswer(message, results.has_value(), BootNow());
     if (results) return ApplyResults(*results);
     log_.Write(site_event::kStartsNotCarried, BootNow(),
                absl::StrCat("peer=", forwarder, " starts=", numbers.size(), " answered=", answered,
@@ -191,7 +191,7 @@
     // All have the same time, so the first ones fall due first.
     while (!pending_.empty() && pending_.begin()->second.due <= now) {
       const pending_start item = std::move(pending_.extract(pending_.begin()).mapped());
-      route_.OnResultMissing(item.forwarder, now);
+      router_.OnResultMissing(item.forwarder, now);
       item.done({order_result::kUnknown, std::nullopt});
     }
     if (pending_.empty() || std::exchange(sweep_planned_, true)) return;
@@ -205,7 +205,7 @@
   site_log& log_;
   std::string own_address_;
   dispatcher_hooks hooks_;
-  start_router route_;
+  start_router router_;
   std::map<uint64_t, pending_start> pending_;             // by number
   std::map<std::string, std::vector<uint64_t>> batches_;  // numbers to give away, by carrier
   uint64_t last_number_ = 0;
--- a/test/platform_codec_test.cc
+++ b/test/platform_codec_test.cc
@@ -239,11 +239,11 @@
 TEST_CASE_METHOD(site_parts_fixture, "site view, old news after newer, changes nothing") {
   site_view view;
   const owner_word mine{{"me", "1.1.1.1:1", "d", 5}, 4};
-  view.Take({kOwnerKey, OwnerToText(mine), 20});
-  view.Take({kOwnerKey, {}, 15, true});
+  view.Apply({kOwnerKey, OwnerToText(mine), 20});
+  view.Apply({kOwnerKey, {}, 15, true});
   REQUIRE(view.owner);
   CHECK(view.owner->epoch == 4);
-  view.Take({kOwnerKey, {}, 25, true});
+  view.Apply({kOwnerKey, {}, 25, true});
   CHECK_FALSE(view.owner);
   CHECK(view.epoch == 4);
 }
@@ -267,8 +267,8 @@
   for (view.epoch = 0; view.epoch < 4; ++view.epoch) {
     CHECK(ClaimDelay(view, "b") + milliseconds(300) < ClaimDelay(view, "a"));
   }
-  CHECK(MuchStrongerLives(view, weak));
-  CHECK_FALSE(MuchStrongerLives(view, strong));
+  CHECK(MuchStrongerExists(view, weak));
+  CHECK_FALSE(MuchStrongerExists(view, strong));
   view.entries.erase("b");
   CHECK(ClaimDelay(view, "a") == milliseconds(0));
 }
@@ -276,7 +276,7 @@
 // Guards against all entries asking the same one for the configuration, and weak ones for its text.
 TEST_CASE_METHOD(site_parts_fixture, "entry to ask, by random number, is any or a strong one") {
   site_view view;
-  CHECK_FALSE(PickEntry(view, "a", false, 7));
+  CHECK_FALSE(PickPeer(view, "a", false, 7));
   for (const char* name : {"a", "b", "c", "d"}) {
     const double strength = name[0] == 'b' ? 0.05 : 0.5;
     view.entries[name] = site_entry{name, "", "z", 1, strength};
@@ -284,8 +284,8 @@
   std::set<std::string> any;
   std::set<std::string> strong;
   for (uint64_t random = 0; random < 12; ++random) {
-    any.insert(PickEntry(view, "a", false, random)->name);
-    strong.insert(PickEntry(view, "a", true, random)->name);
+    any.insert(PickPeer(view, "a", false, random)->name);
+    strong.insert(PickPeer(view, "a", true, random)->name);
   }
   CHECK(any == std::set<std::string>{"b", "c", "d"});
   CHECK(strong == std::set<std::string>{"c", "d"});
--- a/test/start_router_test.cc
+++ b/test/start_router_test.cc
@@ -17,12 +17,12 @@
 
 class start_router_fixture {
  protected:
-  start_router_fixture() { route.SetEntries({"b", "c", "d"}); }
+  start_router_fixture() { router.SetEntries({"b", "c", "d"}); }
   std::optional<std::string> Forwarder(const std::string& accepted_by, bool busy = true) {
-    return route.ForwarderFor("job", accepted_by, 0, busy, now);
+    return router.ForwarderFor("job", accepted_by, 0, busy, now);
   }
 
-  start_router route;
+  start_router router;
   monotonic_time now{seconds(100)};
 };
 
@@ -40,7 +40,7 @@
   REQUIRE(other);
   CHECK(Forwarder("gone") == other);
   CHECK(Forwarder("") == other);
-  route.SetEntries({});
+  router.SetEntries({});
   CHECK_FALSE(Forwarder("gone"));
 }
 
@@ -48,9 +48,9 @@
 TEST_CASE_METHOD(start_router_fixture, "start route, wide job, its groups go several ways") {
   std::set<std::string> forwarders;
   for (uint32_t group = 0; group < 20; ++group) {
-    const auto forwarder = route.ForwarderFor("job", "c", group, true, now);
+    const auto forwarder = router.ForwarderFor("job", "c", group, true, now);
     REQUIRE(forwarder);
-    CHECK(route.ForwarderFor("job", "c", group, true, now) == forwarder);
+    CHECK(router.ForwarderFor("job", "c", group, true, now) == forwarder);
     forwarders.insert(*forwarder);
   }
   CHECK(forwarders.size() == 3);
@@ -58,17 +58,17 @@
 
 // Guards against starts that wait for an entry which is cut off, one timeout after the other.
 TEST_CASE_METHOD(start_router_fixture, "start route, carrier silent, is not used for a while") {
-  const uint64_t call = route.Sent("c", now);
+  const uint64_t call = router.Sent("c", now);
   now += milliseconds{100};
   CHECK(Forwarder("c") == "c");
   now += milliseconds{100};
   CHECK(Forwarder("c") != "c");
   now += milliseconds{800};
-  route.OnAnswer(call, false, now);
+  router.OnAnswer(call, false, now);
   CHECK(Forwarder("c") != "c");
   now += seconds(4);
   CHECK(Forwarder("c") == "c");
-  route.OnResultMissing("c", now);
+  router.OnResultMissing("c", now);
   CHECK(Forwarder("c") != "c");
 }
 
