--- a/src/process/site/owner_history.h
+++ b/src/process/site/owner_history.h
@@ -18,7 +18,7 @@
 class owner_history {
  public:
   // The store names this owner.
-  void OnSeen(const owner_word& owner, monotonic_time now) {
+  void OnOwner(const owner_word& owner, monotonic_time now) {
     if (owner.epoch == epoch_) return;
     epoch_ = owner.epoch;
     claimed_early_ = owner.early;
@@ -26,7 +26,7 @@
   }
 
   // Of the owners before the last one that was seen. `lease`: of an owner.
-  bool EarlierMayAct(std::chrono::milliseconds lease, monotonic_time now) const {
+  bool EarlierOwnerMayAct(std::chrono::milliseconds lease, monotonic_time now) const {
     return claimed_early_ && now < first_seen_ + lease;
   }
 
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -289,7 +289,7 @@
   void OnView() {
     if (view_.owner) {
       last_owner_seen_ = view_.owner->entry;
-      history_.OnSeen(*view_.owner, BootNow());
+      history_.OnOwner(*view_.owner, BootNow());
     }
     const uint64_t current_epoch = view_.owner ? view_.owner->epoch : 0;
     if (current_epoch != logged_epoch_) {
@@ -328,7 +328,7 @@
     const bool claimable = early || !view_.owner || view_.owner->entry.name == self_.name;
     if (resigning_ || owns_ || !claimable || !LeaseValid(BootNow())) return;
     const owner_word record{self_, view_.epoch + 1, early};
-    const bool earlier_owners_may_act = history_.EarlierMayAct(ttl_, BootNow());
+    const bool earlier_owners_may_act = history_.EarlierOwnerMayAct(ttl_, BootNow());
     store_write write;
     write.expected = {{kOwnerKey, view_.owner_revision}, {kEpochKey, view_.epoch_revision}};
     write.puts.push_back({kOwnerKey, OwnerToText(record), lease_});
--- a/src/process/site/site_node.cc
+++ b/src/process/site/site_node.cc
@@ -12,7 +12,7 @@
   return true;
 }
 
-uint64_t NewNonce() {
+uint64_t GenerateNonce() {
   absl::BitGen random;
   // Fits into the whole numbers that every JSON reader keeps exactly.
   constexpr uint64_t kLargest = (uint64_t{1} << 53) - 1;
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -45,7 +45,7 @@
 
 // "ip:port"; false for other text.
 bool SplitAddress(const std::string& text, std::string& address, uint16_t& port);
-uint64_t NewNonce();
+uint64_t GenerateNonce();
 
 template <site_platform Platform>
 class site_node {
@@ -79,7 +79,7 @@
   // An answer to a question to a policy may take this much longer than the policy says.
   static constexpr std::chrono::milliseconds kAdviceSlack{900};
   // A peer that heard of the store within this time shows that it is not down for all.
-  static constexpr std::chrono::milliseconds kStoreFresh{900};
+  static constexpr std::chrono::milliseconds kMaxReachableStoreAge{900};
 
   static constexpr std::chrono::milliseconds kReadinessInterval{100};
   static constexpr std::chrono::milliseconds kAliveTimeout{250};
@@ -132,7 +132,7 @@
   void ReadOwnerCommit(uint64_t epoch);
   void EvaluateSuspicion(uint64_t epoch);
   void ConfirmSuspicion(uint64_t epoch);
-  owner_witness OutageConfirmation() const;
+  owner_witness LocalOutageReport() const;
   void SeekConfirmation();
   void SendAdviceRequests();
   void RequestAdvice(const advice_order& order, const std::string& entry);
@@ -189,7 +189,7 @@
           platform.Store(), store_health_, loop_, log_,
           site_entry{settings_.name,
                      absl::StrCat(settings_.listen.address, ":", settings_.listen.peer_port),
-                     settings_.failure_domain, NewNonce(),
+                     settings_.failure_domain, GenerateNonce(),
                      Strength(settings_.machine.cpu_share, settings_.machine.link_mbps)},
           std::max(settings_.timing.owner_lease, settings_.platform.shortest_lease),
           settings_.timing.watch_wait, MembershipHooks()),
@@ -376,12 +376,12 @@
 
 template <site_platform Platform>
 void site_node<Platform>::OnCaller(http_server::token token, http_request request) {
-  const bool taken = loop_.TryPost([this, token, request = std::move(request)]() mutable {
+  const bool accepted = loop_.TryPost([this, token, request = std::move(request)]() mutable {
     frontend_.Handle(std::move(request), [this, token](http_response response) {
       caller_server_->Respond(token, std::move(response));
     });
   });
-  if (taken) return;
+  if (accepted) return;
   http_response busy;
   busy.status = http_status::kUnavailable;
   busy.body = Platform::EncodeError("overloaded");
@@ -411,9 +411,9 @@
     return peer_server_->Respond(
         token, {.body = AliveToText({membership_.Self().nonce, overloaded_.load()})});
   }
-  const bool taken =
+  const bool accepted =
       loop_.TryPost([this, token, request = std::move(request)] { AnswerPeer(token, request); });
-  if (!taken) peer_server_->Respond(token, {.status = http_status::kUnavailable});
+  if (!accepted) peer_server_->Respond(token, {.status = http_status::kUnavailable});
 }
 
 template <site_platform Platform>
@@ -431,10 +431,10 @@
     const monotonic_time now = BootNow();
     const auto age =
         std::chrono::duration_cast<std::chrono::milliseconds>(now - membership_.StoreAnswered());
-    if (age >= kStoreFresh) outage_confirmed_at_ = now;
+    if (age >= kMaxReachableStoreAge) outage_confirmed_at_ = now;
     response.body = PeerHealthToText({age, membership_.View().epoch});
   } else if (request.path == kPeerWitnessPath) {
-    response.body = OwnerWitnessToText(OutageConfirmation());
+    response.body = OwnerWitnessToText(LocalOutageReport());
   } else if (request.path == kPeerLookPath) {
     return CheckOwnerAlive([this, token](liveness answer) {
       peer_server_->Respond(token, {.body = LookToText(answer)});
@@ -605,11 +605,11 @@
              absl::StrCat("epoch=", epoch, " only_silent=", owner_detector_.OnlyTimeouts()));
   std::vector<site_entry> others;
   std::set<std::string> domains;
-  for (const bool fresh_domain : {true, false}) {
+  for (const bool new_domain : {true, false}) {
     for (const auto& [name, entry] : membership_.View().entries) {
       const bool owner = Owner() != nullptr && name == Owner()->name;
       if (name == settings_.name || owner || others.size() >= kMaxPeersQueried) continue;
-      if (domains.insert(entry.failure_domain).second == fresh_domain) others.push_back(entry);
+      if (domains.insert(entry.failure_domain).second == new_domain) others.push_back(entry);
     }
   }
   if (others.empty()) {
@@ -700,7 +700,7 @@
 }
 
 template <site_platform Platform>
-owner_witness site_node<Platform>::OutageConfirmation() const {
+owner_witness site_node<Platform>::LocalOutageReport() const {
   const monotonic_time now = BootNow();
   owner_witness out;
   out.registered = membership_.RegisteredFor(now);
@@ -715,23 +715,22 @@
 template <site_platform Platform>
 void site_node<Platform>::SeekConfirmation() {
   const std::weak_ptr<site_owner<Platform>> weak_owner = owner_;
-  const auto take = [this, weak_owner](const owner_witness& confirmation, const std::string& from) {
+  const auto take = [this, weak_owner](const owner_witness& report, const std::string& from) {
     const auto owner = weak_owner.lock();
-    if (owner == nullptr || owner != owner_ || !RulesOutUnrecordedStarts(confirmation))
-      return false;
+    if (owner == nullptr || owner != owner_ || !RulesOutUnrecordedStarts(report)) return false;
     if (std::exchange(confirmed_epoch_, membership_.Epoch()) == membership_.Epoch()) return true;
     log_.Write(site_event::kRecordsComplete, BootNow(),
                absl::StrCat("epoch=", membership_.Epoch(), " witness=", from,
-                            " registered_ms=", confirmation.registered.count()));
+                            " registered_ms=", report.registered.count()));
     owner->OnRecordsComplete();
     return true;
   };
-  if (take(OutageConfirmation(), settings_.name)) return;
+  if (take(LocalOutageReport(), settings_.name)) return;
   for (const auto& [name, entry] : membership_.View().entries) {
     if (name == settings_.name) continue;
     QueryPeer(entry, kPeerWitnessPath, [take, name](const std::optional<std::string>& text) {
-      const auto confirmation = text ? OwnerWitnessFromText(*text) : std::nullopt;
-      if (confirmation) take(*confirmation, name);
+      const auto report = text ? OwnerWitnessFromText(*text) : std::nullopt;
+      if (report) take(*report, name);
     });
   }
 }
@@ -891,23 +890,23 @@
   if (asked->remaining == 0) return done(outage_verdict::kSomeSilent);
   for (const auto& [name, entry] : membership_.View().entries) {
     if (name == settings_.name) continue;
-    QueryPeer(entry, kPeerHealthPath,
-              [this, asked, epoch, done](const std::optional<std::string>& text) {
-                const auto health = text ? PeerHealthFromText(*text) : std::nullopt;
-                if (health) {
-                  ++asked->answered;
-                  asked->up_elsewhere = asked->up_elsewhere || health->store_age < kStoreFresh;
-                  asked->other_owner = asked->other_owner || health->epoch > epoch;
-                }
-                if (--asked->remaining > 0) return;
-                if (asked->other_owner) return done(outage_verdict::kOtherOwner);
-                if (asked->up_elsewhere) return done(outage_verdict::kUpElsewhere);
-                // One that is silent may reach the store: a failure domain that is cut off hears
-                // only its own entries, and all of those are cut off from the store too.
-                if (asked->answered < asked->asked) return done(outage_verdict::kSomeSilent);
-                outage_confirmed_at_ = BootNow();
-                done(outage_verdict::kDownForAll);
-              });
+    QueryPeer(
+        entry, kPeerHealthPath, [this, asked, epoch, done](const std::optional<std::string>& text) {
+          const auto health = text ? PeerHealthFromText(*text) : std::nullopt;
+          if (health) {
+            ++asked->answered;
+            asked->up_elsewhere = asked->up_elsewhere || health->store_age < kMaxReachableStoreAge;
+            asked->other_owner = asked->other_owner || health->epoch > epoch;
+          }
+          if (--asked->remaining > 0) return;
+          if (asked->other_owner) return done(outage_verdict::kOtherOwner);
+          if (asked->up_elsewhere) return done(outage_verdict::kUpElsewhere);
+          // One that is silent may reach the store: a failure domain that is cut off hears
+          // only its own entries, and all of those are cut off from the store too.
+          if (asked->answered < asked->asked) return done(outage_verdict::kSomeSilent);
+          outage_confirmed_at_ = BootNow();
+          done(outage_verdict::kDownForAll);
+        });
   }
 }
 
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -263,7 +263,7 @@
               const auto text = self.Unpacked(item);
               if (text) self.loaded_fleet_ = FleetFromText(*text);
             }
-            if (item.key == kBehindKey) self.records_lagging_ = true;
+            if (item.key == kBehindKey) self.inherited_async_ = true;
           }
         },
         [](self_type& self) { self.LoadRegistry(); });
@@ -276,8 +276,8 @@
   void BeginScheduling() {
     const monotonic_time now = BootNow();
     loaded_ = true;
-    if (records_lagging_) record_mode_.OnInherited();
-    if (!records_confirmed_ && !records_lagging_ && epoch_ > 1) record_mode_.OnUnvouched();
+    if (inherited_async_) record_mode_.OnInherited();
+    if (!records_confirmed_ && !inherited_async_ && epoch_ > 1) record_mode_.OnUnvouched();
     UpdateRecordTrust();
     scheduler_.OnInherited(loaded_fleet_, now);
     scheduler_.OnRegistry(registry_, now);
@@ -304,7 +304,7 @@
   // The records name all starts of earlier owners if none of them went on while the store was down,
   // and none has declared its records to run behind.
   void UpdateRecordTrust() {
-    if (!loaded_ || records_lagging_) return;
+    if (!loaded_ || inherited_async_) return;
     if (earlier_owner_dead_) scheduler_.OnEarlierOwnerDead();
     if (records_confirmed_) scheduler_.SetRecordsComplete();
     ScheduleDecision();
@@ -550,17 +550,16 @@
     const size_t most = Platform::kMostInOneChange - kReservedEntries;
     std::vector<job_progress_write> writes =
         scheduler_.TakeUnstored(most, budget.RecordBytesPerCommit());
-    const bool declare_lagging = record_mode_.WantsDeclared();
-    const bool withdraw_lagging =
-        !declare_lagging && record_mode_.WantsWithdrawn(scheduler_.RecordsKnown());
-    if (writes.empty() && !fleet_unstored_ && expired_.empty() && !declare_lagging &&
-        !withdraw_lagging)
+    const bool declare_async = record_mode_.WantsDeclared();
+    const bool withdraw_async =
+        !declare_async && record_mode_.WantsWithdrawn(scheduler_.RecordsKnown());
+    if (writes.empty() && !fleet_unstored_ && expired_.empty() && !declare_async && !withdraw_async)
       return;
     store_write change = GuardedWrite();
-    if (declare_lagging) change.puts.push_back({kBehindKey, absl::StrCat(epoch_), {}});
-    if (withdraw_lagging) change.deletes.push_back(kBehindKey);
-    declares_lagging_ = declare_lagging;
-    withdraws_lagging_ = withdraw_lagging;
+    if (declare_async) change.puts.push_back({kBehindKey, absl::StrCat(epoch_), {}});
+    if (withdraw_async) change.deletes.push_back(kBehindKey);
+    declares_async_ = declare_async;
+    withdraws_async_ = withdraw_async;
     for (const job_progress_write& write : writes) {
       change.puts.push_back({kProgressPrefix + write.job, PackText(write.text), {}});
     }
@@ -571,7 +570,7 @@
     }
     // Deletes go alone: three keys a job would not leave room for progress.
     std::vector<std::string> expired;
-    if (writes.empty() && !withdraw_lagging) {
+    if (writes.empty() && !withdraw_async) {
       const size_t count = std::min(expired_.size(), kMaxExpiredPerCommit);
       const auto end = expired_.begin() + static_cast<std::ptrdiff_t>(count);
       expired.assign(expired_.begin(), end);
@@ -660,12 +659,12 @@
   void OnRecordModeStored(std::chrono::milliseconds took, monotonic_time now) {
     record_mode_.OnChange(took, now);
     ApplyRecordMode(now);
-    if (std::exchange(declares_lagging_, false)) {
+    if (std::exchange(declares_async_, false)) {
       record_mode_.OnDeclared();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=1 ms=", took.count()));
     }
-    if (std::exchange(withdraws_lagging_, false)) {
-      records_lagging_ = false;
+    if (std::exchange(withdraws_async_, false)) {
+      inherited_async_ = false;
       record_mode_.OnWithdrawn();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=0 ms=", took.count()));
     }
@@ -711,11 +710,11 @@
   std::set<std::string> cancelled_;  // until their jobs are forgotten
   uint64_t commit_revision_ = 0;
   record_mode record_mode_;
-  bool records_lagging_ = false;     // as an earlier owner declared
+  bool inherited_async_ = false;     // as an earlier owner declared
   bool earlier_owner_dead_ = false;  // its process is gone
   bool records_confirmed_ = false;   // that no owner went on while the store was down
-  bool declares_lagging_ = false;    // the change on its way does
-  bool withdraws_lagging_ = false;
+  bool declares_async_ = false;      // the change on its way does
+  bool withdraws_async_ = false;
   bool committing_ = false;
   uint64_t commit_number_ = 1;  // of the change on its way, or of the next one
   monotonic_time last_commit_{};
--- a/test/forwarded_starts_fleet_test.cc
+++ b/test/forwarded_starts_fleet_test.cc
@@ -32,15 +32,15 @@
   }
   static std::string Path(uint32_t job) { return "/open/" + JobId(job); }
 
-  void SubmitAll(size_t taker) {
+  void SubmitAll(size_t accepting_entry) {
     for (uint32_t job = 0; job < kJobs; ++job) {
-      REQUIRE(Call(taker, "POST", Path(job), WideJob()).code == 200);
+      REQUIRE(Call(accepting_entry, "POST", Path(job), WideJob()).code == 200);
     }
   }
 
-  bool AllCompleted(size_t told_by, uint32_t first, uint32_t last) {
+  bool AllCompleted(size_t queried_entry, uint32_t first, uint32_t last) {
     for (uint32_t job = first; job < last; ++job) {
-      if (StateOf(told_by, Path(job)) != "completed") return false;
+      if (StateOf(queried_entry, Path(job)) != "completed") return false;
     }
     return true;
   }
@@ -71,9 +71,9 @@
 TEST_CASE_METHOD(narrow_site_fixture,
                  "site, entry that brings starts is killed, its jobs complete all the same") {
   const auto owner = static_cast<size_t>(Owner());
-  const size_t taker = (owner + 1) % 3;
-  SubmitAll(taker);
-  entries_[taker]->process.Kill();
+  const size_t accepting_entry = (owner + 1) % 3;
+  SubmitAll(accepting_entry);
+  entries_[accepting_entry]->process.Kill();
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
   CHECK(instances_.Doubles().empty());
 }
@@ -82,11 +82,11 @@
 TEST_CASE_METHOD(narrow_site_fixture,
                  "site, entry that brings starts is paused, no task runs twice at a time") {
   const auto owner = static_cast<size_t>(Owner());
-  const size_t taker = (owner + 1) % 3;
-  SubmitAll(taker);
-  entries_[taker]->process.Signal(SIGSTOP);
+  const size_t accepting_entry = (owner + 1) % 3;
+  SubmitAll(accepting_entry);
+  entries_[accepting_entry]->process.Signal(SIGSTOP);
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
-  entries_[taker]->process.Signal(SIGCONT);
+  entries_[accepting_entry]->process.Signal(SIGCONT);
   REQUIRE(Call(owner, "POST", Path(kJobs), WideJob()).code == 200);
   CHECK(Eventually([&] { return AllCompleted(owner, kJobs, kJobs + 1); }));
   CHECK(instances_.Doubles().empty());
--- a/test/owner_budget_test.cc
+++ b/test/owner_budget_test.cc
@@ -11,7 +11,7 @@
 
 constexpr double kNarrowMbps = 2;
 constexpr double kWideMbps = 200;
-constexpr double kWholeProcessor = 1;
+constexpr double kFullProcessor = 1;
 constexpr milliseconds kUsualPause{120};
 
 // An owner that puts the same number of bytes on its link every 20 ms.
@@ -40,7 +40,7 @@
 TEST_CASE_METHOD(
     owner_budget_fixture,
     "owner budget, burst of wide jobs on a narrow link, is busy while it is half free") {
-  owner_budget budget(kNarrowMbps, kWholeProcessor);
+  owner_budget budget(kNarrowMbps, kFullProcessor);
   Send(budget, kNarrowMbps * kBytesInMegabit / 10, seconds(3));
   CHECK_FALSE(budget.Busy());
   CHECK(budget.ListingPause(kUsualPause) == kUsualPause);
@@ -54,7 +54,7 @@
 
 // Guards against help that is not needed: each start through another entry is a hop more.
 TEST_CASE_METHOD(owner_budget_fixture, "owner budget, the same load on a wide link, is not busy") {
-  owner_budget budget(kWideMbps, kWholeProcessor);
+  owner_budget budget(kWideMbps, kFullProcessor);
   Send(budget, kNarrowMbps * kBytesInMegabit, seconds(3));
   CHECK_FALSE(budget.Busy());
 }
@@ -62,23 +62,23 @@
 // Guards against an owner that is out of processor time while other entries idle.
 TEST_CASE_METHOD(owner_budget_fixture,
                  "owner budget, hundreds of instances and half a processor, is busy in time") {
-  owner_budget half(kWideMbps, 0.5);
-  Call(half, 500, seconds(3));
-  CHECK_FALSE(half.Busy());
-  Call(half, 1500, seconds(3));
-  CHECK(half.Busy());
-  CHECK_FALSE(half.Overloaded());
-  Call(half, 3000, seconds(3));
-  CHECK(half.Overloaded());
-  Call(half, 0, seconds(3));
-  CHECK_FALSE(half.Busy());
+  owner_budget half_processor(kWideMbps, 0.5);
+  Call(half_processor, 500, seconds(3));
+  CHECK_FALSE(half_processor.Busy());
+  Call(half_processor, 1500, seconds(3));
+  CHECK(half_processor.Busy());
+  CHECK_FALSE(half_processor.Overloaded());
+  Call(half_processor, 3000, seconds(3));
+  CHECK(half_processor.Overloaded());
+  Call(half_processor, 0, seconds(3));
+  CHECK_FALSE(half_processor.Busy());
 }
 
 // Guards against starts that wait in the link's queue, with the lease's renewal behind them.
 TEST_CASE_METHOD(
     owner_budget_fixture,
     "owner budget, whole floor to start, puts a tenth of a second on the link at most") {
-  owner_budget narrow(kNarrowMbps, kWholeProcessor);
+  owner_budget narrow(kNarrowMbps, kFullProcessor);
   constexpr size_t kStartBytes = 1500;
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes);
   const auto most = static_cast<uint64_t>(kNarrowMbps * kBytesInMegabit / 10);
@@ -88,14 +88,14 @@
   const uint32_t before = narrow.StartsInFlight(160);
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes / 5);
   CHECK(narrow.StartsInFlight(160) > 2 * before);
-  CHECK(owner_budget(kWideMbps, kWholeProcessor).StartsInFlight(160) == 160);
+  CHECK(owner_budget(kWideMbps, kFullProcessor).StartsInFlight(160) == 160);
 }
 
 // Guards against a wide job that is given to one entry and fills its link in place of the owner's.
 TEST_CASE_METHOD(owner_budget_fixture, "owner budget, narrow links, wide jobs go in small groups") {
   constexpr size_t kStartBytes = 1500;
-  CHECK(owner_budget(kNarrowMbps, kWholeProcessor).StartsPerGroup(kStartBytes) <= 8);
-  const uint32_t wide = owner_budget(kWideMbps, kWholeProcessor).StartsPerGroup(kStartBytes);
+  CHECK(owner_budget(kNarrowMbps, kFullProcessor).StartsPerGroup(kStartBytes) <= 8);
+  const uint32_t wide = owner_budget(kWideMbps, kFullProcessor).StartsPerGroup(kStartBytes);
   CHECK(wide > 8);
   // At 0.25 ms a call, an entry with an eighth of a processor sends no more in 30 ms.
   CHECK(wide <= 15);
@@ -106,10 +106,10 @@
 TEST_CASE_METHOD(owner_budget_fixture,
                  "owner budget, long registry, is read less often but in time") {
   constexpr size_t kRegistry = 54'000;
-  CHECK(owner_budget(kWideMbps, kWholeProcessor).RegistryPause(milliseconds{700}, kRegistry) ==
+  CHECK(owner_budget(kWideMbps, kFullProcessor).RegistryPause(milliseconds{700}, kRegistry) ==
         milliseconds{700});
   const auto pause =
-      owner_budget(kNarrowMbps, kWholeProcessor).RegistryPause(milliseconds{700}, 10 * kRegistry);
+      owner_budget(kNarrowMbps, kFullProcessor).RegistryPause(milliseconds{700}, 10 * kRegistry);
   CHECK(pause > milliseconds{700});
   CHECK(pause <= milliseconds{1200});
 }
--- a/test/owner_history_test.cc
+++ b/test/owner_history_test.cc
@@ -17,7 +17,7 @@
     owner_word record;
     record.epoch = epoch;
     record.early = early;
-    history.OnSeen(record, when);
+    history.OnOwner(record, when);
   }
   const monotonic_time now{seconds(100)};
   owner_history history;
@@ -30,20 +30,20 @@
                  "owner history, early owner followed at once, the one before may act") {
   Seen(1, false, now);
   Seen(2, true, now + seconds(30));
-  CHECK(history.EarlierMayAct(kLease, now + seconds(30) + milliseconds{250}));
+  CHECK(history.EarlierOwnerMayAct(kLease, now + seconds(30) + milliseconds{250}));
 }
 
 TEST_CASE_METHOD(owner_history_fixture,
                  "owner history, early owner followed after a lease, nobody else may act") {
   Seen(2, true, now);
   Seen(2, true, now + seconds(1));  // seen again
-  CHECK_FALSE(history.EarlierMayAct(kLease, now + kLease));
+  CHECK_FALSE(history.EarlierOwnerMayAct(kLease, now + kLease));
 }
 
 TEST_CASE_METHOD(owner_history_fixture,
                  "owner history, owner that waited for the lease, nobody else may act") {
   Seen(2, false, now);
-  CHECK_FALSE(history.EarlierMayAct(kLease, now + milliseconds{100}));
+  CHECK_FALSE(history.EarlierOwnerMayAct(kLease, now + milliseconds{100}));
 }
 
 TEST_CASE_METHOD(owner_history_fixture, "owner word, stored and read, keeps how it was claimed") {
--- a/test/owner_killed_fleet_test.cc
+++ b/test/owner_killed_fleet_test.cc
@@ -36,7 +36,8 @@
     return options;
   }
 
-  json Ask(const std::string& method, const std::string& path, const json& body, bool as_operator) {
+  json SendCall(const std::string& method, const std::string& path, const json& body,
+                bool as_operator) {
     const std::string& key =
         as_operator ? fleet_.Contract().operator_secret : fleet_.Contract().teams.front().secret;
     for (size_t slot = 0; slot < fleet_.Entries(); ++slot) {
@@ -53,17 +54,17 @@
     json job = {{"kind", "batch"}, {"tasks", tasks}, {"cpu_milli", 16000}, {"memory_mb", 1024}};
     job["payload"] = payload.dump();
     if (deadline.count() > 0) job["deadline_ms"] = deadline.count();
-    const json answer = Ask("POST", "/v1/jobs", job, false);
+    const json answer = SendCall("POST", "/v1/jobs", job, false);
     REQUIRE(answer.value("outcome", "") == "accepted");
     return answer.value("id", "");
   }
 
-  json Status(const std::string& id) { return Ask("GET", "/v1/jobs/" + id, json(), false); }
+  json Status(const std::string& id) { return SendCall("GET", "/v1/jobs/" + id, json(), false); }
 
   template <typename Condition>
-  bool WaitFor(Condition holds) {
+  bool WaitFor(Condition condition) {
     const auto until = steady_clock::now() + kGenerousLimit;
-    while (!holds()) {
+    while (!condition()) {
       if (steady_clock::now() >= until) return false;
       std::this_thread::sleep_for(milliseconds{50});
     }
@@ -71,7 +72,7 @@
   }
 
   void KillOwner() {
-    const json members = Ask("GET", "/v1/members", json(), true);
+    const json members = SendCall("GET", "/v1/members", json(), true);
     const std::string owner = members.at("shards").at(0).value("owner", "");
     for (size_t slot = 0; slot < fleet_.Entries(); ++slot) {
       if (fleet_.Entry(slot).name == owner) fleet_.Entry(slot).process.Kill();
