--- a/src/process/site/site_membership.cc
+++ b/src/process/site/site_membership.cc
@@ -11,14 +11,15 @@
 
 // Between the claims of two entries: a claim and its answer take a few milliseconds.
 constexpr std::chrono::milliseconds kClaimInterval{60};
-// Weaker entries leave the strong ones this much time: all of these have claimed by then.
+// Delay of weaker entries: all strong ones have claimed by then.
 constexpr std::chrono::milliseconds kWeakEntryDelay{600};
 constexpr double kMuchStronger = 2;
-// Orders and listings of 350 instances took up to 20 Mbit/s: a link above this is never what binds.
+// Commands and listings of 350 instances took up to 20 Mbit/s: a link above this is not the
+// bottleneck.
 constexpr double kWideLinkMbps = 100;
 constexpr double kMinLinkShare = 0.05;
-constexpr size_t kOwnerWatchers = 2;  // of the owner: one may be dead or cut off too
-constexpr size_t kMaxClaimSteps = 8;  // however many entries live, one of the first claims
+constexpr size_t kOwnerWatchers = 2;  // of the owner: one of them may be dead or cut off too
+constexpr size_t kMaxClaimSteps = 8;  // limits the delay of the first claim on a large site
 
 }  // namespace
 
@@ -89,8 +90,8 @@
 std::chrono::milliseconds ClaimDelay(const site_view& view, const std::string& self) {
   const auto mine = view.entries.find(self);
   if (mine == view.entries.end()) return kClaimInterval;
-  // Each epoch begins with another entry of the same strength, so that a site does not always fall
-  // to the same one.
+  // Each epoch starts with a different entry of the same strength, so that the site does not always
+  // go to the same one.
   std::vector<std::string> equals;
   bool weak = false;
   for (const auto& [name, entry] : view.entries) {
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -1,9 +1,9 @@
-// Who owns the site, and which entries live: a lease of this entry's own, a key under it, and one
-// key that names the owner. Whoever writes that key first, with the next epoch, owns the site.
+// Site membership and ownership. Each entry holds a lease at the store with a key under it; one
+// more key names the owner. The entry that first writes that key with the next epoch owns the site.
 //
-// No promise rests on the lease alone: instances refuse an epoch lower than they have seen, and the
-// owner's writes hold only while the owner's key is as it was. The lease only bounds how long an
-// owner that nobody hears of goes on renewing what runs.
+// Safety does not rest on the lease alone: instances reject an epoch lower than one they have seen,
+// and the owner's writes are conditional on the owner key being unchanged. The lease only limits
+// how long an owner that is cut off keeps renewing running work.
 #ifndef CATKINFORD_PROCESS_SITE_SITE_MEMBERSHIP_H_
 #define CATKINFORD_PROCESS_SITE_SITE_MEMBERSHIP_H_
 
@@ -27,30 +27,31 @@
 
 namespace catkinford {
 
-// What the other entries say of the store while this one cannot reach it.
+// What the peers report about the store while this entry cannot reach it.
 enum class outage_verdict : uint8_t {
-  kDownForAll,   // nobody reaches it, so nobody can take the site over
-  kUpElsewhere,  // others reach it: the site is theirs to take
-  kSomeSilent,   // another may reach the store, and take the site over unheard
-  kOtherOwner    // another entry has seen a higher epoch
+  kDownForAll,   // no entry reaches it, so none can take the site over
+  kUpElsewhere,  // others reach it and may take the site over
+  kSomeSilent,   // a silent peer may reach it and take the site over unnoticed
+  kOtherOwner    // a peer has seen a higher epoch
 };
 
-// A failure domain may be cut off while the store is down for all, and its entries fall silent. An
-// owner that stopped then would let everything that runs be killed. It goes on for this long after
-// all entries confirmed the outage; a next owner that finds nobody to vouch that this did not
-// happen waits as much longer for instances that it cannot list. Outages last four to five seconds.
+// A failure domain may be cut off while the store is down for all, so that its entries become
+// silent. An owner that stopped then would cause all running work to be killed, so it continues for
+// this long after all entries confirmed the outage. A next owner without confirmation that this did
+// not happen waits this much longer for instances that it cannot list. Outages last four to five
+// seconds.
 inline constexpr std::chrono::milliseconds kIsolatedOwnerLimit{3500};
 
-// The present content of the keys under kSitePrefix.
+// The current content of the keys under kSitePrefix.
 struct site_view {
   std::optional<owner_word> owner;
   uint64_t owner_revision = 0;  // 0: no such key
-  uint64_t owner_changed = 0;   // the store's revision when it was last written or removed
+  uint64_t owner_changed = 0;   // store revision of its last write or removal
   uint64_t epoch = 0;           // the highest so far
   uint64_t epoch_revision = 0;
   std::map<std::string, site_entry> entries;
 
-  // News older than what is known already changes nothing: answers may overtake each other.
+  // Ignores an item older than what is already known: answers may arrive out of order.
   void Apply(const store_item& item);
 };
 
@@ -61,19 +62,20 @@
   std::function<void(std::function<void(outage_verdict)>)> poll_peers;
 };
 
-// Of a machine with this share of a processor and this link. An owner talks to every instance: with
-// a small link or a small share its answers come too late, and what it asked for is given up.
+// Relative strength of a machine with this share of a processor and this link. An owner calls every
+// instance: with a narrow link or a small share the answers arrive too late, and the calls they
+// belong to time out.
 double Strength(double cpu_share, double link_mbps);
 
-// How long to wait before claiming a site without an owner: entries claim one after the other, so
-// that mostly one call is made and not one from each, and the strong ones first.
+// How long to wait before claiming a site without an owner. Entries claim one after the other, the
+// strong ones first, so that usually one claim is sent instead of one per entry.
 std::chrono::milliseconds ClaimDelay(const site_view& view, const std::string& self);
-// Whether this entry is one of those that watch the owner's process.
+// Whether this entry is one of those that check the owner's process.
 bool WatchesOwner(const site_view& view, const std::string& self);
-// An entry lives that is much stronger than this one.
+// Whether the view holds an entry that is much stronger than this one.
 bool MuchStrongerExists(const site_view& view, const site_entry& self);
-// One of the other entries, or of the strong ones among them, by `random`; nothing: there is none.
-// Entries that choose alike would all ask the same one at the same time.
+// One of the other entries, or of the strong ones among them, chosen by `random`; empty if there is
+// none. A deterministic choice would make all entries query the same one at the same time.
 std::optional<site_entry> PickPeer(const site_view& view, const std::string& self, bool strong,
                                    uint64_t random);
 
@@ -98,7 +100,8 @@
     CheckOwnership();
   }
 
-  // Gives the lease back: the next owner need not wait for its end. `done` once the store said so.
+  // Ends the lease, so that the next owner need not wait for its expiry. `done` is called once the
+  // store has answered, or at once if there is no lease.
   void Resign(std::function<void()> done) {
     resigning_ = true;
     if (owns_) EndOwnership("resigned");
@@ -107,13 +110,14 @@
                     OnLoop([done = std::move(done)](const store_reply&) { done(); }));
   }
 
-  // The owner of this epoch is dead, as this entry and others see it: its lease is not waited for.
+  // Claims the site without waiting for the lease of this epoch's owner, which this entry and its
+  // peers found dead.
   void ClaimFrom(uint64_t epoch) {
     if (!view_.owner || view_.owner->epoch != epoch || owns_ || claim_pending_) return;
     Claim(true);
   }
 
-  // An instance or the store has told of a higher epoch.
+  // An instance or the store has reported a higher epoch.
   void OnSuperseded(const std::string& why) {
     if (owns_) EndOwnership(why);
     ReadView();
@@ -121,28 +125,28 @@
 
   const site_view& View() const { return view_; }
   const site_entry& Self() const { return self_; }
-  // Whom this owner followed.
+  // The owner that this one superseded.
   const std::optional<site_entry>& PreviousOwner() const { return previous_owner_; }
   bool Owns() const { return owns_; }
-  // The earlier owner's lease had not ended: it may go on until it does.
+  // The earlier owner's lease had not ended, so it may act until it does.
   bool ClaimedEarly() const { return claimed_early_; }
-  // One before the earlier owner may go on as well.
+  // An owner before the earlier one may still act too.
   bool EarlierOwnersMayAct() const { return earlier_owners_may_act_; }
   uint64_t Epoch() const { return epoch_; }
   uint64_t OwnerRevision() const { return owner_revision_; }
   // When the store last answered a call of this class.
   monotonic_time StoreAnswered() const { return store_answered_; }
   bool LeaseValid(monotonic_time now) const { return !lease_.empty() && now < renewed_ + ttl_; }
-  // How long the store has named this entry without a gap.
+  // How long this entry has been registered in the store without a gap.
   std::chrono::milliseconds RegisteredFor(monotonic_time now) const {
     if (registered_since_ == monotonic_time::max()) return std::chrono::milliseconds{0};
     return std::chrono::duration_cast<std::chrono::milliseconds>(now - registered_since_);
   }
-  // Every other entry confirmed, just now or a few seconds ago, that it cannot reach the store
+  // Every other entry confirmed, within the last few seconds, that it cannot reach the store
   // either; starts need not wait for records that cannot be stored.
   bool OutageConfirmed(monotonic_time now) const { return owns_ && now < outage_confirmed_until_; }
-  // No other entry can own the site at this moment: the lease holds, or the store has just been
-  // seen to be down for all.
+  // No other entry can own the site now: the lease is valid, or the store was just confirmed to be
+  // down for all.
   bool MayAct(monotonic_time now) const {
     return owns_ && (LeaseValid(now) || OutageConfirmed(now));
   }
@@ -150,16 +154,17 @@
  private:
   static constexpr std::chrono::milliseconds kRetry{250};
   static constexpr std::chrono::milliseconds kCheckInterval{200};
-  // Longer than a round of questions to the peers and the pause before it.
+  // Longer than one poll of the peers and the pause before it.
   static constexpr std::chrono::milliseconds kOutageValidFor{650};
-  // How long an outage that all entries confirmed is believed after some of them went silent.
+  // How long an outage that all entries confirmed counts after some of them became silent.
   static constexpr std::chrono::milliseconds kPartialOutageValidFor = kIsolatedOwnerLimit;
-  // A store that has answered nothing for this long is asked about at the other entries.
+  // After this time without any answer from the store the peers are polled about it.
   static constexpr std::chrono::milliseconds kStoreSilenceLimit{900};
-  // A watch that answers at once with nothing new is asked again only after this.
+  // Pause before the next watch when one returned at once without changes.
   static constexpr std::chrono::milliseconds kIdleWatchPause{200};
   static constexpr int kRenewalsPerLease = 4;
-  // A weak owner goes on this long beside a strong entry: one that just started may end again.
+  // A weak owner continues for this long beside a strong entry: an entry that just started may end
+  // again.
   static constexpr std::chrono::milliseconds kYieldDelay{2000};
 
   store_callback OnLoop(std::function<void(const store_reply&)> done) {
@@ -172,7 +177,7 @@
       });
     };
   }
-  // A watch waits at the store on purpose: how long it takes says nothing.
+  // For watches, which wait at the store on purpose: their duration says nothing about its health.
   store_callback OnLoopUntimed(std::function<void(const store_reply&)> done) {
     return [this, done = std::move(done)](store_reply reply) {
       loop_.Post([this, done, reply = std::move(reply)] {
@@ -269,7 +274,7 @@
   void WatchView(uint64_t after, uint64_t watch) {
     const monotonic_time sent = BootNow();
     read_way way;
-    way.bounded = true;  // what a next owner may conclude rests on how old a view can be
+    way.bounded = true;  // what a next owner may conclude depends on the maximum age of a view
     store_.Watch(kSitePrefix, after, watch_wait_,
                  OnLoopUntimed([this, after, watch, sent](const store_reply& reply) {
                    if (watch != watch_id_ || resigning_) return;
@@ -313,8 +318,8 @@
       if (!unchanged && view_.epoch >= epoch_) EndOwnership("the store names another owner");
       return;
     }
-    // A record of this entry is an earlier process's, or a claim whose answer was lost: claimed
-    // anew, since the epoch of that one may have been used.
+    // An owner record of this entry is from an earlier process, or from a claim whose answer was
+    // lost. The site is claimed again, since the epoch of that record may have been used.
     const bool claimable = !view_.owner || view_.owner->entry.name == self_.name;
     if (!claimable || claim_pending_) return;
     claim_pending_ = true;
@@ -366,8 +371,8 @@
     hooks_.lost(why);
   }
 
-  // Gives the site to a much stronger entry: the lease ends, and with it the owner's key; the
-  // others claim before this one does.
+  // Hands the site to a much stronger entry: the lease ends and the owner key with it, and the
+  // other entries claim before this one does.
   void Yield() {
     const monotonic_time now = BootNow();
     if (!MuchStrongerExists(view_, self_)) {
@@ -384,8 +389,8 @@
     RenewLease();
   }
 
-  // While the lease cannot be renewed, the others are asked whether the store is down for all. If
-  // it is, nobody can take over, and stopping would only kill what runs.
+  // While the lease cannot be renewed, the peers are polled whether the store is down for all. If
+  // it is, no entry can take over, and stopping would only kill running work.
   void CheckOwnership() {
     if (resigning_) return;
     loop_.After(kCheckInterval, [this] { CheckOwnership(); });
@@ -428,7 +433,7 @@
   uint64_t watch_id_ = 0;
   uint64_t logged_epoch_ = 0;
   std::string lease_;
-  monotonic_time renewed_{};  // the lease surely holds for its length from here
+  monotonic_time renewed_{};  // the lease is valid for at least its length from here
   monotonic_time renewal_sent_{};
   bool renewal_in_flight_ = false;
   bool claim_pending_ = false;
@@ -436,15 +441,14 @@
   bool claimed_early_ = false;
   bool earlier_owners_may_act_ = false;
   owner_history history_;
-  std::optional<site_entry> last_owner_seen_;  // the last owner that the store named
-  std::optional<site_entry> previous_owner_;   // whom this owner followed
+  std::optional<site_entry> last_owner_seen_;  // the last owner named in the store
+  std::optional<site_entry> previous_owner_;   // the owner that this one superseded
   bool polling_peers_ = false;
   bool resigning_ = false;
   bool store_up_ = true;
   monotonic_time store_answered_{};
-  monotonic_time registered_since_ =
-      monotonic_time::max();                // since when the store names this entry
-  monotonic_time outage_last_confirmed_{};  // when all entries last confirmed it
+  monotonic_time registered_since_ = monotonic_time::max();  // when the registration was stored
+  monotonic_time outage_last_confirmed_{};                   // by all entries
   monotonic_time outage_confirmed_until_{};
   monotonic_time stronger_since_ = monotonic_time::max();
   uint64_t epoch_ = 0;
--- a/src/process/site/site_node.cc
+++ b/src/process/site/site_node.cc
@@ -14,7 +14,7 @@
 
 uint64_t GenerateNonce() {
   absl::BitGen random;
-  // Fits into the whole numbers that every JSON reader keeps exactly.
+  // The largest integer that every JSON reader represents exactly.
   constexpr uint64_t kLargest = (uint64_t{1} << 53) - 1;
   return absl::Uniform<uint64_t>(random, 1, kLargest);
 }
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -1,5 +1,5 @@
-// One entry of a site: it joins the loop, the servers, the configuration, the membership, the
-// callers' front and, while it owns the site, the owner's work.
+// One entry of a site: connects the event loop, the servers, the configuration, the membership, the
+// callers' frontend and, while this entry owns the site, the owner's work.
 #ifndef CATKINFORD_PROCESS_SITE_SITE_NODE_H_
 #define CATKINFORD_PROCESS_SITE_SITE_NODE_H_
 
@@ -43,15 +43,15 @@
 
 enum class site_start_fault : uint8_t { kNone, kCallerAddress, kReadyAddress, kPeerAddress };
 
-// "ip:port"; false for other text.
+// `text` is "ip:port"; returns false for other text.
 bool SplitAddress(const std::string& text, std::string& address, uint16_t& port);
 uint64_t GenerateNonce();
 
 template <site_platform Platform>
 class site_node {
  public:
-  // `peers` carries the calls to other entries, `starts` those that bring starts, so that neither
-  // holds up the other; `link` counts the bytes of all calls.
+  // `peer_client` makes the calls to other entries, `start_client` those that forward starts, so
+  // that neither delays the other; `link` counts the bytes of all calls.
   site_node(site_settings settings, Platform& platform, http_client& peer_client,
             http_client& start_client, traffic_meter& link);
   ~site_node() { Stop(); }
@@ -60,35 +60,37 @@
 
   site_start_fault Start();
   void Reload();
-  // Gives the site up, goes on answering while the balancer takes this entry out, and returns when
-  // nothing is in flight or the time is over.
+  // Resigns the ownership, keeps answering while the load balancer takes this entry out of
+  // rotation, and returns when no call is in flight or the limit has passed.
   void Shutdown();
   void Stop();
 
  private:
   static constexpr size_t kLoopCapacity = 65536;
-  // Answers to callers, within the shortest time that callers wait for one.
+  // Limit for answers to callers, below the shortest timeout that callers use.
   static constexpr std::chrono::milliseconds kAnswerTimeout{2300};
   static constexpr std::chrono::milliseconds kPeerTimeout{400};
-  // Between two bytes of a peer's answer: a configuration takes a narrow link a second and more.
+  // Between two bytes of a peer's answer: a configuration takes a second and more on a narrow link.
   static constexpr std::chrono::milliseconds kPeerStall{1000};
-  // Two looks of the balancer, a second apart, take an entry out of rotation.
+  // The load balancer takes an entry out of rotation after two failed checks, a second apart.
   static constexpr std::chrono::milliseconds kDeregistrationDelay{2300};
   static constexpr std::chrono::milliseconds kShutdownMargin{1000};
   static constexpr std::chrono::milliseconds kSettleWait{400};
-  // An answer to a question to a policy may take this much longer than the policy says.
+  // An advice request may take this much longer than the time that its policy states.
   static constexpr std::chrono::milliseconds kAdviceSlack{900};
-  // A peer that heard of the store within this time shows that it is not down for all.
+  // The store counts as reachable at a peer that got an answer from it within this time.
   static constexpr std::chrono::milliseconds kMaxReachableStoreAge{900};
 
   static constexpr std::chrono::milliseconds kReadinessInterval{100};
   static constexpr std::chrono::milliseconds kAliveTimeout{250};
-  // A question that failed sooner was refused: a silent address takes the whole timeout.
+  // A call that failed within this time was rejected by the host; an address that does not answer
+  // uses up the whole timeout.
   static constexpr std::chrono::milliseconds kConnectionRefusedWithin{150};
-  // As long as an owner may go on whose end nobody has seen, and its runs' leases.
+  // The checks together cover the time for which an earlier owner, whose end was not observed, may
+  // keep acting, and the leases of its runs.
   static constexpr std::chrono::milliseconds kPreviousOwnerCheckInterval{200};
   static constexpr int kPreviousOwnerChecks = 40;
-  static constexpr size_t kMaxPeersQueried = 4;  // of different failure domains, if there are
+  static constexpr size_t kMaxPeersQueried = 4;  // from different failure domains where possible
 
   using peer_callback = std::function<void(const std::optional<std::string>&)>;
 
@@ -98,10 +100,10 @@
   version_hooks VersionHooks();
   dispatcher_hooks DispatcherHooks();
   owner_hooks OwnerHooks();
-  // As of now.
+  // Updated with the traffic up to `now`.
   const owner_budget& Budget(monotonic_time now);
 
-  // Servers' handlers, on their threads.
+  // Request handlers, called on the servers' threads.
   void OnCaller(http_server::token token, http_request request);
   void OnReady(http_server::token token);
   void OnPeer(http_server::token token, http_request request);
@@ -124,7 +126,7 @@
   void VersionFromPeer(uint64_t have, bool text, byte_counter arrived,
                        const std::function<void(std::optional<told_version>)>& done);
   void PollPeersOnOutage(const std::function<void(outage_verdict)>& done);
-  // Watching the owner's process.
+  // Failure detection for the owner's process.
   void WatchOwner();
   void CheckAlive(const site_entry& process, const std::function<void(liveness)>& done);
   void CheckPreviousOwner(int tries);
@@ -153,19 +155,19 @@
   version_follow<Platform> versions_;
   caller_frontend<Platform> frontend_;
   owner_budget budget_;
-  start_dispatcher<Platform> start_dispatcher_;  // of this entry's starts, while it owns the site
-  start_forwarder<Platform> start_forwarder_;    // of another owner's
+  start_dispatcher<Platform> start_dispatcher_;  // for this entry's starts, while it owns the site
+  start_forwarder<Platform> start_forwarder_;    // for starts of another entry that owns the site
   advice_spread advice_;
   std::shared_ptr<site_owner<Platform>> owner_;
   std::map<std::string, bool> peer_silent_;
-  text_ration text_limiter_;  // of the configuration, for other entries
+  text_ration text_limiter_;  // limits how often the configuration's text is sent to peers
   absl::BitGen random_;
-  bool query_strong_peer_ = false;  // entries for the configuration: any and strong ones by turns
+  bool query_strong_peer_ = false;  // alternates between any and strong entries
   owner_failure_detector owner_detector_;
   takeover_backoff takeover_backoff_;
-  bool confirming_suspicion_ = false;  // whether they see the owner dead too
-  uint64_t confirmed_epoch_ = 0;       // of the ownership for which a witness was found
-  std::optional<monotonic_time> outage_confirmed_at_;  // when this entry last told an owner of one
+  bool confirming_suspicion_ = false;  // peers are being asked whether the owner is dead
+  uint64_t confirmed_epoch_ = 0;       // epoch of the last ownership confirmed by an outage report
+  std::optional<monotonic_time> outage_confirmed_at_;  // last outage confirmed to an owner
   std::atomic<bool> ready_{false};
   std::atomic<bool> overloaded_{false};
   std::atomic<bool> stopping_{false};
@@ -307,7 +309,7 @@
     metrics_server_ = std::make_unique<http_server>(
         OptionsFor(settings_.listen.address, settings_.listen.metrics_port),
         [this](http_server::token token, const http_request&) { OnMetrics(token); });
-    // Numbers are a help, not a duty: without them the entry still serves.
+    // Metrics are optional: without them the entry still serves.
     if (!metrics_server_->Start()) metrics_server_.reset();
   }
   log_.Write(
@@ -352,7 +354,7 @@
     std::unique_lock lock(mutex);
     changed.wait_for(lock, limit, [&] { return resigned; });
   }
-  // Callers keep their open connections until the balancer has taken this entry out.
+  // Callers keep their open connections until the load balancer has taken this entry out.
   constexpr std::chrono::milliseconds kPollInterval{20};
   while (BootNow() - begun < limit) {
     const bool idle = caller_server_->Waiting() == 0;
@@ -360,7 +362,7 @@
     std::this_thread::sleep_for(kPollInterval);
   }
   log_.Write(site_event::kStopped, BootNow(), absl::StrCat("waiting=", caller_server_->Waiting()));
-  // `resigned` and its lock live here: nothing may call back into them.
+  // `resigned` and its mutex are on this stack: no callback may run after this function returns.
   Stop();
 }
 
@@ -477,9 +479,9 @@
 
 template <site_platform Platform>
 void site_node<Platform>::UpdateReadiness() {
-  // Callers whose entry cannot reach the store are better served by another one.
+  // An entry that cannot reach the store sends its callers to another one.
   const bool reaches = store_health_.State(BootNow()) != store_state::kDown;
-  // And so are those whose entry does not know what is in force.
+  // So does an entry whose configuration is not confirmed to be in effect.
   const bool confirmed = versions_.Trust(BootNow()) != version_trust::kUnconfirmed;
   const bool now = confirmed && !stopping_ && reaches;
   if (ready_.exchange(now) == now) return;
@@ -518,7 +520,7 @@
     received += use.received;
     absl::StrAppend(&kinds, " ", kind, "=", use.calls, "/", use.sent, "/", use.received);
   }
-  // Of an entry that only takes calls there is nothing to explain.
+  // An entry that does not own the site only serves callers: its link use is not logged.
   if (owner_ == nullptr) return;
   log_.Write(site_event::kLinkUse, BootNow(),
              absl::StrCat("sent=", sent, " received=", received, " decide_ms=",
@@ -529,11 +531,11 @@
 template <site_platform Platform>
 void site_node<Platform>::CheckOwnerAlive(const std::function<void(liveness)>& done) {
   const site_entry* owner = Owner();
-  if (owner == nullptr) return done(liveness::kAlive);  // nobody, or this entry
+  if (owner == nullptr) return done(liveness::kAlive);  // no owner, or this entry is the owner
   CheckAlive(*owner, done);
 }
 
-// One question to another entry's process.
+// Sends one liveness check to another entry's process.
 template <site_platform Platform>
 void site_node<Platform>::CheckAlive(const site_entry& process,
                                      const std::function<void(liveness)>& done) {
@@ -573,7 +575,7 @@
   });
 }
 
-// An owner that is busy answers late, but what it writes still arrives.
+// A busy owner answers late, but its commits still reach the store.
 template <site_platform Platform>
 void site_node<Platform>::ReadOwnerCommit(uint64_t epoch) {
   platform_.Store().Get(kCommitKey, [this, epoch](const store_reply& reply) {
@@ -597,7 +599,7 @@
   ConfirmSuspicion(epoch);
 }
 
-// This entry may be the one that is cut off: others are asked what they see.
+// This entry may be the one that is cut off, so others are asked whether they reach the owner.
 template <site_platform Platform>
 void site_node<Platform>::ConfirmSuspicion(uint64_t epoch) {
   if (std::exchange(confirming_suspicion_, true)) return;
@@ -677,13 +679,13 @@
   CheckPreviousOwner(kPreviousOwnerChecks);
 }
 
-// An owner whose process is gone gives no orders any more. Its machine may start again only after
-// this one took over: asked until it answers, or until all is known anyhow.
+// An owner whose process has ended sends no more commands. Its machine may restart only after this
+// entry took over, so it is checked until it answers or no earlier owner can act any more.
 template <site_platform Platform>
 void site_node<Platform>::CheckPreviousOwner(int tries) {
   const auto& previous = membership_.PreviousOwner();
   if (!previous || owner_ == nullptr || tries == 0) return;
-  // That it is dead says nothing of the one before it.
+  // The death of the previous owner says nothing about the owner before it.
   if (membership_.EarlierOwnersMayAct()) return;
   // This entry was restarted at the previous owner's address.
   const site_entry& self = membership_.Self();
@@ -711,7 +713,7 @@
   return out;
 }
 
-// One good witness suffices: this entry, or the first of the others.
+// One report that rules out unrecorded starts suffices: this entry's, or the first from a peer.
 template <site_platform Platform>
 void site_node<Platform>::SeekConfirmation() {
   const std::weak_ptr<site_owner<Platform>> weak_owner = owner_;
@@ -797,7 +799,7 @@
   call.url = absl::StrCat("http://", owner->address, path_and_query);
   call.body = body;
   call.timeout = kPeerTimeout;
-  // Whether it arrives does not matter: the owner's watch brings the same.
+  // A lost notification does no harm: the owner's watch reports the same change.
   peer_client_.Send(std::move(call), [](const http_result&) {});
 }
 
@@ -834,7 +836,7 @@
       });
 }
 
-// What this entry tells another one of its configuration.
+// The answer to a peer that queries this entry's configuration.
 template <site_platform Platform>
 told_version site_node<Platform>::VersionForPeer(const http_request& request) {
   const monotonic_time now = BootNow();
@@ -901,8 +903,8 @@
           if (--asked->remaining > 0) return;
           if (asked->other_owner) return done(outage_verdict::kOtherOwner);
           if (asked->up_elsewhere) return done(outage_verdict::kUpElsewhere);
-          // One that is silent may reach the store: a failure domain that is cut off hears
-          // only its own entries, and all of those are cut off from the store too.
+          // A silent peer may reach the store. A failure domain that is cut off reaches only its
+          // own entries, and all of those are cut off from the store too.
           if (asked->answered < asked->asked) return done(outage_verdict::kSomeSilent);
           outage_confirmed_at_ = BootNow();
           done(outage_verdict::kDownForAll);
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -1,8 +1,8 @@
 // The work of the entry that owns the site: reads all records, then runs the scheduler, sends its
-// orders, stores its progress and follows the inbox and the registry, until the ownership ends.
+// commands, stores its progress and follows the inbox and the registry until the ownership ends.
 //
-// All of it lives on the loop's thread, and only as long as one ownership: answers that come after
-// its end find nobody and change nothing.
+// One object serves one ownership and runs on the loop's thread: answers that arrive after its end
+// are dropped.
 #ifndef CATKINFORD_PROCESS_SITE_SITE_OWNER_H_
 #define CATKINFORD_PROCESS_SITE_SITE_OWNER_H_
 
@@ -34,25 +34,25 @@
 namespace catkinford {
 
 struct owner_hooks {
-  // The ownership is over: an instance or the store knows a later one.
+  // An instance or the store has reported a later owner, so this ownership is over.
   std::function<void(const std::string& why)> superseded;
-  // False while it is not sure that no other entry owns the site: a process that was paused wakes
-  // up with orders at hand, and an instance that the next owner cannot reach would take them.
+  // False while another entry may own the site: a process that resumes after a pause still has
+  // commands to send, and an instance that the next owner cannot reach would accept them.
   std::function<bool(monotonic_time now)> may_act;
-  // True while the store is known to be down for all entries: nobody can take the site over, and
-  // starts go out without their records.
+  // True while the store is known to be down for all entries: no entry can take the site over, and
+  // starts are sent without their records.
   std::function<bool(monotonic_time now)> store_down_for_all;
-  // True while the configuration here is known to be in force.
+  // True while this entry's configuration is known to be in effect.
   std::function<bool(monotonic_time now)> version_confirmed;
-  // A question to a queue's policy; answered by OnAdvice().
+  // Queries a queue's policy; the answer goes to OnAdvice().
   std::function<void(advice_order)> request_advice;
-  // Brings a start to its instance, from here or by the entry that accepted the job.
+  // Sends a start to its instance, directly or through the entry that accepted the job.
   std::function<void(start_order, const std::string& accepted_by, command_callback)> start;
-  // What this entry still bears.
+  // The load that this entry can still take, as of `now`.
   std::function<const owner_budget&(monotonic_time now)> budget;
 };
 
-// Writes a scheduler's notes to the log and counts them.
+// Writes the scheduler's notes to the log.
 void WriteNotes(const std::vector<scheduler_note>& notes, site_log& log, monotonic_time now);
 
 template <site_platform Platform>
@@ -77,14 +77,14 @@
     scheduler_.SetVersion(std::move(version));
     LoadInbox("");
   }
-  // Ends it: no more orders. Answers under way are dropped.
+  // Ends the ownership: no more commands are sent, and pending answers are dropped.
   void End() { ended_ = true; }
 
   void SetVersion(std::shared_ptr<const site_version> version) {
     scheduler_.SetVersion(std::move(version));
     ScheduleDecision();
   }
-  // News of the inbox that came before the watch told it.
+  // Direct notifications of inbox changes, ahead of the watch.
   void OnJobStored(const std::string& id, const std::string& record) {
     if (!loaded_) return;
     ApplyInboxItem({kJobPrefix + id, record}, false);
@@ -95,7 +95,7 @@
     ApplyInboxItem({kCancelPrefix + id, {}}, false);
     ScheduleDecision();
   }
-  // Another entry, or this one, vouches that no earlier owner sent starts without records.
+  // This entry or another one has confirmed that no earlier owner sent unrecorded starts.
   void OnRecordsComplete() {
     records_confirmed_ = true;
     UpdateRecordTrust();
@@ -105,7 +105,7 @@
     UpdateRecordTrust();
   }
   bool Loaded() const { return loaded_; }
-  // Nothing while the records are still being read.
+  // Empty while the records are still being read.
   std::optional<graph_phase> PhaseOf(const std::string& job) const {
     if (!loaded_) return std::nullopt;
     const job_entry* entry = scheduler_.Find(job);
@@ -117,12 +117,12 @@
     scheduler_.OnAdvice(request, answer, BootNow());
     ScheduleDecision();
   }
-  // What deciding took since the last time.
+  // Time spent on decisions since the last call.
   std::chrono::milliseconds TakeDecideTime() {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
         std::exchange(decide_time_, monotonic_time::duration{0}));
   }
-  // True when nothing is on its way to the store and nothing waits for it.
+  // True when no change is being stored.
   bool Settled() const { return !committing_; }
 
  private:
@@ -130,33 +130,34 @@
 
   static constexpr std::chrono::milliseconds kRetry{150};
   static constexpr std::chrono::milliseconds kDecisionInterval{50};
-  // Events that come together are decided together.
+  // Events that arrive within this time are handled in one round of decisions.
   static constexpr std::chrono::milliseconds kDecisionDelay{3};
-  static constexpr int kIdlePerDecisionTime = 3;  // deciding takes a quarter of the time at most
-  // Ends are stored together: a write for each would be most of the store's rate.
+  static constexpr int kIdlePerDecisionTime = 3;  // limits decisions to a quarter of the time
+  // Ends of runs are stored in batches: a write for each would use up most of the store's rate.
   static constexpr std::chrono::milliseconds kCommitInterval{60};
-  // But starts wait for their records: these go out as soon as the change before them is done. Each
-  // change takes about 10 ms, so this is some 60 writes a second at most.
+  // Starts wait for their records, so a change that holds starts follows as soon as the one before
+  // it is stored. A change takes about 10 ms, which makes this some 60 writes a second at most.
   static constexpr std::chrono::milliseconds kStartCommitInterval{6};
-  // A change without an answer after this time is looked for in the store: its answer may be lost,
-  // and all that waits for it would wait for the call's timeout.
+  // After this time without an answer the change is looked up in the store: the answer may be lost,
+  // and everything that depends on it would otherwise wait for the call's timeout.
   static constexpr std::chrono::milliseconds kProbeDelay{150};
   static constexpr std::chrono::milliseconds kCommitRetry{150};
   static constexpr std::chrono::milliseconds kExpiryInterval{2000};
   static constexpr std::chrono::milliseconds kFleetCheckInterval{100};
-  // After a listing: ends that come together are told together, and each look costs.
+  // Between two listings of an instance: ends within this time are reported together, and each
+  // listing has a cost.
   static constexpr std::chrono::milliseconds kListingPause{120};
-  // What this process is late by is added to the patience with others, up to this.
+  // The local delay is added to the time limits for other processes, up to this value.
   static constexpr std::chrono::milliseconds kMaxLocalDelay{1500};
   static constexpr std::chrono::milliseconds kMinLocalDelay{40};
   static constexpr std::chrono::milliseconds kIdleWatchPause{50};
   static constexpr size_t kItemOverheadBytes =
-      150;  // of an item on the wire, beside its key and value
+      150;  // per item on the wire, besides its key and value
   static constexpr size_t kMaxExpiredPerCommit = 8;  // jobs; three keys each
-  // Conditions and keys of the owner's own in each change.
+  // The owner's own conditions and keys in each change.
   static constexpr size_t kReservedEntries = 5;
 
-  // `early`: the earlier owner's lease has not ended, and it may go on until then.
+  // `earlier_owner_may_act`: the earlier owner's lease had not ended, so it may act until it does.
   static scheduler_options OptionsOf(const site_settings& settings, bool earlier_owner_may_act) {
     scheduler_options out;
     out.run_lease = std::min(settings.timing.run_lease, settings.bounds.longest_run_lease);
@@ -170,7 +171,7 @@
     return out;
   }
 
-  // Brings an answer to the loop's thread, and drops it once this ownership is over.
+  // Runs `done` on the loop's thread, unless this ownership is over by then.
   template <typename... Args>
   std::function<void(Args...)> OnLoop(std::function<void(self_type&, Args...)> done) {
     std::weak_ptr<self_type> weak = this->weak_from_this();
@@ -198,8 +199,8 @@
 
   // --- reading the records -------------------------------------------------------------------
 
-  // Reads a whole range page by page; a page that fails is asked for again, on a connection of its
-  // own: the kept ones may all have gone silent, and each would cost a timeout.
+  // Reads a range page by page. A failed page is read again on a new connection: the pooled ones
+  // may all be dead, and each would cost a timeout.
   void ReadPages(const std::string& prefix, const std::string& after,
                  std::function<void(self_type&, const store_reply&)> take,
                  std::function<void(self_type&)> done, const read_way& way = {}) {
@@ -232,7 +233,8 @@
     ReadPages(
         kInboxPrefix, after,
         [](self_type& self, const store_reply& reply) {
-          // Watched from the first page on: what comes while the others are read is seen twice.
+          // The watch starts at the first page's revision: items that arrive while later pages are
+          // read are seen twice.
           if (self.inbox_revision_ == 0) self.inbox_revision_ = reply.revision;
           for (const store_item& item : reply.items) self.loaded_inbox_.push_back(item);
         },
@@ -281,7 +283,7 @@
     UpdateRecordTrust();
     scheduler_.OnInherited(loaded_fleet_, now);
     scheduler_.OnRegistry(registry_, now);
-    // In the order of their acceptance: shares are counted along it.
+    // In the order of acceptance, which the accounting of shares depends on.
     std::sort(loaded_inbox_.begin(), loaded_inbox_.end(),
               [](const store_item& a, const store_item& b) { return a.revision < b.revision; });
     for (const store_item& item : loaded_inbox_) ApplyInboxItem(item, true);
@@ -301,8 +303,8 @@
     Tick();
   }
 
-  // The records name all starts of earlier owners if none of them went on while the store was down,
-  // and none has declared its records to run behind.
+  // The records name all starts of earlier owners if no owner continued while the store was down
+  // and none declared asynchronous records.
   void UpdateRecordTrust() {
     if (!loaded_ || inherited_async_) return;
     if (earlier_owner_dead_) scheduler_.OnEarlierOwnerDead();
@@ -331,7 +333,7 @@
           scheduler_.OnJob(std::move(job),
                            progress == loaded_progress_.end() ? std::string() : progress->second,
                            inherited, WallNow(), now);
-          // A cancelling may be read before its job: the keys come in their order.
+          // A cancellation may be read before its job: items arrive in the order of their keys.
           if (cancelled_.contains(id)) scheduler_.OnCancel(id, now);
           return {};
         },
@@ -361,7 +363,7 @@
     if (reply.status != store_status::kHistoryGone) {
       return RunAfter(kRetry, [after](self_type& self) { self.WatchInbox(after); });
     }
-    // What the watch missed is read in whole; jobs that are known already are left as they are.
+    // The watch missed changes, so the whole inbox is read again; known jobs are left as they are.
     inbox_revision_ = 0;
     ReadPages(
         kInboxPrefix, "",
@@ -403,8 +405,8 @@
     });
   }
 
-  // The instances that may run work are kept in the store: the registry loses those that are cut
-  // off from it and run on.
+  // The instances that may run work are kept in the store: one that is cut off from the registry
+  // disappears from it and keeps running.
   void UpdateFleetRecord(monotonic_time now) {
     if (now < next_fleet_check_) return;
     next_fleet_check_ = now + kFleetCheckInterval;
@@ -441,7 +443,7 @@
     const owner_budget& budget = hooks_.budget(now);
     scheduler_.SetStartsInFlight(budget.StartsInFlight(max_starts_in_flight_));
     scheduler_.SetListingPause(budget.ListingPause(kListingPause));
-    // A call waits for its turn, and its answer to be read.
+    // Twice the delay: a call waits before it is sent, and its answer waits before it is read.
     const auto local_delay = 2 * std::max(loop_.Delay(), platform_.Instances().Delay());
     scheduler_.SetOwnDelay(local_delay < kMinLocalDelay ? std::chrono::milliseconds{0}
                                                         : std::min(local_delay, kMaxLocalDelay));
@@ -453,8 +455,8 @@
     for (advice_order& request : requests.advice) hooks_.request_advice(std::move(request));
     WriteNotes(scheduler_.TakeNotes(), log_, now);
     const auto spent = BootNow() - now;
-    // A round costs more the more waits. Without a pause after it, a backlog would take all the
-    // processor, answers would be read too late, and what they were about would be given up.
+    // A round takes longer the more jobs wait. Without a pause after it a backlog would take the
+    // whole processor, answers would be read too late, and the calls they belong to would time out.
     next_decision_ = BootNow() + kIdlePerDecisionTime * spent;
     decide_time_ += spent;
     metrics_.decide_seconds.Observe(std::chrono::duration<double>(spent).count());
@@ -530,8 +532,8 @@
 
   // --- storing -----------------------------------------------------------------------------------
 
-  // Each change holds only while this entry owns the site and no other change of its own came
-  // between: one that the store carries out late finds that and does nothing.
+  // Each change is conditional on this entry owning the site and on no other change of its own in
+  // between, so a change that the store executes late has no effect.
   std::string CommitName() const { return absl::StrCat(epoch_, ".", commit_number_); }
   store_write GuardedWrite() const {
     store_write write;
@@ -568,7 +570,7 @@
       change.puts.push_back({kFleetKey, PackText(fleet_text_), {}});
       fleet = fleet_;
     }
-    // Deletes go alone: three keys a job would not leave room for progress.
+    // Deletes get their own change: three keys per job would leave no space for progress.
     std::vector<std::string> expired;
     if (writes.empty() && !withdraw_async) {
       const size_t count = std::min(expired_.size(), kMaxExpiredPerCommit);
@@ -612,7 +614,7 @@
   }
 
   void OnCommitted(uint64_t number, const store_reply& reply) {
-    // A probe may have told it before the answer came.
+    // The probe may have found the change before its answer arrived.
     if (!committing_ || number != commit_number_) return;
     committing_ = false;
     ++commit_number_;
@@ -641,7 +643,7 @@
     next_commit_ = now + kCommitRetry;
     if (reply.status != store_status::kConflict) return;
     for (const store_item& item : reply.items) {
-      // The change before this one was carried out though its answer was lost.
+      // The previous change was executed although its answer was lost.
       if (item.key == kCommitKey) commit_revision_ = item.revision;
       if (item.key == kOwnerKey && item.revision != owner_revision_) {
         return hooks_.superseded("the store names another owner");
@@ -652,7 +654,7 @@
   void ApplyRecordMode(monotonic_time now) {
     const bool store_down = hooks_.store_down_for_all(now);
     scheduler_.SetUnrecordedStarts(!record_mode_.StartsWait() || store_down);
-    // With the store down for all, nothing newer can have been acknowledged.
+    // While the store is down for all, no newer configuration can have been acknowledged.
     scheduler_.HoldStarts(!hooks_.version_confirmed(now) && !store_down);
   }
 
@@ -699,34 +701,34 @@
   monotonic_time load_started_{};
   monotonic_time next_decision_{};
   monotonic_time::duration decide_time_{0};
-  // While the records are read:
+  // Used while the records are read:
   std::vector<store_item> loaded_inbox_;
   std::map<std::string, std::string> loaded_progress_;
   std::vector<instance_report> loaded_fleet_;
   uint64_t inbox_revision_ = 0;
 
   std::vector<instance_report> registry_;
-  size_t registry_bytes_ = 0;        // of its last read
-  std::set<std::string> cancelled_;  // until their jobs are forgotten
+  size_t registry_bytes_ = 0;        // size at the last read
+  std::set<std::string> cancelled_;  // until their jobs have expired
   uint64_t commit_revision_ = 0;
   record_mode record_mode_;
-  bool inherited_async_ = false;     // as an earlier owner declared
-  bool earlier_owner_dead_ = false;  // its process is gone
-  bool records_confirmed_ = false;   // that no owner went on while the store was down
-  bool declares_async_ = false;      // the change on its way does
+  bool inherited_async_ = false;     // an earlier owner declared asynchronous records
+  bool earlier_owner_dead_ = false;  // its process has ended
+  bool records_confirmed_ = false;   // no owner continued while the store was down
+  bool declares_async_ = false;      // the change in flight declares asynchronous records
   bool withdraws_async_ = false;
   bool committing_ = false;
-  uint64_t commit_number_ = 1;  // of the change on its way, or of the next one
+  uint64_t commit_number_ = 1;  // of the change in flight, or of the next one
   monotonic_time last_commit_{};
-  monotonic_time next_commit_{};  // not before, after one that failed
-  // What the change on its way holds:
+  monotonic_time next_commit_{};  // earliest retry after a failed change
+  // Content of the change in flight:
   std::vector<job_progress_write> committed_writes_;
   std::vector<std::string> committed_expired_;
   std::optional<std::vector<instance_report>> committed_fleet_;
   fleet_record fleet_record_;
   monotonic_time next_fleet_check_{};
   std::string fleet_text_;
-  std::vector<instance_report> fleet_;  // what fleet_text_ says
+  std::vector<instance_report> fleet_;  // the instances in fleet_text_
   bool fleet_unstored_ = false;
   std::vector<std::string> expired_;
 };
