--- a/src/main/catkinford-site.cc
+++ b/src/main/catkinford-site.cc
@@ -1,5 +1,5 @@
-// The entry daemon of a site on the users' platform: reads its settings, runs one node until it is
-// told to stop.
+// The entry daemon of a site on the users' platform: reads its settings and runs one node until it
+// is stopped by a signal.
 #include <curl/curl.h>
 
 #include <csignal>
@@ -15,7 +15,7 @@
 #include "process/site/site_settings.h"
 
 ABSL_FLAG(std::string, settings, "", "settings file, JSON with comments");
-ABSL_FLAG(bool, check, false, "only check the settings: 0 when they are good");
+ABSL_FLAG(bool, check, false, "only check the settings; exits with 0 if they are valid");
 
 namespace {
 
@@ -23,21 +23,21 @@
 constexpr int kExitAddressUnavailable = 3;
 
 // Connections to one address: the store has three watches open besides its other calls; an instance
-// has a listing that waits and orders.
+// has a waiting listing and commands.
 constexpr size_t kStoreConnections = 16;
 constexpr size_t kInstanceConnections = 3;
 constexpr size_t kPeerConnections = 8;
-// To an entry that brings starts: one is busy for as long as the slowest instance takes.
+// To an entry that forwards starts: a connection is busy for as long as the slowest instance takes.
 constexpr size_t kStartConnections = 8;
 
 const char* Explain(catkinford::site_start_fault fault) {
   switch (fault) {
     case catkinford::site_start_fault::kCallerAddress:
-      return "catkinford-site: listen.callers cannot be had\n";
+      return "catkinford-site: cannot listen on listen.callers\n";
     case catkinford::site_start_fault::kReadyAddress:
-      return "catkinford-site: listen.ready cannot be had\n";
+      return "catkinford-site: cannot listen on listen.ready\n";
     case catkinford::site_start_fault::kPeerAddress:
-      return "catkinford-site: the address for other entries cannot be had\n";
+      return "catkinford-site: cannot listen on the address for other entries\n";
     case catkinford::site_start_fault::kNone:
       break;
   }
@@ -45,7 +45,7 @@
 }
 
 int Run(catkinford::site_settings settings) {
-  // Blocked before any thread starts, so that only the wait below gets them.
+  // Blocked before any thread starts, so that only sigwait() below receives them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -78,7 +78,7 @@
     if (signal == SIGHUP) node.Reload();
   }
   node.Shutdown();
-  // Calls under way end with the process: their answers would find a node that is gone.
+  // Stops the clients before the node is destroyed: answers to calls in flight would use it.
   start_http.Stop();
   peer_http.Stop();
   command_http.Stop();
@@ -92,7 +92,7 @@
   absl::SetProgramUsageMessage("catkinford-site --settings FILE [--check]");
   absl::ParseCommandLine(argc, argv);
   if (absl::GetFlag(FLAGS_settings).empty()) {
-    std::fputs("catkinford-site: --settings FILE is needed\n", stderr);
+    std::fputs("catkinford-site: --settings FILE is required\n", stderr);
     return kExitBadSettings;
   }
   return catkinford::leaf::try_handle_all(
--- a/src/process/site/caller_frontend.h
+++ b/src/process/site/caller_frontend.h
@@ -1,6 +1,6 @@
-// Calls of callers: submit, cancel, a job's state, how many wait. Each gets one true answer: taken
-// only once it is stored, refused only if it surely never runs, and "unsettled" where the store did
-// not say.
+// Calls of callers: submit, cancel, a job's state, the number of waiting jobs. The answers are
+// definite: a job is accepted only once it is stored, rejected only if it will certainly never run,
+// and "unsettled" where the store's answer is unknown.
 #ifndef CATKINFORD_PROCESS_SITE_CALLER_FRONTEND_H_
 #define CATKINFORD_PROCESS_SITE_CALLER_FRONTEND_H_
 
@@ -27,17 +27,17 @@
 namespace catkinford {
 
 struct frontend_hooks {
-  std::string entry;  // the name of this one
+  std::string entry;  // name of this entry
   std::function<std::shared_ptr<const site_version>()> version;
   std::function<version_trust(monotonic_time now)> trust;
-  // From the owner, this entry or another; nothing when it does not answer or does not know.
+  // Asks the owner, this entry or another; empty when the owner does not answer or does not know.
   std::function<void(const std::string& job, std::function<void(std::optional<graph_phase>)>)>
       phase;
   std::function<void(const std::string& queue, std::function<void(std::optional<size_t>)>)> pending;
-  // Tell the owner of what was just stored, so that it need not wait for its watch. Nothing rests
-  // on it: what gets lost here, the watch brings.
+  // Notify the owner of what was just stored, ahead of its watch. A lost notification does no harm:
+  // the watch reports the same change.
   std::function<void(const std::string& id, const std::string& record)> notify_job_stored;
-  // A job is being accepted here: its tasks may have to be started from here.
+  // Called when a job is being accepted here, since its tasks may have to be started from here.
   std::function<void(const std::string& id, const std::string& payload)> cache_payload;
   std::function<void(const std::string& id)> notify_cancel_stored;
   std::function<bool()> stopping;
@@ -84,7 +84,7 @@
   static constexpr std::chrono::milliseconds kSuspectStorePause{40};
   static constexpr char kVersionUnconfirmed[] = "version_unconfirmed";
 
-  // What lives for one call. The version stays as it was when the call came.
+  // State of one call. The version is the one in effect when the call arrived.
   struct call {
     http_request request;
     responder respond;
@@ -92,7 +92,7 @@
     std::string id;
     std::string workspace;
     std::shared_ptr<const site_version> version;
-    const queue_terms* queue = nullptr;  // of the version
+    const queue_terms* queue = nullptr;  // points into `version`
   };
   using shared_call = std::shared_ptr<call>;
 
@@ -144,16 +144,17 @@
     Answer(current, status, Platform::EncodeError(reason));
   }
 
-  // What is not in this entry's configuration may be in a newer one: then the caller is not told
-  // that it does not exist, but to come back.
+  // What this entry's configuration does not hold may be in a newer one: unless it is the newest,
+  // the caller is told to retry and not that the item does not exist.
   void RejectAbsent(const call& current, int status, const char* reason) {
     const bool newest = hooks_.trust(current.arrived) == version_trust::kNewest;
     Reject(current, newest ? status : http_status::kUnavailable,
            newest ? reason : kVersionUnconfirmed);
   }
 
-  // By a configuration that may be out of force, a withdrawn key or a dropped queue would still be
-  // served. While the store is away nothing can change, and what runs is still told.
+  // Under a superseded configuration a withdrawn key or a removed queue would still be served.
+  // While the store is down the configuration cannot change, so everything but submissions is
+  // served.
   bool MayServe(const call& current) const {
     if (hooks_.trust(current.arrived) != version_trust::kUnconfirmed) return true;
     return current.request.method != "POST" && health_.State(current.arrived) != store_state::kUp;
@@ -168,7 +169,7 @@
     if (method != "GET" && method != "DELETE") {
       return Reject(now, http_status::kMethodNotAllowed, "wrong_method");
     }
-    // No job can have such a name.
+    // Not a valid job id, so there is no such job.
     if (!IsGraphId(now.id)) return Reject(now, http_status::kGone, "no_such_job");
     if (method == "GET") return AnswerState(std::make_shared<call>(std::move(now)));
     Cancel(std::make_shared<call>(std::move(now)));
@@ -201,8 +202,8 @@
         [&] { Reject(*current, http_status::kBadRequest, "malformed"); });
   }
 
-  // What is not sent surely never runs. Sent to a store that is silent, the job may be kept or not,
-  // and its caller could be told neither.
+  // A job that was never sent to the store certainly never runs. Sent to a store that does not
+  // answer, it may be stored or not, and its caller could be told neither.
   void StoreWhenUp(const shared_call& current, const std::shared_ptr<const std::string>& text) {
     switch (health_.State(BootNow())) {
       case store_state::kUp:
@@ -217,7 +218,7 @@
     }
   }
 
-  // `unsure`: an earlier try got no answer, so the job may be kept already.
+  // `may_be_stored`: an earlier attempt got no answer, so the job may be stored already.
   void Store(const shared_call& current, const std::shared_ptr<const std::string>& text,
              bool may_be_stored) {
     store_write write;
@@ -232,7 +233,7 @@
 
   void OnStoreAnswer(const shared_call& current, const std::shared_ptr<const std::string>& text,
                      bool may_be_stored, const store_reply& reply) {
-    // A conflict: the same job came before, here or at another entry. It remains one job.
+    // A conflict: the same job was stored before, here or at another entry. It remains one job.
     if (reply.status == store_status::kDone || reply.status == store_status::kConflict) {
       Log(site_event::kJobAccepted, *current,
           absl::StrCat("again=", reply.status == store_status::kConflict));
@@ -250,7 +251,7 @@
       Log(site_event::kJobUnsettled, *current, "why=store_did_not_say");
       return Answer(*current, http_status::kUnsettled, Platform::EncodeError("unsettled"));
     }
-    // The condition makes a second try harmless.
+    // The condition on the key makes a second attempt harmless.
     loop_.After(kStoreRetry, [this, current, text] { Store(current, text, true); });
   }
 
@@ -303,7 +304,7 @@
     Answer(*current, http_status::kOk, Platform::EncodePhase(phase));
   }
 
-  // The owner does not answer, or has not heard of the job yet: the records say it.
+  // The owner does not answer or does not know the job yet, so the records are read.
   void ReadState(const shared_call& current) {
     platform_.Store().Get(
         kJobPrefix + current->id, OnLoop([this, current](const store_reply& reply) {
@@ -351,7 +352,7 @@
     Answer(*current, http_status::kUnavailable, Platform::EncodeError("store_unavailable"));
   }
 
-  // --- how many wait -----------------------------------------------------------------------------
+  // --- pending ----------------------------------------------------------------------------------
 
   void AnswerPending(const shared_call& current) {
     hooks_.pending(current->queue->name, [this, current](std::optional<size_t> pending) {
--- a/src/process/site/event_loop.h
+++ b/src/process/site/event_loop.h
@@ -1,4 +1,4 @@
-// The thread on which everything of the site is decided: work posted from other threads, and
+// The thread on which the site's decisions are made. It runs work posted by other threads and
 // timers.
 #ifndef CATKINFORD_PROCESS_SITE_EVENT_LOOP_H_
 #define CATKINFORD_PROCESS_SITE_EVENT_LOOP_H_
@@ -18,8 +18,8 @@
 
 namespace catkinford {
 
-// Time since the machine's start, with the time of suspensions. The steady clock leaves these out:
-// after one, a lease that lapsed long ago would still look valid.
+// Time since the machine's start, including suspensions. The steady clock excludes them: after a
+// suspension a lease that expired long ago would still look valid.
 monotonic_time BootNow();
 wall_time WallNow();
 
@@ -27,25 +27,25 @@
  public:
   using work = std::function<void()>;
 
-  // `capacity`: work that other threads may have waiting.
+  // `capacity`: how much work of other threads can be queued.
   explicit event_loop(size_t capacity);
   ~event_loop();
   event_loop(const event_loop&) = delete;
   event_loop& operator=(const event_loop&) = delete;
 
   void Start();
-  // From other threads. Waits for room; does nothing once the loop has stopped.
+  // From other threads. Blocks while the queue is full; does nothing once the loop has stopped.
   void Post(work task);
-  // False, and nothing is done, when too much waits already.
+  // Returns false without queueing the work when the queue is full.
   bool TryPost(work task);
   // On the loop's thread.
   void After(std::chrono::milliseconds delay, work task);
-  // On the loop's thread. How late timers ran lately, at most: what other threads posted meanwhile
-  // waited as long.
+  // On the loop's thread. The maximum recent delay of timers; work posted meanwhile was delayed as
+  // much.
   std::chrono::milliseconds Delay() const { return delay_.Most(); }
-  // From any thread but the loop's own; what still waits is dropped.
+  // From any thread but the loop's own; queued work is dropped.
   void Stop();
-  // Takes `done`, to be called on another thread, to the loop's thread.
+  // Wraps `done`, which another thread calls, so that it runs on the loop's thread.
   template <typename... Args>
   std::function<void(Args...)> OnLoop(std::function<void(Args...)> done) {
     return [this, done = std::move(done)](Args... args) mutable {
@@ -56,7 +56,7 @@
  private:
   struct timed_work {
     monotonic_time due;
-    uint64_t order;  // of those due at the same time, the earlier first
+    uint64_t order;  // timers due at the same time run in this order
     work task;
     bool operator<(const timed_work& other) const {
       return due != other.due ? due > other.due : order > other.order;
--- a/src/process/site/http_status.h
+++ b/src/process/site/http_status.h
@@ -1,4 +1,4 @@
-// Status codes of answers, to callers and between entries.
+// HTTP status codes of answers to callers and between entries.
 #ifndef CATKINFORD_PROCESS_SITE_HTTP_STATUS_H_
 #define CATKINFORD_PROCESS_SITE_HTTP_STATUS_H_
 
--- a/src/process/site/owner_budget.h
+++ b/src/process/site/owner_budget.h
@@ -1,10 +1,11 @@
-// What an owner may put on its link and its processor, from what these are and how much is asked of
-// them.
+// How much load an owner may put on its link and its processor, from their capacity and their
+// current use.
 //
-// The load it answers: an owner whose link or processor is full. Its listings, records and starts
-// wait in one queue, and so do the renewal of its lease and the question whether it lives; then the
-// site is taken from it, and the next owner, on a machine no stronger, has the records to read as
-// well. Before it comes to that other entries help, and what can be later or less often gives way.
+// It guards against an owner whose link or processor is saturated. Its listings, records and starts
+// wait in one queue, and so do the renewal of its lease and the answers to liveness checks; then
+// the site is taken from it, and the next owner, on a machine no stronger, has to read the records
+// as well. Before that happens other entries forward starts, and work that can be done later or
+// less often is slowed down.
 #ifndef CATKINFORD_PROCESS_SITE_OWNER_BUDGET_H_
 #define CATKINFORD_PROCESS_SITE_OWNER_BUDGET_H_
 
@@ -25,7 +26,7 @@
   owner_budget(double link_mbps, double cpu_share)
       : bytes_per_second_(link_mbps * kBytesInMegabit), cpu_share_(cpu_share) {}
 
-  // What this entry has done since its start, as now known: its calls, and their bytes.
+  // `total`: this entry's calls and their bytes since its start.
   void OnTraffic(const traffic& total, monotonic_time now) {
     if (updated_ != monotonic_time{}) {
       const std::chrono::duration<double> passed = now - updated_;
@@ -40,31 +41,31 @@
     last_total_ = total;
     updated_ = now;
   }
-  // A start left over this link.
+  // A start of `bytes` was sent over this link.
   void OnStart(size_t bytes) {
     start_bytes_ += kSmoothing * (static_cast<double>(bytes) - start_bytes_);
   }
 
-  // How much of the link, in its busier direction, or of the processor is in use, against what
-  // leaves room for a burst.
+  // Use of the link, in its busier direction, or of the processor, relative to the level that
+  // leaves capacity for a burst.
   double Pressure() const {
     const double link = std::max(sent_rate_, received_rate_) / bytes_per_second_;
     const double processor = call_rate_ * kCpuPerCall.count() / cpu_share_;
     return std::max(link / kBusyLink, processor / kBusyProcessor);
   }
-  // Other entries should bring starts for it.
+  // Other entries should forward its starts.
   bool Busy() const { return Pressure() > 1; }
-  // It may answer late what it is asked.
+  // Its answers may be late.
   bool Overloaded() const { return Pressure() > kOverloadPressure; }
 
-  // How many starts may be on their way at once, `most` at most.
+  // How many starts may be in flight at once, `limit` at most.
   uint32_t StartsInFlight(uint32_t limit) const {
     const double fit = bytes_per_second_ * kMaxLinkQueue.count() / start_bytes_;
     const auto lowest = static_cast<double>(std::min(kMinStartsInFlight, limit));
     return static_cast<uint32_t>(std::clamp(fit, lowest, static_cast<double>(limit)));
   }
-  // How many starts of `bytes` an entry on a link like this one, and with less of a processor,
-  // sends in a moment.
+  // How many starts of `bytes` an entry sends quickly over a link like this one, with a smaller
+  // share of a processor.
   uint32_t StartsPerGroup(size_t bytes) const {
     const double fit = bytes_per_second_ * kMaxLinkQueue.count() / static_cast<double>(bytes) / 2;
     return static_cast<uint32_t>(std::clamp(fit, kMinGroup, kMaxGroup));
@@ -77,13 +78,13 @@
   std::chrono::milliseconds ListingPause(std::chrono::milliseconds usual) const {
     return Scaled(usual, std::clamp(Pressure(), 1.0, kMaxListingFactor));
   }
-  // Between two rounds of decisions, or two changes of the records: `usual`, or longer on a busy
+  // Between two rounds of decisions or two changes of the records: `usual`, or longer on a busy
   // machine. Both cost little more for many events than for one.
   std::chrono::milliseconds RoundPause(std::chrono::milliseconds usual) const {
     const double times = std::clamp(Pressure(), 1.0, kMaxRoundPressure);
     return Scaled(usual, times * times);
   }
-  // Between two reads of the registry, which is `bytes` long: `usual`, or longer on a weak machine.
+  // Between two reads of the registry of `bytes`: `usual`, or longer on a weak machine.
   std::chrono::milliseconds RegistryPause(std::chrono::milliseconds usual, size_t bytes) const {
     const std::chrono::duration<double> link(static_cast<double>(bytes) /
                                              (kRegistryShare * bytes_per_second_));
@@ -101,24 +102,24 @@
   }
 
   static constexpr std::chrono::duration<double> kRateWindow{0.5};
-  // Bursts double the load within a second, and not all bytes are counted.
+  // Low, since bursts double the load within a second and some bytes are not counted.
   static constexpr double kBusyLink = 0.25;
   static constexpr double kBusyProcessor = 0.25;
   static constexpr double kOverloadPressure = 2;
-  // Of a processor, for a call and all that is decided and written because of it.
+  // Processor time for a call and for the decisions and writes that it causes.
   static constexpr std::chrono::duration<double> kCpuPerCall{0.00015};
-  // What waits in the link's queue at most: anything urgent waits behind it.
+  // Limit for the data queued on the link, since urgent messages wait behind it.
   static constexpr std::chrono::duration<double> kMaxLinkQueue{0.08};
-  static constexpr double kBase64Overhead = 1.35;  // records travel as Base64 text
+  static constexpr double kBase64Overhead = 1.35;  // records are sent as Base64 text
   static constexpr uint32_t kMinStartsInFlight = 16;
   static constexpr double kMinGroup = 8;
   static constexpr double kMaxGroup = 12;
   static constexpr double kMaxListingFactor = 3;
   static constexpr double kMaxRoundPressure = 2.5;
   static constexpr double kRegistryShare = 0.05;
-  // Of a processor, to read a byte of the registry.
+  // Processor time to read a byte of the registry.
   static constexpr std::chrono::duration<double> kCpuPerRegistryByte{5e-8};
-  // An instance that is drained may get no start two seconds after it said so.
+  // A draining instance must get no start later than two seconds after it reported so.
   static constexpr std::chrono::milliseconds kMaxRegistryPause{1200};
   static constexpr double kSmoothing = 1.0 / 32;
   static constexpr double kFirstStartBytes = 1000;
@@ -128,7 +129,7 @@
   traffic last_total_;
   monotonic_time updated_{};
   double sent_rate_ = 0;                   // bytes a second, smoothed
-  double received_rate_ = 0;               // the same
+  double received_rate_ = 0;               // bytes a second, smoothed
   double call_rate_ = 0;                   // calls a second, smoothed
   double start_bytes_ = kFirstStartBytes;  // smoothed
 };
--- a/src/process/site/owner_failure_detector.cc
+++ b/src/process/site/owner_failure_detector.cc
@@ -13,7 +13,7 @@
 // A busy owner answers within 50 ms; two thirds of its lease are still left after this.
 constexpr milliseconds kSilenceToSuspect{550};
 constexpr uint32_t kTimeoutsToSuspect = 2;
-// An owner that works changes something at the store several times in this time.
+// A working owner makes several changes at the store within this time.
 constexpr milliseconds kNoCommitToSuspect{300};
 
 }  // namespace
--- a/src/process/site/owner_failure_detector.h
+++ b/src/process/site/owner_failure_detector.h
@@ -1,13 +1,14 @@
-// Whether the owner of the site is dead, as one watching entry sees it: by short questions to its
-// process, asked a few times a second.
+// Detects whether the owner of the site is dead, as seen by one watching entry, by short liveness
+// checks of its process a few times a second.
 //
-// The owner's lease at the store ends 1.5 s after its death, and each quick job in flight is late
-// by then. A killed process refuses connections at once; one that lost power answers nothing. A
-// false suspicion costs a needless takeover but breaks no promise: instances refuse the older
-// epoch, and the older owner's changes are refused by the store.
+// The owner's lease at the store ends 1.5 s after its death, and every short job in flight is late
+// by then. A killed process rejects connections at once; one that lost power does not answer. A
+// false suspicion costs a needless takeover but does not break safety: instances reject the older
+// epoch, and the store rejects the older owner's changes.
 //
-// A busy owner is silent too: on a narrow link its answers wait behind its work. One that said so,
-// or whose changes go on arriving at the store, is left to its lease.
+// A busy owner is silent too: on a narrow link its answers wait behind its work. An owner that
+// reported to be busy, or whose changes still arrive at the store, keeps the site until its lease
+// ends.
 #ifndef CATKINFORD_PROCESS_SITE_OWNER_FAILURE_DETECTOR_H_
 #define CATKINFORD_PROCESS_SITE_OWNER_FAILURE_DETECTOR_H_
 
@@ -23,39 +24,40 @@
 
 enum class liveness : uint8_t {
   kAlive,
-  kBusy,          // alive, and has more to do than it bears
+  kBusy,          // alive and overloaded
   kOtherProcess,  // a later process at the same address
-  kRefused,       // nothing listens there
+  kRefused,       // connection refused
   kSilent         // no answer in time
 };
 
 class owner_failure_detector {
  public:
-  // Another owner is watched from now on.
+  // Starts watching the owner of this epoch, unless it is watched already.
   void Watch(uint64_t epoch, monotonic_time now);
   void OnAnswer(liveness answer, monotonic_time now);
-  // The revision of the owner's last change at the store, 0 for none, read because its process was
-  // silent.
+  // The revision of the owner's last change at the store, 0 for none; it is read when the owner's
+  // process was silent.
   void OnCommit(uint64_t revision, monotonic_time now);
   bool Suspected(monotonic_time now) const;
-  // Nothing says that the process is gone: it may be out of reach, or busy.
+  // No evidence that the process has ended: it may be unreachable or busy.
   bool OnlyTimeouts() const;
-  // Until the next question. Short after a refusal: the second one decides.
+  // Time until the next liveness check. Short after a refused connection, since a second one
+  // decides.
   std::chrono::milliseconds QueryInterval() const;
 
  private:
   uint64_t epoch_ = 0;
   monotonic_time last_answer_{};
-  uint32_t refusals_ = 0;  // in a row
-  uint32_t timeouts_ = 0;  // in a row
+  uint32_t refusals_ = 0;  // consecutive
+  uint32_t timeouts_ = 0;  // consecutive
   bool replaced_ = false;
-  bool busy_ = false;                             // as it last said
-  std::optional<uint64_t> last_commit_revision_;  // the owner's last one that was read
-  monotonic_time last_commit_seen_{};             // it was first read then
+  bool busy_ = false;                             // as of its last answer
+  std::optional<uint64_t> last_commit_revision_;  // last one read
+  monotonic_time last_commit_seen_{};             // when that revision was first read
 };
 
-// What other entries answer when they are asked to look for themselves: one that reaches the owner
-// suffices to drop the suspicion, and nobody's answer means that the asker may be the one cut off.
+// Whether other entries' liveness checks confirm the suspicion: one that reaches the owner refutes
+// it, and no answer at all means that the asking entry may be the one cut off.
 bool SuspicionConfirmed(const std::vector<liveness>& answers);
 
 }  // namespace catkinford
--- a/src/process/site/owner_history.h
+++ b/src/process/site/owner_history.h
@@ -1,11 +1,11 @@
-// Whether an owner before the last one may still give orders.
+// Whether an owner before the last one may still send commands.
 //
-// What goes wrong: an owner is cut off together with its domain, and another entry claims the site
-// before its lease has ended. The new owner dies moments later and is followed in turn. The third
-// knows that the second is dead and waits for nobody else, but the first goes on in its domain
-// until its lease ends, and extends what runs there: tasks of its instances run twice. So an owner
-// tells in its word whether it claimed early, and who follows it too soon after that waits for
-// both.
+// The fault it guards against: an owner is cut off together with its domain, and another entry
+// claims the site before its lease has ended. The new owner dies moments later and is superseded in
+// turn. The third knows that the second is dead and waits for no other, but the first continues in
+// its domain until its lease ends and extends the work there: tasks of its instances run twice.
+// Therefore an owner's record states whether it claimed early, and an owner that supersedes it too
+// soon after that waits for both.
 #ifndef CATKINFORD_PROCESS_SITE_OWNER_HISTORY_H_
 #define CATKINFORD_PROCESS_SITE_OWNER_HISTORY_H_
 
@@ -25,7 +25,7 @@
     first_seen_ = now;
   }
 
-  // Of the owners before the last one that was seen. `lease`: of an owner.
+  // Whether an owner before the last one seen may still act. `lease`: length of an owner's lease.
   bool EarlierOwnerMayAct(std::chrono::milliseconds lease, monotonic_time now) const {
     return claimed_early_ && now < first_seen_ + lease;
   }
@@ -33,7 +33,7 @@
  private:
   uint64_t epoch_ = 0;
   bool claimed_early_ = false;
-  monotonic_time first_seen_{};  // this entry knows of it
+  monotonic_time first_seen_{};  // by this entry
 };
 
 }  // namespace catkinford
--- a/src/process/site/payload_cache.h
+++ b/src/process/site/payload_cache.h
@@ -1,5 +1,5 @@
-// Payloads of jobs that this entry accepted or was asked to start tasks of, the newest ones. One
-// that is gone is read from the store again.
+// Payloads of the newest jobs that this entry accepted or forwarded starts of. An evicted payload
+// is read from the store again.
 #ifndef CATKINFORD_PROCESS_SITE_PAYLOAD_CACHE_H_
 #define CATKINFORD_PROCESS_SITE_PAYLOAD_CACHE_H_
 
@@ -13,7 +13,7 @@
 
 class payload_cache {
  public:
-  // `limit`: bytes of all payloads together.
+  // `limit`: total bytes of all payloads.
   explicit payload_cache(size_t limit) : limit_(limit) {}
 
   void Put(const std::string& job, const std::string& payload) {
@@ -27,7 +27,7 @@
       insertion_order_.pop_front();
     }
   }
-  // Null: not here. Good until the next Put().
+  // Null if not cached. Valid until the next Put().
   const std::string* Find(const std::string& job) const {
     const auto found = payloads_.find(job);
     return found == payloads_.end() ? nullptr : &found->second;
@@ -36,7 +36,7 @@
  private:
   size_t limit_;
   size_t bytes_ = 0;
-  std::deque<std::string> insertion_order_;  // the oldest first
+  std::deque<std::string> insertion_order_;  // oldest first
   absl::flat_hash_map<std::string, std::string> payloads_;
 };
 
--- a/src/process/site/site_platform.h
+++ b/src/process/site/site_platform.h
@@ -1,5 +1,5 @@
-// What a site needs from its platform, as concepts: an adapter for the users' platform and the
-// fakes of the tests both satisfy them.
+// What a site needs from its platform, as concepts. The adapter for the users' platform and the
+// tests' fakes satisfy them.
 #ifndef CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
 #define CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
 
@@ -21,7 +21,7 @@
 
 namespace catkinford {
 
-// The store did what it was asked, or said why not.
+// True when the outcome is known: the store did what was requested or gave a reason why not.
 inline bool IsAnswer(const store_reply& reply) {
   return reply.status != store_status::kUnavailable && reply.status != store_status::kUnknown;
 }
@@ -31,7 +31,7 @@
 using listing_callback = std::function<void(std::optional<instance_listing>, order_result)>;
 using advice_callback = std::function<void(advice_answer)>;
 
-// Callbacks may come on any thread, each exactly once.
+// Callbacks may run on any thread; each is called exactly once.
 template <typename Store>
 concept key_value_store =
     requires(Store store, std::string text, uint64_t revision, std::chrono::milliseconds time,
@@ -61,8 +61,8 @@
     requires(Advisor advisor, advice_order order, std::chrono::milliseconds timeout,
              advice_callback done) { advisor.Ask(order, timeout, done); };
 
-// The whole platform: its calls, the keys that its operator and its instances write, and the
-// decoding of what they and the callers say.
+// The whole platform: its calls, the keys that its operator and its instances write, and the codecs
+// for their values and for callers' messages.
 template <typename Platform>
 concept site_platform = requires(Platform platform, std::string text, std::string_view view,
                                  graph_phase phase, size_t count) {
--- a/src/process/site/start_dispatcher.h
+++ b/src/process/site/start_dispatcher.h
@@ -1,8 +1,8 @@
-// The owner's starts on their way to instances, from this entry or through others.
+// Sends the owner's starts to instances, directly or through other entries.
 //
-// A start that another entry brings is an order like any other: it names the owner's epoch, the
-// instance's life and the end of its lease, so one that arrives late is refused by the instance.
-// The entry between adds that what became of it may never be heard: after a time it counts as
+// A forwarded start is a command like any other: it names the owner's epoch, the instance's
+// incarnation and the end of its lease, so the instance rejects one that arrives late. Forwarding
+// adds one failure: the result may never arrive, and after a timeout the start counts as
 // unanswered.
 #ifndef CATKINFORD_PROCESS_SITE_START_DISPATCHER_H_
 #define CATKINFORD_PROCESS_SITE_START_DISPATCHER_H_
@@ -29,16 +29,16 @@
 namespace catkinford {
 
 struct dispatcher_hooks {
-  // The address of an entry that lives, "ip:port"; empty: it does not.
+  // The address of a registered entry, "ip:port"; empty if it is not registered.
   std::function<std::string(const std::string& entry)> address;
-  // False once this entry no longer owns the site by this epoch.
+  // False once this entry no longer owns the site with this epoch.
   std::function<bool(uint64_t epoch, monotonic_time now)> may_send;
 };
 
 template <site_platform Platform>
 class start_dispatcher {
  public:
-  // `self`: this entry's address for results. `http`: calls that give starts away, and no others.
+  // `own_address`: where other entries report results. `http`: used for forwarding starts only.
   start_dispatcher(Platform& platform, http_client& http, owner_budget& budget, event_loop& loop,
                    site_log& log, std::string own_address, dispatcher_hooks hooks)
       : platform_(platform),
@@ -50,7 +50,7 @@
         hooks_(std::move(hooks)) {}
 
   void SetEntries(std::vector<std::string> others) { router_.SetEntries(std::move(others)); }
-  // This ownership is over: what waits for an answer is nobody's any more.
+  // Drops all pending starts: this ownership is over.
   void Clear() {
     pending_.clear();
     batches_.clear();
@@ -75,7 +75,7 @@
       loop_.After(kSweepInterval, [this] { SweepOverdue(); });
   }
 
-  // What became of starts that were not answered at once.
+  // Late results, of starts that were not answered in the reply to their message.
   void OnStarted(const std::string& text) {
     const auto results = StartResultsFromText(text);
     if (results) ApplyResults(*results);
@@ -87,24 +87,24 @@
     start_order command;
     uint64_t epoch = 0;
     monotonic_time sent{};
-    monotonic_time due{};  // unheard by then, it counts as unanswered
+    monotonic_time due{};  // without a result by then it counts as unanswered
     command_callback done;
   };
 
-  // Starts that are decided on together leave together.
+  // Starts decided on within this time are forwarded in one message.
   static constexpr std::chrono::milliseconds kBatchDelay{2};
   static constexpr std::chrono::milliseconds kSweepInterval{50};
-  // Longer than an order to an instance takes, with its way there and back.
+  // Longer than a command to an instance takes, including both hops.
   static constexpr std::chrono::milliseconds kResultTimeout{1100};
-  // A carrier answers within 100 ms, whatever its instances do.
+  // A forwarder answers within 100 ms, whatever its instances do.
   static constexpr std::chrono::milliseconds kMessageTimeout{500};
-  // Given back sooner than this, a start is still as it was decided on.
+  // A start that is reclaimed within this time is still sent as it was decided on.
   static constexpr std::chrono::milliseconds kReclaimLimit{250};
-  // Of a row, its part of the head and its result, about; a carrier on a narrow link is not given
-  // more at once than it can send in time.
+  // Approximate size of a row, its part of the header and its result. A forwarder on a narrow link
+  // is not sent more at once than it can send on in time.
   static constexpr size_t kForwardedBytes = 330;
   static constexpr size_t kStartOverheadBytes =
-      400;  // of a start's own call without the payload, about
+      400;  // of a direct start without its payload, roughly
 
   void SendDirect(const start_order& command, uint64_t epoch, command_callback done) {
     budget_.OnStart(command.payload.size() + kStartOverheadBytes);
@@ -152,7 +152,8 @@
     log_.Write(site_event::kStartsNotCarried, BootNow(),
                absl::StrCat("peer=", forwarder, " starts=", numbers.size(), " answered=", answered,
                             " status=", result.code));
-    // It may have them, and tell yet what became of them; else they fall due.
+    // The forwarder may have received them and may report their results later; otherwise they time
+    // out.
     if (!answered && result.status != transfer_status::kNotSent) return;
     Reclaim(numbers);
   }
@@ -169,7 +170,7 @@
     }
   }
 
-  // These were surely not sent.
+  // These were certainly not sent to their instances.
   void Reclaim(const std::vector<uint64_t>& numbers) {
     for (const uint64_t number : numbers) {
       auto node = pending_.extract(number);
@@ -188,7 +189,7 @@
   void SweepOverdue() {
     sweep_planned_ = false;
     const monotonic_time now = BootNow();
-    // All have the same time, so the first ones fall due first.
+    // All have the same timeout, so the oldest are due first.
     while (!pending_.empty() && pending_.begin()->second.due <= now) {
       const pending_start item = std::move(pending_.extract(pending_.begin()).mapped());
       router_.OnResultMissing(item.forwarder, now);
@@ -207,7 +208,7 @@
   dispatcher_hooks hooks_;
   start_router router_;
   std::map<uint64_t, pending_start> pending_;             // by number
-  std::map<std::string, std::vector<uint64_t>> batches_;  // numbers to give away, by carrier
+  std::map<std::string, std::vector<uint64_t>> batches_;  // numbers to forward, by forwarder
   uint64_t last_number_ = 0;
   bool flush_planned_ = false;
   bool sweep_planned_ = false;
--- a/src/process/site/start_forwarder.h
+++ b/src/process/site/start_forwarder.h
@@ -1,6 +1,6 @@
-// Brings starts of another entry, the owner, to instances, and tells it what became of them.
+// Forwards starts of another entry, the owner, to instances and reports the results to it.
 //
-// Nothing is decided here: a start goes out at once with the payload of its job, or not at all.
+// Makes no decisions: a start is sent at once with its job's payload, or not at all.
 #ifndef CATKINFORD_PROCESS_SITE_START_FORWARDER_H_
 #define CATKINFORD_PROCESS_SITE_START_FORWARDER_H_
 
@@ -31,7 +31,7 @@
  public:
   using responder = std::function<void(http_response)>;
 
-  // `http`: calls to owners. `epoch`: the highest that this entry has heard of.
+  // `http`: calls to owners. `epoch`: the highest epoch known to this entry.
   start_forwarder(Platform& platform, http_client& http, event_loop& loop, site_log& log,
                   std::function<uint64_t()> epoch)
       : platform_(platform),
@@ -41,12 +41,13 @@
         epoch_(std::move(epoch)),
         payloads_(kPayloadBytes) {}
 
-  // The payload of a job that this entry is taking.
+  // The payload of a job that this entry accepts.
   void CachePayload(const std::string& job, const std::string& payload) {
     payloads_.Put(job, payload);
   }
 
-  // Answers when it is known what became of all starts, or after a while.
+  // Responds when the results of all starts are known, or after kAnswerTimeout with those known by
+  // then.
   void Forward(const std::string& text, const responder& respond) {
     auto message = ForwardedStartsFromText(text);
     if (!message) return respond({.status = http_status::kBadRequest});
@@ -66,12 +67,12 @@
   }
 
  private:
-  // What came in one message.
+  // The starts of one message.
   struct batch {
     std::string owner;
     uint64_t epoch = 0;
-    size_t missing = 0;  // without a result
-    responder respond;   // empty once it was answered
+    size_t missing = 0;  // starts without a result
+    responder respond;   // empty once called
     std::vector<start_result> results;
     bool report_scheduled = false;
   };
@@ -83,8 +84,7 @@
   };
 
   static constexpr size_t kPayloadBytes = size_t{2} << 20;
-  // An instance answers within some 10 ms; one that does not must not hold up what is known of the
-  // others.
+  // An instance answers within some 10 ms; one that does not must not delay the results of others.
   static constexpr std::chrono::milliseconds kAnswerTimeout{60};
   static constexpr std::chrono::milliseconds kReportDelay{10};
   static constexpr std::chrono::milliseconds kReportTimeout{600};
@@ -94,7 +94,7 @@
   void Start(waiting_start item) {
     const std::string job = item.start.command.key.job;
     if (const std::string* payload = payloads_.Find(job)) return SendStart(item, *payload);
-    // This entry did not take the job, or was started since: one read serves all its tasks.
+    // This entry did not accept the job, or has restarted since: one read serves all its tasks.
     std::vector<waiting_start>& waiting = fetching_[job];
     waiting.push_back(std::move(item));
     if (waiting.size() == 1) Fetch(job);
@@ -161,7 +161,7 @@
     call.url = absl::StrCat("http://", from->owner, kPeerStartedPath);
     call.body = StartResultsToText(std::exchange(from->results, {}));
     call.timeout = kReportTimeout;
-    // Unheard, these starts count as unanswered, as they would without an entry between.
+    // If this report is lost, the starts count as unanswered, as they would if sent directly.
     http_.Send(std::move(call), [](const http_result&) {});
   }
 
--- a/src/process/site/start_messages.cc
+++ b/src/process/site/start_messages.cc
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-// Takes the fields of a row one after the other.
+// Reads the fields of a row in sequence.
 class row_reader {
  public:
   explicit row_reader(const json& row) : row_(row) {}
@@ -40,7 +40,7 @@
   return out;
 }
 
-// What a result means that only a later program knows is not known here.
+// A result code added by a later version counts as unknown.
 order_result ResultFrom(int number) {
   const bool known = number >= 0 && number <= static_cast<int>(order_result::kUnknown);
   return known ? static_cast<order_result>(number) : order_result::kUnknown;
--- a/src/process/site/start_messages.h
+++ b/src/process/site/start_messages.h
@@ -1,9 +1,10 @@
-// Starts that one entry brings to instances for another, and what became of them, over HTTP with
-// JSON rows: an owner gives away hundreds a second, so their fields have no names on the wire.
+// Messages for starts that one entry forwards to instances for another, and for their results: HTTP
+// with JSON rows. An owner forwards hundreds of starts a second, so the fields have no names on the
+// wire.
 //
-//   POST /peer/start     starts without the payload of their job; the answer says what became of
-//                        those that were answered soon
-//   POST /peer/started   what became of the others
+//   POST /peer/start     starts without their jobs' payloads; the answer holds the results known
+//                        soon
+//   POST /peer/started   the other results
 #ifndef CATKINFORD_PROCESS_SITE_START_MESSAGES_H_
 #define CATKINFORD_PROCESS_SITE_START_MESSAGES_H_
 
@@ -21,22 +22,22 @@
 inline constexpr char kPeerStartedPath[] = "/peer/started";
 
 struct forwarded_start {
-  uint64_t number = 0;  // of the owner's; the result names it
-  start_order command;  // its payload is the carrier's to fill in
+  uint64_t number = 0;  // assigned by the owner; repeated in the result
+  start_order command;  // the forwarder fills in the payload
 };
 struct forwarded_starts {
   uint64_t epoch = 0;  // of the owner
-  std::string owner;   // "ip:port": where late results go
+  std::string owner;   // "ip:port" for late results
   std::vector<forwarded_start> starts;
 };
 
 struct start_result {
   uint64_t number = 0;
-  bool sent = false;  // false: nothing was sent, and nothing will be
+  bool sent = false;  // false: was not sent and will not be
   order_answer answer;
 };
 
-// Parsing answers nothing for other text.
+// The parsers return nothing for malformed text.
 std::string ForwardedStartsToText(const forwarded_starts& starts);
 std::optional<forwarded_starts> ForwardedStartsFromText(std::string_view text);
 std::string StartResultsToText(const std::vector<start_result>& results);
--- a/src/process/site/start_router.cc
+++ b/src/process/site/start_router.cc
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// A carrier answers within 100 ms; one that does not may be cut off or gone.
+// A forwarder answers within 100 ms; one that does not may be cut off or dead.
 constexpr milliseconds kAnswerTimeout{150};
 constexpr milliseconds kAvoidTime{3000};
 
@@ -31,7 +31,7 @@
   if (!busy || entries_.empty()) return std::nullopt;
   const bool lives = std::find(entries_.begin(), entries_.end(), accepted_by) != entries_.end();
   if (group == 0 && lives && Usable(accepted_by, now)) return accepted_by;
-  // The same one for all tasks of the group: it reads the payload once.
+  // The same entry for all tasks of the group, so that it reads the payload once.
   const std::string& other = entries_[absl::HashOf(job, group) % entries_.size()];
   if (!Usable(other, now)) return std::nullopt;
   return other;
--- a/src/process/site/start_router.h
+++ b/src/process/site/start_router.h
@@ -1,12 +1,11 @@
-// Which entry sends a start to its instance: the owner itself, or another one that holds the
-// payload of the job.
+// Chooses which entry sends a start to its instance: the owner itself, or another one that holds
+// the job's payload.
 //
-// The load it answers: jobs of many tasks, and an owner that sends each start by itself. A call
-// costs the owner's processor more than the decision behind it, and each start carries the payload
-// of its job over the owner's link: on a narrow one these copies fill it before anything else does,
-// and listings, records and the questions whether the owner lives wait behind them. The entry that
-// accepted the job has its payload, a processor and a link of its own; the owner tells it, for all
-// tasks that start together, which starts where.
+// It serves jobs of many tasks. A call costs the owner more processor time than the decision behind
+// it, and each start carries its job's payload over the owner's link: on a narrow link these copies
+// fill it first, and listings, records and liveness checks wait behind them. The entry that
+// accepted the job has the payload, a processor and a link of its own; the owner tells it, for all
+// tasks that start together, where each one starts.
 #ifndef CATKINFORD_PROCESS_SITE_START_ROUTER_H_
 #define CATKINFORD_PROCESS_SITE_START_ROUTER_H_
 
@@ -23,19 +22,19 @@
 
 class start_router {
  public:
-  // The other entries that live.
+  // The other registered entries.
   void SetEntries(std::vector<std::string> names) { entries_ = std::move(names); }
 
-  // The entry that is to send starts of `job`, which `accepted_by` took; nothing: this one does.
-  // `group`: of tasks, counted from 0; each goes another way, since a wide job would fill the link
-  // of one entry too. `busy`: this entry is.
+  // The entry that should send starts of `job`, which `accepted_by` accepted; empty: this entry.
+  // `group`: index of a group of tasks, from 0; each group takes another way, since a wide job
+  // would fill the link of a single entry too. `busy`: whether this entry is.
   std::optional<std::string> ForwarderFor(const std::string& job, const std::string& accepted_by,
                                           uint32_t group, bool busy, monotonic_time now) const;
-  // A message went to a carrier; its number is given back with the answer.
+  // Records a message to a forwarder; returns the number to pass to OnAnswer().
   uint64_t Sent(const std::string& forwarder, monotonic_time now);
-  // `taken`: the carrier took what it was sent.
+  // `accepted`: the forwarder accepted the message.
   void OnAnswer(uint64_t message, bool accepted, monotonic_time now);
-  // It took a start and never told what became of it.
+  // The forwarder accepted a start and never reported its result.
   void OnResultMissing(const std::string& forwarder, monotonic_time now);
 
  private:
--- a/src/process/site/takeover_backoff.h
+++ b/src/process/site/takeover_backoff.h
@@ -1,10 +1,10 @@
-// Whether an owner's silence alone is reason to take the site over before its lease ends.
+// Whether an owner's silence alone justifies a takeover before its lease ends.
 //
 // The failure it prevents: an owner is busy, its answers wait behind its own work, and it is
-// followed; loading all records is more work still, so the next one falls silent too. The site
-// changes hands once a second, nothing starts, and it goes on after the load that began it is over.
-// Early takeovers for silence are spaced, longer after each one that came soon after another; an
-// owner that is gone for good is followed when its lease ends in any case.
+// superseded; loading all records is more work still, so the next owner becomes silent too. The
+// site changes hands once a second, nothing starts, and this continues after the load that caused
+// it is over. Early takeovers for silence are spaced out, with a longer pause after each one that
+// came soon after another; an owner that has died is superseded when its lease ends in any case.
 #ifndef CATKINFORD_PROCESS_SITE_TAKEOVER_BACKOFF_H_
 #define CATKINFORD_PROCESS_SITE_TAKEOVER_BACKOFF_H_
 
@@ -21,7 +21,7 @@
   // The store names the owner of this epoch.
   void OnOwner(uint64_t epoch, monotonic_time now) {
     if (epoch == epoch_) return;
-    // The first one that is seen may have owned the site for long.
+    // The first owner seen may have owned the site for long.
     if (epoch_ != 0) {
       const bool soon = now - owner_since_ < kQuietPeriod;
       pause_ = soon ? std::clamp(pause_ * 2, kMinPause, kMaxPause) : kMinPause;
@@ -29,18 +29,18 @@
     epoch_ = epoch;
     owner_since_ = now;
   }
-  // Of the present owner.
+  // For the current owner.
   bool MayTakeOverOnSilence(monotonic_time now) const { return now >= owner_since_ + pause_; }
 
  private:
-  // A loaded owner is done with its records and its first listings by then.
+  // A loaded owner has read its records and its first listings by then.
   static constexpr std::chrono::milliseconds kMinPause{3000};
   static constexpr std::chrono::milliseconds kMaxPause{24000};
   static constexpr std::chrono::milliseconds kQuietPeriod{15000};
 
   uint64_t epoch_ = 0;
   monotonic_time owner_since_{};
-  std::chrono::milliseconds pause_{0};  // nothing is known against the first owner
+  std::chrono::milliseconds pause_{0};  // no pause for the first owner seen
 };
 
 }  // namespace catkinford
