--- a/test/forwarded_starts_fleet_test.cc
+++ b/test/forwarded_starts_fleet_test.cc
@@ -1,4 +1,4 @@
-// Sites of real processes whose owner takes its link for so narrow that others bring its starts.
+// Sites of real processes with a link so narrow that the owner forwards its starts through others.
 #include <catch2/catch.hpp>
 #include <csignal>
 #include <nlohmann/json.hpp>
@@ -55,8 +55,8 @@
   }
 };
 
-// Guards against starts that get lost, or reach their instance twice, on their way through others.
-TEST_CASE_METHOD(narrow_site_fixture, "site, owner busy, other entries bring its starts once") {
+// Guards against forwarded starts that are lost or reach their instance twice.
+TEST_CASE_METHOD(narrow_site_fixture, "site, owner busy, other entries forward its starts once") {
   for (uint32_t job = 0; job < kJobs; ++job) {
     REQUIRE(Call(job % 3, "POST", Path(job), WideJob()).code == 200);
   }
@@ -67,9 +67,8 @@
   CHECK(Eventually([&] { return StartsForwarded(owner) > 0; }));
 }
 
-// Guards against jobs that wait for ever because the entry that holds their payload is gone.
-TEST_CASE_METHOD(narrow_site_fixture,
-                 "site, entry that brings starts is killed, its jobs complete all the same") {
+// Guards against jobs that wait forever because the entry that holds their payload died.
+TEST_CASE_METHOD(narrow_site_fixture, "site, forwarding entry killed, its jobs still complete") {
   const auto owner = static_cast<size_t>(Owner());
   const size_t accepting_entry = (owner + 1) % 3;
   SubmitAll(accepting_entry);
@@ -78,9 +77,9 @@
   CHECK(instances_.Doubles().empty());
 }
 
-// Guards against a start that a paused entry still holds, and sends when its task runs elsewhere.
+// Guards against a paused entry that sends the starts it holds after their tasks run elsewhere.
 TEST_CASE_METHOD(narrow_site_fixture,
-                 "site, entry that brings starts is paused, no task runs twice at a time") {
+                 "site, forwarding entry paused, no task runs twice at a time") {
   const auto owner = static_cast<size_t>(Owner());
   const size_t accepting_entry = (owner + 1) % 3;
   SubmitAll(accepting_entry);
--- a/test/owner_budget_test.cc
+++ b/test/owner_budget_test.cc
@@ -14,7 +14,7 @@
 constexpr double kFullProcessor = 1;
 constexpr milliseconds kUsualPause{120};
 
-// An owner that puts the same number of bytes on its link every 20 ms.
+// Feeds the budget a constant rate of sent bytes or of calls, in steps of 20 ms.
 class owner_budget_fixture {
  protected:
   void Send(owner_budget& budget, uint64_t bytes_per_second, seconds time) {
@@ -36,10 +36,10 @@
   traffic total;
 };
 
-// Guards against an owner that fills its link before it lets others help.
+// Guards against an owner that saturates its link before other entries forward its starts.
 TEST_CASE_METHOD(
     owner_budget_fixture,
-    "owner budget, burst of wide jobs on a narrow link, is busy while it is half free") {
+    "owner budget, burst of wide jobs on a narrow link, busy while half the link is free") {
   owner_budget budget(kNarrowMbps, kFullProcessor);
   Send(budget, kNarrowMbps * kBytesInMegabit / 10, seconds(3));
   CHECK_FALSE(budget.Busy());
@@ -52,16 +52,17 @@
   CHECK_FALSE(budget.Busy());
 }
 
-// Guards against help that is not needed: each start through another entry is a hop more.
-TEST_CASE_METHOD(owner_budget_fixture, "owner budget, the same load on a wide link, is not busy") {
+// Guards against needless forwarding, which costs each start an extra hop.
+TEST_CASE_METHOD(owner_budget_fixture, "owner budget, same load on a wide link, not busy") {
   owner_budget budget(kWideMbps, kFullProcessor);
   Send(budget, kNarrowMbps * kBytesInMegabit, seconds(3));
   CHECK_FALSE(budget.Busy());
 }
 
-// Guards against an owner that is out of processor time while other entries idle.
-TEST_CASE_METHOD(owner_budget_fixture,
-                 "owner budget, hundreds of instances and half a processor, is busy in time") {
+// Guards against an owner that runs out of processor time while other entries are idle.
+TEST_CASE_METHOD(
+    owner_budget_fixture,
+    "owner budget, hundreds of instances and half a processor, busy before overloaded") {
   owner_budget half_processor(kWideMbps, 0.5);
   Call(half_processor, 500, seconds(3));
   CHECK_FALSE(half_processor.Busy());
@@ -74,25 +75,26 @@
   CHECK_FALSE(half_processor.Busy());
 }
 
-// Guards against starts that wait in the link's queue, with the lease's renewal behind them.
+// Guards against starts that queue on the link and delay the renewal of the lease.
 TEST_CASE_METHOD(
     owner_budget_fixture,
-    "owner budget, whole floor to start, puts a tenth of a second on the link at most") {
+    "owner budget, starts for the full fleet, at most a tenth of a second of data on the link") {
   owner_budget narrow(kNarrowMbps, kFullProcessor);
   constexpr size_t kStartBytes = 1500;
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes);
   const auto most = static_cast<uint64_t>(kNarrowMbps * kBytesInMegabit / 10);
   CHECK(narrow.StartsInFlight(160) * kStartBytes <= most);
   CHECK(narrow.RecordBytesPerCommit() <= most);
-  // Smaller ones may be more at a time.
+  // More of the smaller ones fit.
   const uint32_t before = narrow.StartsInFlight(160);
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes / 5);
   CHECK(narrow.StartsInFlight(160) > 2 * before);
   CHECK(owner_budget(kWideMbps, kFullProcessor).StartsInFlight(160) == 160);
 }
 
-// Guards against a wide job that is given to one entry and fills its link in place of the owner's.
-TEST_CASE_METHOD(owner_budget_fixture, "owner budget, narrow links, wide jobs go in small groups") {
+// Guards against a wide job that is forwarded through one entry and saturates its link instead.
+TEST_CASE_METHOD(owner_budget_fixture,
+                 "owner budget, narrow links, wide jobs split into small groups") {
   constexpr size_t kStartBytes = 1500;
   CHECK(owner_budget(kNarrowMbps, kFullProcessor).StartsPerGroup(kStartBytes) <= 8);
   const uint32_t wide = owner_budget(kWideMbps, kFullProcessor).StartsPerGroup(kStartBytes);
@@ -101,10 +103,10 @@
   CHECK(wide <= 15);
 }
 
-// Guards against a registry that is read over and over on a link which it takes a second to cross,
-// and against instances that are drained and still get work because it is read too rarely.
+// Guards against reading the registry continuously over a link on which one read takes a second,
+// and against reading it so rarely that draining instances still get work.
 TEST_CASE_METHOD(owner_budget_fixture,
-                 "owner budget, long registry, is read less often but in time") {
+                 "owner budget, long registry, read less often but within the limit") {
   constexpr size_t kRegistry = 54'000;
   CHECK(owner_budget(kWideMbps, kFullProcessor).RegistryPause(milliseconds{700}, kRegistry) ==
         milliseconds{700});
--- a/test/owner_failure_detector_test.cc
+++ b/test/owner_failure_detector_test.cc
@@ -22,10 +22,10 @@
   monotonic_time now{std::chrono::seconds(100)};
 };
 
-// The owner's process is killed. Until another entry takes over, nothing starts, and every buyer at
-// the door waits.
+// Guards against late detection: after the owner's process is killed, nothing starts until another
+// entry takes over.
 TEST_CASE_METHOD(owner_failure_detector_fixture,
-                 "owner suspicion, process killed, is suspected at once") {
+                 "owner failure detector, process killed, suspected at once") {
   Answer(liveness::kAlive, milliseconds{200});
   Answer(liveness::kRefused, milliseconds{200});
   CHECK_FALSE(detector.Suspected(now));
@@ -34,16 +34,18 @@
   CHECK(detector.Suspected(now));
 }
 
-// A killed owner may be back before it was asked again, as a process that owns nothing.
+// Guards against missing a restart: a killed owner may answer again before the next check, as a
+// process that owns nothing.
 TEST_CASE_METHOD(owner_failure_detector_fixture,
-                 "owner suspicion, another process there, is suspected") {
+                 "owner failure detector, another process at the address, suspected") {
   Answer(liveness::kOtherProcess, milliseconds{200});
   CHECK(detector.Suspected(now));
 }
 
-// A busy owner answers late once. Taking the site from it would stop all starts for nothing.
+// Guards against a takeover for one late answer of a busy owner, which would stop all starts
+// needlessly.
 TEST_CASE_METHOD(owner_failure_detector_fixture,
-                 "owner suspicion, one late answer, is not suspected") {
+                 "owner failure detector, one late answer, not suspected") {
   Answer(liveness::kSilent, milliseconds{500});
   CHECK_FALSE(detector.Suspected(now));
   Answer(liveness::kAlive, milliseconds{200});
@@ -51,8 +53,10 @@
   CHECK_FALSE(detector.Suspected(now));
 }
 
-// The owner's machine loses power: nothing answers, and nothing refuses either.
-TEST_CASE_METHOD(owner_failure_detector_fixture, "owner suspicion, silent for long, is suspected") {
+// Guards against missing the loss of power at the owner's machine: calls time out and are not
+// rejected.
+TEST_CASE_METHOD(owner_failure_detector_fixture,
+                 "owner failure detector, silent for long, suspected") {
   Answer(liveness::kSilent, milliseconds{500});
   detector.OnCommit(77, now);
   Answer(liveness::kSilent, milliseconds{500});
@@ -63,9 +67,9 @@
   CHECK_FALSE(detector.Suspected(now));
 }
 
-// Guards against taking the site from an owner whose answers wait behind its own work.
+// Guards against a takeover from an owner whose answers wait behind its own work.
 TEST_CASE_METHOD(owner_failure_detector_fixture,
-                 "owner suspicion, silent while its changes arrive, is not suspected") {
+                 "owner failure detector, silent while its changes arrive, not suspected") {
   for (uint64_t change = 1; change <= 20; ++change) {
     Answer(liveness::kSilent, milliseconds{370});
     detector.OnCommit(change, now);
@@ -73,17 +77,18 @@
   }
 }
 
-// Guards against the same where the store cannot be asked: silence alone proves nothing.
+// Guards against the same while the store is unreachable: silence alone proves nothing.
 TEST_CASE_METHOD(owner_failure_detector_fixture,
-                 "owner suspicion, silent and its changes unknown, is not suspected") {
+                 "owner failure detector, silent and its changes unknown, not suspected") {
   Answer(liveness::kSilent, milliseconds{500});
   Answer(liveness::kSilent, milliseconds{500});
   CHECK_FALSE(detector.Suspected(now));
 }
 
-// Guards against the same for an owner that had said that its link is full.
-TEST_CASE_METHOD(owner_failure_detector_fixture,
-                 "owner suspicion, silent after it said that it is busy, is left to its lease") {
+// Guards against the same after the owner reported that its link is full.
+TEST_CASE_METHOD(
+    owner_failure_detector_fixture,
+    "owner failure detector, silent after reporting busy, keeps the site until its lease ends") {
   Answer(liveness::kBusy, milliseconds{200});
   Answer(liveness::kSilent, milliseconds{500});
   detector.OnCommit(0, now);
@@ -95,18 +100,18 @@
   CHECK(detector.Suspected(now));
 }
 
-// The asker is cut off, not the owner: whoever reaches the owner says so, and an asker that hears
-// nobody believes nobody.
-TEST_CASE("owner suspicion, others reach the owner, is not shared") {
+// Guards against a takeover by an entry that is itself cut off: any entry that reaches the owner
+// refutes the suspicion, and without answers it is not confirmed.
+TEST_CASE("owner failure detector, others reach the owner, suspicion not confirmed") {
   CHECK_FALSE(SuspicionConfirmed({}));
   CHECK_FALSE(SuspicionConfirmed({liveness::kRefused, liveness::kAlive}));
   CHECK_FALSE(SuspicionConfirmed({liveness::kSilent, liveness::kBusy}));
   CHECK(SuspicionConfirmed({liveness::kRefused, liveness::kSilent}));
 }
 
-// Watchers are the two that would claim first, so that a dead watcher leaves one, and a large site
-// does not ask its owner from everywhere.
-TEST_CASE("owner watchers, strong entries, are two of them and not the owner") {
+// Guards against a site without a live watcher, and against liveness checks from every entry of a
+// large one: the two entries that would claim first watch the owner.
+TEST_CASE("owner watchers, strong entries, two of them and not the owner") {
   site_view view;
   for (const char* name : {"a", "b", "c", "d"}) view.entries[name] = {name, "", "zone", 1, 1.0};
   view.owner = owner_word{view.entries["b"], 1};
--- a/test/owner_history_test.cc
+++ b/test/owner_history_test.cc
@@ -23,30 +23,30 @@
   owner_history history;
 };
 
-// The owner is cut off with its domain, its successor claims at once and is killed a quarter of a
-// second later. The first still extends the leases in its domain; a booking that runs there would
-// be started again elsewhere while it runs.
+// Guards against tasks that run twice: an owner is cut off with its domain, its successor claims at
+// once and is killed a quarter of a second later, and the next owner starts the first one's tasks
+// again while that one still extends their leases in its domain.
 TEST_CASE_METHOD(owner_history_fixture,
-                 "owner history, early owner followed at once, the one before may act") {
+                 "owner history, early owner superseded at once, the one before may act") {
   Seen(1, false, now);
   Seen(2, true, now + seconds(30));
   CHECK(history.EarlierOwnerMayAct(kLease, now + seconds(30) + milliseconds{250}));
 }
 
 TEST_CASE_METHOD(owner_history_fixture,
-                 "owner history, early owner followed after a lease, nobody else may act") {
+                 "owner history, early owner superseded after a lease, no other may act") {
   Seen(2, true, now);
-  Seen(2, true, now + seconds(1));  // seen again
+  Seen(2, true, now + seconds(1));  // no change
   CHECK_FALSE(history.EarlierOwnerMayAct(kLease, now + kLease));
 }
 
 TEST_CASE_METHOD(owner_history_fixture,
-                 "owner history, owner that waited for the lease, nobody else may act") {
+                 "owner history, owner that waited for the lease, no other may act") {
   Seen(2, false, now);
   CHECK_FALSE(history.EarlierOwnerMayAct(kLease, now + milliseconds{100}));
 }
 
-TEST_CASE_METHOD(owner_history_fixture, "owner word, stored and read, keeps how it was claimed") {
+TEST_CASE_METHOD(owner_history_fixture, "owner record, stored and read, keeps the early flag") {
   owner_word record;
   record.epoch = 7;
   record.early = true;
--- a/test/owner_killed_fleet_test.cc
+++ b/test/owner_killed_fleet_test.cc
@@ -49,7 +49,7 @@
     return {};
   }
 
-  // The identity of an accepted job of `tasks` that each take the whole endpoint.
+  // Submits a job of `tasks` that each use the whole endpoint; returns the id of the accepted job.
   std::string Submit(uint32_t tasks, const json& payload, milliseconds deadline) {
     json job = {{"kind", "batch"}, {"tasks", tasks}, {"cpu_milli", 16000}, {"memory_mb", 1024}};
     job["payload"] = payload.dump();
@@ -89,9 +89,10 @@
 
 }  // namespace
 
-// Two tasks of a job have failed, then the owner of its shard dies. The next owner must still know
-// which failed and what the first of them said: else the job is told as done, or without a reason.
-TEST_CASE_METHOD(owner_killed_fixture, "owner killed, tasks failed before, are told as failed",
+// Guards against a lost result: tasks of a job fail, then the owner of its shard dies. Unless the
+// next owner knows which tasks failed and the first one's message, it reports the job as done or
+// gives no reason.
+TEST_CASE_METHOD(owner_killed_fixture, "owner killed, tasks that failed before, reported as failed",
                  "[fleet]") {
   const json fails = {{"run_ms", 400}, {"result", "fail"}, {"echo", "disk full"}};
   const std::string id = Submit(6, fails, milliseconds{0});
@@ -108,9 +109,9 @@
   CHECK(status["outcome"].value("detail", "") == "disk full");
 }
 
-// A job waits behind a longer one and has a deadline; the owner of its shard dies meanwhile. The
-// next owner must not start it when its team has long given it up.
-TEST_CASE_METHOD(owner_killed_fixture, "owner killed, deadline of a waiting job, still passes",
+// Guards against a lost deadline: the owner of a shard dies while a job waits behind a longer one.
+// The next owner must not start it after its deadline.
+TEST_CASE_METHOD(owner_killed_fixture, "owner killed, deadline of a waiting job, still enforced",
                  "[fleet]") {
   const std::string long_job = Submit(1, {{"run_ms", 600000}}, milliseconds{0});
   REQUIRE(WaitFor([&] { return Count(Status(long_job), "running") == 1; }));
--- a/test/start_router_test.cc
+++ b/test/start_router_test.cc
@@ -26,16 +26,16 @@
   monotonic_time now{seconds(100)};
 };
 
-// Guards against a link that is filled by copies of one payload: jobs of many tasks, narrow link.
+// Guards against a narrow link that is saturated by copies of one payload in jobs of many tasks.
 TEST_CASE_METHOD(start_router_fixture,
-                 "start route, wide job and busy link, is sent where its payload is") {
+                 "start router, wide job and busy link, forwarded to the entry with its payload") {
   CHECK(Forwarder("c") == "c");
   CHECK_FALSE(Forwarder("c", false));
 }
 
-// Guards against starts that nobody sends because the entry that took their job is gone.
+// Guards against starts that are never sent because the entry that accepted their job is gone.
 TEST_CASE_METHOD(start_router_fixture,
-                 "start route, accepting entry gone, one other brings all tasks of the job") {
+                 "start router, accepting entry gone, one other forwards all tasks of the job") {
   const auto other = Forwarder("gone");
   REQUIRE(other);
   CHECK(Forwarder("gone") == other);
@@ -44,8 +44,9 @@
   CHECK_FALSE(Forwarder("gone"));
 }
 
-// Guards against a carrier whose own link is filled by a job of many tasks.
-TEST_CASE_METHOD(start_router_fixture, "start route, wide job, its groups go several ways") {
+// Guards against a job of many tasks that saturates the link of a single forwarder.
+TEST_CASE_METHOD(start_router_fixture,
+                 "start router, wide job, its groups use several forwarders") {
   std::set<std::string> forwarders;
   for (uint32_t group = 0; group < 20; ++group) {
     const auto forwarder = router.ForwarderFor("job", "c", group, true, now);
@@ -56,8 +57,8 @@
   CHECK(forwarders.size() == 3);
 }
 
-// Guards against starts that wait for an entry which is cut off, one timeout after the other.
-TEST_CASE_METHOD(start_router_fixture, "start route, carrier silent, is not used for a while") {
+// Guards against starts that wait for a forwarder which is cut off, one timeout after the other.
+TEST_CASE_METHOD(start_router_fixture, "start router, forwarder silent, avoided for a while") {
   const uint64_t call = router.Sent("c", now);
   now += milliseconds{100};
   CHECK(Forwarder("c") == "c");
@@ -72,8 +73,8 @@
   CHECK(Forwarder("c") != "c");
 }
 
-// Guards against a start that reaches another task, instance or life than the one decided on.
-TEST_CASE("given starts, written and read, are the same without their payload") {
+// Guards against a start that reaches another task, instance or incarnation than the one chosen.
+TEST_CASE("forwarded starts, written and read, same without their payload") {
   start_order command;
   command.to = {"i-1", "10.0.0.1:80", 1'700'000'000'000};
   command.key = {"0123456789abcdef", 2, 3, 41};
@@ -104,7 +105,7 @@
   }
 }
 
-TEST_CASE("start results, written and read, are the same") {
+TEST_CASE("start results, written and read, same") {
   const auto read = StartResultsFromText(
       StartResultsToText({{7, true, {order_result::kStale, 482'113}}, {8, false, {}}}));
   REQUIRE(read);
@@ -117,14 +118,14 @@
   CHECK_FALSE(read->at(1).answer.clock_ms);
   CHECK_FALSE(StartResultsFromText("{}"));
   CHECK_FALSE(StartResultsFromText("[[1]]"));
-  // What only a later program knows may have been done or not.
+  // A result code of a later version: the start may have been executed or not.
   const auto later = StartResultsFromText("[[1,true,99]]");
   REQUIRE(later);
   CHECK(later->at(0).answer.result == order_result::kUnknown);
 }
 
-// Guards against payloads of all jobs of a long day in memory.
-TEST_CASE("payload cache, full, forgets the oldest") {
+// Guards against unbounded memory use by the payloads of all jobs accepted so far.
+TEST_CASE("payload cache, full, evicts the oldest") {
   payload_cache cache(100);
   cache.Put("a", std::string(60, 'a'));
   cache.Put("b", std::string(30, 'b'));
--- a/test/takeover_backoff_test.cc
+++ b/test/takeover_backoff_test.cc
@@ -11,7 +11,7 @@
 
 class takeover_backoff_fixture {
  protected:
-  // Each owner is followed as soon as its silence suffices; how often that is.
+  // Counts takeovers when each owner is superseded as soon as its silence allows it.
   int TakeoversWithin(seconds time) {
     int count = 0;
     for (const monotonic_time end = now + time; now < end; now += milliseconds{50}) {
@@ -27,16 +27,16 @@
   monotonic_time now{seconds(100)};
 };
 
-// Guards against a site that is taken from each busy owner in turn, and never works.
+// Guards against a site that is taken from each busy owner in turn and makes no progress.
 TEST_CASE_METHOD(takeover_backoff_fixture,
-                 "takeover spacing, every owner silent, takeovers become rare") {
+                 "takeover backoff, every owner silent, takeovers become rare") {
   backoff.OnOwner(++epoch, now);
   CHECK(TakeoversWithin(seconds(90)) <= 8);
 }
 
-// Guards against waiting for a lease where an owner of long standing loses power.
+// Guards against waiting for the lease to end when a long-standing owner loses power.
 TEST_CASE_METHOD(takeover_backoff_fixture,
-                 "takeover spacing, owner of long standing, silence suffices") {
+                 "takeover backoff, long-standing owner, silence suffices") {
   backoff.OnOwner(++epoch, now);
   CHECK(backoff.MayTakeOverOnSilence(now));
   now += seconds(60);
@@ -45,8 +45,8 @@
   CHECK(backoff.MayTakeOverOnSilence(now + seconds(4)));
 }
 
-// Guards against a site that stays slow to follow its owner for good after one bad spell.
-TEST_CASE_METHOD(takeover_backoff_fixture, "takeover spacing, quiet again, forgets the bad spell") {
+// Guards against takeovers that stay slow after a single overload has passed.
+TEST_CASE_METHOD(takeover_backoff_fixture, "takeover backoff, quiet period, pause is reset") {
   backoff.OnOwner(++epoch, now);
   TakeoversWithin(seconds(60));
   now += seconds(30);
