--- a/src/main/catkinford-site.cc
+++ b/src/main/catkinford-site.cc
@@ -30,7 +30,7 @@
 // To an entry that forwards starts: a connection is busy for as long as the slowest instance takes.
 constexpr size_t kStartConnections = 8;
 
-const char* Explain(catkinford::site_start_fault fault) {
+const char* FaultMessage(catkinford::site_start_fault fault) {
   switch (fault) {
     case catkinford::site_start_fault::kCallerAddress:
       return "catkinford-site: cannot listen on listen.callers\n";
@@ -69,7 +69,7 @@
                                                             peer_http, start_http, traffic);
   const catkinford::site_start_fault fault = node.Start();
   if (fault != catkinford::site_start_fault::kNone) {
-    std::fputs(Explain(fault), stderr);
+    std::fputs(FaultMessage(fault), stderr);
     return kExitAddressUnavailable;
   }
   int signal = SIGHUP;
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -56,8 +56,8 @@
 };
 
 struct membership_hooks {
-  std::function<void()> won;
-  std::function<void(const std::string& why)> lost;
+  std::function<void()> ownership_won;
+  std::function<void(const std::string& why)> ownership_lost;
   std::function<void()> view_changed;
   std::function<void(std::function<void(outage_verdict)>)> poll_peers;
 };
@@ -360,7 +360,7 @@
                     log_.Write(site_event::kOwnershipWon, BootNow(),
                                absl::StrCat("epoch=", epoch_, " early=", early,
                                             " others_may_act=", earlier_owners_may_act_));
-                    hooks_.won();
+                    hooks_.ownership_won();
                   }));
   }
 
@@ -368,12 +368,12 @@
     owns_ = false;
     log_.Write(site_event::kOwnershipLost, BootNow(),
                absl::StrCat("epoch=", epoch_, " why=", LogField(why)));
-    hooks_.lost(why);
+    hooks_.ownership_lost(why);
   }
 
   // Hands the site to a much stronger entry: the lease ends and the owner key with it, and the
   // other entries claim before this one does.
-  void Yield() {
+  void YieldToStronger() {
     const monotonic_time now = BootNow();
     if (!MuchStrongerExists(view_, self_)) {
       stronger_since_ = monotonic_time::max();
@@ -395,10 +395,10 @@
     if (resigning_) return;
     loop_.After(kCheckInterval, [this] { CheckOwnership(); });
     if (!owns_) return ConsiderClaim();
-    Yield();
+    YieldToStronger();
     if (!owns_) return;
-    const bool silent = BootNow() - store_answered_ > kStoreSilenceLimit;
-    if ((LeaseValid(BootNow()) && !silent) || polling_peers_) return;
+    const bool no_answer = BootNow() - store_answered_ > kStoreSilenceLimit;
+    if ((LeaseValid(BootNow()) && !no_answer) || polling_peers_) return;
     polling_peers_ = true;
     hooks_.poll_peers([this, epoch = epoch_](outage_verdict verdict) {
       polling_peers_ = false;
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -249,8 +249,8 @@
 template <site_platform Platform>
 membership_hooks site_node<Platform>::MembershipHooks() {
   membership_hooks hooks;
-  hooks.won = [this] { OnOwnershipWon(); };
-  hooks.lost = [this](const std::string&) { OnOwnershipLost(); };
+  hooks.ownership_won = [this] { OnOwnershipWon(); };
+  hooks.ownership_lost = [this](const std::string&) { OnOwnershipLost(); };
   hooks.view_changed = [this] { OnViewChanged(); };
   hooks.poll_peers = [this](const std::function<void(outage_verdict)>& done) {
     PollPeersOnOutage(done);
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -78,7 +78,7 @@
     LoadInbox("");
   }
   // Ends the ownership: no more commands are sent, and pending answers are dropped.
-  void End() { ended_ = true; }
+  void End() { ownership_ended_ = true; }
 
   void SetVersion(std::shared_ptr<const site_version> version) {
     scheduler_.SetVersion(std::move(version));
@@ -123,7 +123,7 @@
         std::exchange(decide_time_, monotonic_time::duration{0}));
   }
   // True when no change is being stored.
-  bool Settled() const { return !committing_; }
+  bool Settled() const { return !commit_in_flight_; }
 
  private:
   using self_type = site_owner<Platform>;
@@ -179,7 +179,7 @@
     return [weak, &loop, done = std::move(done)](Args... args) {
       loop.Post([weak, done, ... held = std::move(args)]() mutable {
         const std::shared_ptr<self_type> self = weak.lock();
-        if (self != nullptr && !self->ended_) done(*self, std::move(held)...);
+        if (self != nullptr && !self->ownership_ended_) done(*self, std::move(held)...);
       });
     };
   }
@@ -193,7 +193,7 @@
     std::weak_ptr<self_type> weak = this->weak_from_this();
     loop_.After(delay, [weak, task = std::move(task)] {
       const std::shared_ptr<self_type> self = weak.lock();
-      if (self != nullptr && !self->ended_) task(*self);
+      if (self != nullptr && !self->ownership_ended_) task(*self);
     });
   }
 
@@ -299,7 +299,7 @@
     loaded_fleet_.clear();
     WatchInbox(inbox_revision_);
     RunAfter(settings_.timing.registry_poll, [](self_type& self) { self.PollRegistry(); });
-    RunAfter(kExpiryInterval, [](self_type& self) { self.Expire(); });
+    RunAfter(kExpiryInterval, [](self_type& self) { self.CollectExpired(); });
     Tick();
   }
 
@@ -427,7 +427,8 @@
   void ScheduleDecision() {
     if (decision_scheduled_ || !loaded_) return;
     decision_scheduled_ = true;
-    const auto min_wait = std::chrono::ceil<std::chrono::milliseconds>(next_decision_ - BootNow());
+    const auto min_wait =
+        std::chrono::ceil<std::chrono::milliseconds>(next_decision_at_ - BootNow());
     RunAfter(std::max(hooks_.budget(BootNow()).RoundPause(kDecisionDelay), min_wait),
              [](self_type& self) {
                self.decision_scheduled_ = false;
@@ -437,8 +438,8 @@
 
   void Decide() {
     const monotonic_time now = BootNow();
-    if (now < next_decision_ || !hooks_.may_act(now)) return;
-    if (committing_) record_mode_.OnWaiting(MillisSince(last_commit_, now));
+    if (now < next_decision_at_ || !hooks_.may_act(now)) return;
+    if (commit_in_flight_) record_mode_.OnWaiting(MillisSince(last_commit_sent_, now));
     ApplyRecordMode(now);
     const owner_budget& budget = hooks_.budget(now);
     scheduler_.SetStartsInFlight(budget.StartsInFlight(max_starts_in_flight_));
@@ -457,7 +458,7 @@
     const auto spent = BootNow() - now;
     // A round takes longer the more jobs wait. Without a pause after it a backlog would take the
     // whole processor, answers would be read too late, and the calls they belong to would time out.
-    next_decision_ = BootNow() + kIdlePerDecisionTime * spent;
+    next_decision_at_ = BootNow() + kIdlePerDecisionTime * spent;
     decide_time_ += spent;
     metrics_.decide_seconds.Observe(std::chrono::duration<double>(spent).count());
     metrics_.jobs.Set(static_cast<double>(scheduler_.JobCount()));
@@ -547,7 +548,7 @@
     const owner_budget& budget = hooks_.budget(now);
     const auto pause =
         scheduler_.StartsPlanned() ? budget.RoundPause(kStartCommitInterval) : kCommitInterval;
-    if (committing_ || now < next_commit_ || now < last_commit_ + pause) return;
+    if (commit_in_flight_ || now < next_commit_at_ || now < last_commit_sent_ + pause) return;
     UpdateFleetRecord(now);
     const size_t most = Platform::kMostInOneChange - kReservedEntries;
     std::vector<job_progress_write> writes =
@@ -583,11 +584,11 @@
         change.deletes.push_back(kProgressPrefix + id);
       }
     }
-    committing_ = true;
-    last_commit_ = now;
-    committed_writes_ = std::move(writes);
-    committed_expired_ = std::move(expired);
-    committed_fleet_ = std::move(fleet);
+    commit_in_flight_ = true;
+    last_commit_sent_ = now;
+    in_flight_writes_ = std::move(writes);
+    in_flight_expired_ = std::move(expired);
+    in_flight_fleet_ = std::move(fleet);
     platform_.Store().Commit(
         change, OnReply([number = commit_number_](self_type& self, const store_reply& reply) {
           self.OnCommitted(number, reply);
@@ -596,10 +597,10 @@
   }
 
   void ProbeCommit(uint64_t number) {
-    if (!committing_ || number != commit_number_) return;
+    if (!commit_in_flight_ || number != commit_number_) return;
     platform_.Store().Get(
         kCommitKey, OnReply([number](self_type& self, const store_reply& reply) {
-          if (!self.committing_ || number != self.commit_number_) return;
+          if (!self.commit_in_flight_ || number != self.commit_number_) return;
           const bool done = reply.status == store_status::kDone && !reply.items.empty() &&
                             reply.items.front().value == self.CommitName();
           if (!done) {
@@ -615,13 +616,13 @@
 
   void OnCommitted(uint64_t number, const store_reply& reply) {
     // The probe may have found the change before its answer arrived.
-    if (!committing_ || number != commit_number_) return;
-    committing_ = false;
+    if (!commit_in_flight_ || number != commit_number_) return;
+    commit_in_flight_ = false;
     ++commit_number_;
-    const std::vector<job_progress_write> writes = std::move(committed_writes_);
-    const std::vector<std::string> expired = std::move(committed_expired_);
-    const std::optional<std::vector<instance_report>> fleet = std::move(committed_fleet_);
-    const monotonic_time sent = last_commit_;
+    const std::vector<job_progress_write> writes = std::move(in_flight_writes_);
+    const std::vector<std::string> expired = std::move(in_flight_expired_);
+    const std::optional<std::vector<instance_report>> fleet = std::move(in_flight_fleet_);
+    const monotonic_time sent = last_commit_sent_;
     const monotonic_time now = BootNow();
     metrics_.CountStoreCall("commit", reply.status == store_status::kDone ? "done" : "not_done");
     if (reply.status == store_status::kDone) {
@@ -640,7 +641,7 @@
     scheduler_.OnNotStored(writes);
     expired_.insert(expired_.end(), expired.begin(), expired.end());
     fleet_unstored_ = fleet_unstored_ || fleet.has_value();
-    next_commit_ = now + kCommitRetry;
+    next_commit_at_ = now + kCommitRetry;
     if (reply.status != store_status::kConflict) return;
     for (const store_item& item : reply.items) {
       // The previous change was executed although its answer was lost.
@@ -677,12 +678,12 @@
     for (const start_order& request : scheduler_.TakeStarts(now)) SendStart(request);
   }
 
-  void Expire() {
+  void CollectExpired() {
     for (std::string& id : scheduler_.TakeExpired(BootNow(), kMaxExpiredPerCommit)) {
       cancelled_.erase(id);
       expired_.push_back(std::move(id));
     }
-    RunAfter(kExpiryInterval, [](self_type& self) { self.Expire(); });
+    RunAfter(kExpiryInterval, [](self_type& self) { self.CollectExpired(); });
   }
 
   Platform& platform_;
@@ -695,11 +696,11 @@
   owner_hooks hooks_;
   const uint32_t max_starts_in_flight_;
   job_scheduler scheduler_;
-  bool ended_ = false;
+  bool ownership_ended_ = false;
   bool loaded_ = false;
   bool decision_scheduled_ = false;
   monotonic_time load_started_{};
-  monotonic_time next_decision_{};
+  monotonic_time next_decision_at_{};
   monotonic_time::duration decide_time_{0};
   // Used while the records are read:
   std::vector<store_item> loaded_inbox_;
@@ -717,14 +718,14 @@
   bool records_confirmed_ = false;   // no owner continued while the store was down
   bool declares_async_ = false;      // the change in flight declares asynchronous records
   bool withdraws_async_ = false;
-  bool committing_ = false;
+  bool commit_in_flight_ = false;
   uint64_t commit_number_ = 1;  // of the change in flight, or of the next one
-  monotonic_time last_commit_{};
-  monotonic_time next_commit_{};  // earliest retry after a failed change
+  monotonic_time last_commit_sent_{};
+  monotonic_time next_commit_at_{};  // earliest retry after a failed change
   // Content of the change in flight:
-  std::vector<job_progress_write> committed_writes_;
-  std::vector<std::string> committed_expired_;
-  std::optional<std::vector<instance_report>> committed_fleet_;
+  std::vector<job_progress_write> in_flight_writes_;
+  std::vector<std::string> in_flight_expired_;
+  std::optional<std::vector<instance_report>> in_flight_fleet_;
   fleet_record fleet_record_;
   monotonic_time next_fleet_check_{};
   std::string fleet_text_;
--- a/src/process/site/start_dispatcher.h
+++ b/src/process/site/start_dispatcher.h
@@ -70,8 +70,8 @@
     pending_.emplace_hint(pending_.end(), number,
                           pending_start{*forwarder, std::move(command), epoch, now,
                                         now + kResultTimeout, std::move(done)});
-    if (!std::exchange(flush_planned_, true)) loop_.After(kBatchDelay, [this] { Flush(); });
-    if (!std::exchange(sweep_planned_, true))
+    if (!std::exchange(flush_scheduled_, true)) loop_.After(kBatchDelay, [this] { Flush(); });
+    if (!std::exchange(sweep_scheduled_, true))
       loop_.After(kSweepInterval, [this] { SweepOverdue(); });
   }
 
@@ -112,7 +112,7 @@
   }
 
   void Flush() {
-    flush_planned_ = false;
+    flush_scheduled_ = false;
     for (const auto& [forwarder, numbers] : std::exchange(batches_, {}))
       Forward(forwarder, numbers);
   }
@@ -187,7 +187,7 @@
   }
 
   void SweepOverdue() {
-    sweep_planned_ = false;
+    sweep_scheduled_ = false;
     const monotonic_time now = BootNow();
     // All have the same timeout, so the oldest are due first.
     while (!pending_.empty() && pending_.begin()->second.due <= now) {
@@ -195,7 +195,7 @@
       router_.OnResultMissing(item.forwarder, now);
       item.done({order_result::kUnknown, std::nullopt});
     }
-    if (pending_.empty() || std::exchange(sweep_planned_, true)) return;
+    if (pending_.empty() || std::exchange(sweep_scheduled_, true)) return;
     loop_.After(kSweepInterval, [this] { SweepOverdue(); });
   }
 
@@ -210,8 +210,8 @@
   std::map<uint64_t, pending_start> pending_;             // by number
   std::map<std::string, std::vector<uint64_t>> batches_;  // numbers to forward, by forwarder
   uint64_t last_number_ = 0;
-  bool flush_planned_ = false;
-  bool sweep_planned_ = false;
+  bool flush_scheduled_ = false;
+  bool sweep_scheduled_ = false;
 };
 
 }  // namespace catkinford
--- a/src/process/site/start_router.cc
+++ b/src/process/site/start_router.cc
@@ -29,8 +29,9 @@
                                                       uint32_t group, bool busy,
                                                       monotonic_time now) const {
   if (!busy || entries_.empty()) return std::nullopt;
-  const bool lives = std::find(entries_.begin(), entries_.end(), accepted_by) != entries_.end();
-  if (group == 0 && lives && Usable(accepted_by, now)) return accepted_by;
+  const bool registered =
+      std::find(entries_.begin(), entries_.end(), accepted_by) != entries_.end();
+  if (group == 0 && registered && Usable(accepted_by, now)) return accepted_by;
   // The same entry for all tasks of the group, so that it reads the payload once.
   const std::string& other = entries_[absl::HashOf(job, group) % entries_.size()];
   if (!Usable(other, now)) return std::nullopt;
--- a/test/owner_history_test.cc
+++ b/test/owner_history_test.cc
@@ -13,7 +13,7 @@
 
 class owner_history_fixture {
  protected:
-  void Seen(uint64_t epoch, bool early, monotonic_time when) {
+  void ObserveOwner(uint64_t epoch, bool early, monotonic_time when) {
     owner_word record;
     record.epoch = epoch;
     record.early = early;
@@ -28,21 +28,21 @@
 // again while that one still extends their leases in its domain.
 TEST_CASE_METHOD(owner_history_fixture,
                  "owner history, early owner superseded at once, the one before may act") {
-  Seen(1, false, now);
-  Seen(2, true, now + seconds(30));
+  ObserveOwner(1, false, now);
+  ObserveOwner(2, true, now + seconds(30));
   CHECK(history.EarlierOwnerMayAct(kLease, now + seconds(30) + milliseconds{250}));
 }
 
 TEST_CASE_METHOD(owner_history_fixture,
                  "owner history, early owner superseded after a lease, no other may act") {
-  Seen(2, true, now);
-  Seen(2, true, now + seconds(1));  // no change
+  ObserveOwner(2, true, now);
+  ObserveOwner(2, true, now + seconds(1));  // no change
   CHECK_FALSE(history.EarlierOwnerMayAct(kLease, now + kLease));
 }
 
 TEST_CASE_METHOD(owner_history_fixture,
                  "owner history, owner that waited for the lease, no other may act") {
-  Seen(2, false, now);
+  ObserveOwner(2, false, now);
   CHECK_FALSE(history.EarlierOwnerMayAct(kLease, now + milliseconds{100}));
 }
 
