--- a/src/process/site/caller_frontend.h
+++ b/src/process/site/caller_frontend.h
@@ -203,7 +203,7 @@
   }
 
   // A job that was never sent to the store certainly never runs. Sent to a store that does not
-  // answer, it may be stored or not, and its caller could be told neither.
+  // answer, it may be stored or not, and neither answer to its caller would be safe.
   void StoreWhenUp(const shared_call& current, const std::shared_ptr<const std::string>& text) {
     switch (health_.State(BootNow())) {
       case store_state::kUp:
--- a/src/process/site/site_platform.h
+++ b/src/process/site/site_platform.h
@@ -61,7 +61,7 @@
     requires(Advisor advisor, advice_order order, std::chrono::milliseconds timeout,
              advice_callback done) { advisor.Ask(order, timeout, done); };
 
-// The whole platform: its calls, the keys that its operator and its instances write, and the codecs
+// The full platform: its calls, the keys that its operator and its instances write, and the codecs
 // for their values and for callers' messages.
 template <typename Platform>
 concept site_platform = requires(Platform platform, std::string text, std::string_view view,
--- a/src/process/site/start_router.h
+++ b/src/process/site/start_router.h
@@ -4,8 +4,8 @@
 // It serves jobs of many tasks. A call costs the owner more processor time than the decision behind
 // it, and each start carries its job's payload over the owner's link: on a narrow link these copies
 // fill it first, and listings, records and liveness checks wait behind them. The entry that
-// accepted the job has the payload, a processor and a link of its own; the owner tells it, for all
-// tasks that start together, where each one starts.
+// accepted the job has the payload, a processor and a link of its own; the owner sends it, for all
+// tasks that start together, which one starts where.
 #ifndef CATKINFORD_PROCESS_SITE_START_ROUTER_H_
 #define CATKINFORD_PROCESS_SITE_START_ROUTER_H_
 
