--- a/src/main/catkinford-site.cc
+++ b/src/main/catkinford-site.cc
@@ -1,5 +1,5 @@
-// The entry daemon of a site on the users' platform: reads its settings, runs one node until it is
-// told to stop.
+// The entry daemon of a site on the users' platform: reads its settings and runs one node until it
+// is stopped by a signal.
 #include <curl/curl.h>
 
 #include <csignal>
@@ -15,29 +15,29 @@
 #include "process/site/site_settings.h"
 
 ABSL_FLAG(std::string, settings, "", "settings file, JSON with comments");
-ABSL_FLAG(bool, check, false, "only check the settings: 0 when they are good");
+ABSL_FLAG(bool, check, false, "only check the settings; exits with 0 if they are valid");
 
 namespace {
 
-constexpr int kNoSettings = 2;
-constexpr int kPortTaken = 3;
+constexpr int kExitBadSettings = 2;
+constexpr int kExitAddressUnavailable = 3;
 
 // Connections to one address: the store has three watches open besides its other calls; an instance
-// has a listing that waits and orders.
+// has a waiting listing and commands.
 constexpr size_t kStoreConnections = 16;
 constexpr size_t kInstanceConnections = 3;
 constexpr size_t kPeerConnections = 8;
-// To an entry that brings starts: one is busy for as long as the slowest instance takes.
+// To an entry that forwards starts: a connection is busy for as long as the slowest instance takes.
 constexpr size_t kStartConnections = 8;
 
-const char* Explain(catkinford::site_start_fault fault) {
+const char* FaultMessage(catkinford::site_start_fault fault) {
   switch (fault) {
     case catkinford::site_start_fault::kCallerAddress:
-      return "catkinford-site: listen.callers cannot be had\n";
+      return "catkinford-site: cannot listen on listen.callers\n";
     case catkinford::site_start_fault::kReadyAddress:
-      return "catkinford-site: listen.ready cannot be had\n";
+      return "catkinford-site: cannot listen on listen.ready\n";
     case catkinford::site_start_fault::kPeerAddress:
-      return "catkinford-site: the address for other entries cannot be had\n";
+      return "catkinford-site: cannot listen on the address for other entries\n";
     case catkinford::site_start_fault::kNone:
       break;
   }
@@ -45,7 +45,7 @@
 }
 
 int Run(catkinford::site_settings settings) {
-  // Blocked before any thread starts, so that only the wait below gets them.
+  // Blocked before any thread starts, so that only sigwait() below receives them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -57,20 +57,20 @@
 
   catkinford::traffic_meter traffic;
   catkinford::http_client store_http(kStoreConnections, {}, &traffic);
-  catkinford::http_client order_http(kInstanceConnections, {}, &traffic);
+  catkinford::http_client command_http(kInstanceConnections, {}, &traffic);
   catkinford::http_client peer_http(kPeerConnections, {}, &traffic);
   catkinford::http_client start_http(kStartConnections, {}, &traffic);
   store_http.Start();
-  order_http.Start();
+  command_http.Start();
   peer_http.Start();
   start_http.Start();
-  catkinford::platform::adapter platform(store_http, order_http, settings);
+  catkinford::platform::adapter platform(store_http, command_http, settings);
   catkinford::site_node<catkinford::platform::adapter> node(std::move(settings), platform,
                                                             peer_http, start_http, traffic);
   const catkinford::site_start_fault fault = node.Start();
   if (fault != catkinford::site_start_fault::kNone) {
-    std::fputs(Explain(fault), stderr);
-    return kPortTaken;
+    std::fputs(FaultMessage(fault), stderr);
+    return kExitAddressUnavailable;
   }
   int signal = SIGHUP;
   while (signal == SIGHUP) {
@@ -78,10 +78,10 @@
     if (signal == SIGHUP) node.Reload();
   }
   node.Shutdown();
-  // Calls under way end with the process: their answers would find a node that is gone.
+  // Stops the clients before the node is destroyed: answers to calls in flight would use it.
   start_http.Stop();
   peer_http.Stop();
-  order_http.Stop();
+  command_http.Stop();
   store_http.Stop();
   return 0;
 }
@@ -92,8 +92,8 @@
   absl::SetProgramUsageMessage("catkinford-site --settings FILE [--check]");
   absl::ParseCommandLine(argc, argv);
   if (absl::GetFlag(FLAGS_settings).empty()) {
-    std::fputs("catkinford-site: --settings FILE is needed\n", stderr);
-    return kNoSettings;
+    std::fputs("catkinford-site: --settings FILE is required\n", stderr);
+    return kExitBadSettings;
   }
   return catkinford::leaf::try_handle_all(
       []() -> catkinford::leaf::result<int> {
@@ -104,5 +104,5 @@
         std::fprintf(stderr, "catkinford-site: %s\n", catkinford::ToText(error).c_str());
         return catkinford::ExitCode(error.fault);
       },
-      [] { return kNoSettings; });
+      [] { return kExitBadSettings; });
 }
--- a/src/process/site/site_ports.h
+++ b/src/process/site/site_platform.h
@@ -1,7 +1,7 @@
-// What a site needs from its platform, as concepts: an adapter for the users' platform and the
-// fakes of the tests both satisfy them.
-#ifndef CATKINFORD_PROCESS_SITE_SITE_PORTS_H_
-#define CATKINFORD_PROCESS_SITE_SITE_PORTS_H_
+// What a site needs from its platform, as concepts. The adapter for the users' platform and the
+// tests' fakes satisfy them.
+#ifndef CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
+#define CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
 
 #include <chrono>
 #include <concepts>
@@ -21,17 +21,17 @@
 
 namespace catkinford {
 
-// The store did what it was asked, or said why not.
+// True when the outcome is known: the store did what was requested or gave a reason why not.
 inline bool IsAnswer(const store_reply& reply) {
   return reply.status != store_status::kUnavailable && reply.status != store_status::kUnknown;
 }
 
 using store_callback = std::function<void(store_reply)>;
-using order_callback = std::function<void(command_answer)>;
+using command_callback = std::function<void(command_answer)>;
 using listing_callback = std::function<void(std::optional<instance_listing>, command_result)>;
 using advice_callback = std::function<void(advice_answer)>;
 
-// Callbacks may come on any thread, each exactly once.
+// Callbacks may run on any thread; each is called exactly once.
 template <typename Store>
 concept key_value_store =
     requires(Store store, std::string text, uint64_t revision, std::chrono::milliseconds time,
@@ -48,7 +48,7 @@
 template <typename Endpoints>
 concept instance_endpoints =
     requires(Endpoints to, start_command start, stop_command stop, speed_command pace,
-             list_command list, uint64_t epoch, order_callback done, listing_callback listed) {
+             list_command list, uint64_t epoch, command_callback done, listing_callback listed) {
       to.Start(start, epoch, done);
       to.Stop(stop, epoch, done);
       to.SetSpeed(pace, epoch, done);
@@ -61,8 +61,8 @@
     requires(Advisor advisor, advice_query order, std::chrono::milliseconds timeout,
              advice_callback done) { advisor.QueryAdvice(order, timeout, done); };
 
-// The whole platform: its calls, the keys that its operator and its instances write, and the
-// decoding of what they and the callers say.
+// The full platform: its calls, the keys that its operator and its instances write, and the codecs
+// for their values and for callers' messages.
 template <typename Platform>
 concept site_platform = requires(Platform platform, std::string text, std::string_view view,
                                  graph_phase phase, size_t count) {
@@ -85,4 +85,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_SITE_PORTS_H_
+#endif  // CATKINFORD_PROCESS_SITE_SITE_PLATFORM_H_
--- a/src/process/site/start_words.cc
+++ b/src/process/site/start_messages.cc
@@ -1,4 +1,4 @@
-#include "process/site/start_words.h"
+#include "process/site/start_messages.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-// Takes the fields of a row one after the other.
+// Reads the fields of a row in sequence.
 class row_reader {
  public:
   explicit row_reader(const json& row) : row_(row) {}
@@ -23,23 +23,24 @@
   size_t at_ = 0;
 };
 
-json RowOf(const given_start& start) {
-  const start_command& order = start.order;
-  return {start.number,  order.to.instance,    order.to.address, order.to.incarnation,
-          order.key.job, order.key.occurrence, order.key.step,   order.key.index,
-          order.run,     order.lease_until_ms, order.checkpoint, order.ticket};
+json RowOf(const forwarded_start& start) {
+  const start_command& command = start.command;
+  return {start.number,    command.to.instance,    command.to.address, command.to.incarnation,
+          command.key.job, command.key.occurrence, command.key.step,   command.key.index,
+          command.run,     command.lease_until_ms, command.checkpoint, command.ticket};
 }
 
-given_start StartFrom(const json& row) {
-  given_start out;
-  start_command& order = out.order;
-  row_reader(row) >> out.number >> order.to.instance >> order.to.address >> order.to.incarnation >>
-      order.key.job >> order.key.occurrence >> order.key.step >> order.key.index >> order.run >>
-      order.lease_until_ms >> order.checkpoint >> order.ticket;
+forwarded_start StartFrom(const json& row) {
+  forwarded_start out;
+  start_command& command = out.command;
+  row_reader(row) >> out.number >> command.to.instance >> command.to.address >>
+      command.to.incarnation >> command.key.job >> command.key.occurrence >> command.key.step >>
+      command.key.index >> command.run >> command.lease_until_ms >> command.checkpoint >>
+      command.ticket;
   return out;
 }
 
-// What a result means that only a later program knows is not known here.
+// A result code added by a later version counts as unknown.
 command_result ResultFrom(int number) {
   const bool known = number >= 0 && number <= static_cast<int>(command_result::kUnknown);
   return known ? static_cast<command_result>(number) : command_result::kUnknown;
@@ -47,17 +48,17 @@
 
 }  // namespace
 
-std::string GivenStartsToText(const given_starts& starts) {
+std::string ForwardedStartsToText(const forwarded_starts& starts) {
   json rows = json::array();
-  for (const given_start& start : starts.starts) rows.push_back(RowOf(start));
+  for (const forwarded_start& start : starts.starts) rows.push_back(RowOf(start));
   const json out{{"epoch", starts.epoch}, {"owner", starts.owner}, {"starts", std::move(rows)}};
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<given_starts> GivenStartsFromText(std::string_view text) {
+std::optional<forwarded_starts> ForwardedStartsFromText(std::string_view text) {
   const json in = json::parse(text, nullptr, false);
   if (!in.is_object()) return std::nullopt;
-  given_starts out;
+  forwarded_starts out;
   try {
     in.at("epoch").get_to(out.epoch);
     in.at("owner").get_to(out.owner);
--- a/test/carried_starts_fleet_test.cc
+++ b/test/forwarded_starts_fleet_test.cc
@@ -1,4 +1,4 @@
-// Sites of real processes whose owner takes its link for so narrow that others bring its starts.
+// Sites of real processes with a link so narrow that the owner forwards its starts through others.
 #include <catch2/catch.hpp>
 #include <csignal>
 #include <nlohmann/json.hpp>
@@ -32,19 +32,19 @@
   }
   static std::string Path(uint32_t job) { return "/open/" + JobId(job); }
 
-  void SubmitAll(size_t taker) {
+  void SubmitAll(size_t accepting_entry) {
     for (uint32_t job = 0; job < kJobs; ++job) {
-      REQUIRE(Call(taker, "POST", Path(job), WideJob()).code == 200);
+      REQUIRE(Call(accepting_entry, "POST", Path(job), WideJob()).code == 200);
     }
   }
 
-  bool AllCompleted(size_t told_by, uint32_t first, uint32_t last) {
+  bool AllCompleted(size_t queried_entry, uint32_t first, uint32_t last) {
     for (uint32_t job = first; job < last; ++job) {
-      if (StateOf(told_by, Path(job)) != "completed") return false;
+      if (StateOf(queried_entry, Path(job)) != "completed") return false;
     }
     return true;
   }
-  double StartsGiven(size_t at) {
+  double StartsForwarded(size_t at) {
     http_call call;
     call.url = absl::StrCat("http://127.0.0.1:", entries_[at]->metrics, "/metrics");
     const std::string text = http_.SendAndWait(call).body;
@@ -55,8 +55,8 @@
   }
 };
 
-// Guards against starts that get lost, or reach their instance twice, on their way through others.
-TEST_CASE_METHOD(narrow_site_fixture, "site, owner busy, other entries bring its starts once") {
+// Guards against forwarded starts that are lost or reach their instance twice.
+TEST_CASE_METHOD(narrow_site_fixture, "site, owner busy, other entries forward its starts once") {
   for (uint32_t job = 0; job < kJobs; ++job) {
     REQUIRE(Call(job % 3, "POST", Path(job), WideJob()).code == 200);
   }
@@ -64,29 +64,28 @@
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
   CHECK(instances_.Starts().size() == kJobs * kTasks);
   CHECK(instances_.Doubles().empty());
-  CHECK(Eventually([&] { return StartsGiven(owner) > 0; }));
+  CHECK(Eventually([&] { return StartsForwarded(owner) > 0; }));
 }
 
-// Guards against jobs that wait for ever because the entry that holds their payload is gone.
-TEST_CASE_METHOD(narrow_site_fixture,
-                 "site, entry that brings starts is killed, its jobs complete all the same") {
+// Guards against jobs that wait forever because the entry that holds their payload died.
+TEST_CASE_METHOD(narrow_site_fixture, "site, forwarding entry killed, its jobs still complete") {
   const auto owner = static_cast<size_t>(Owner());
-  const size_t taker = (owner + 1) % 3;
-  SubmitAll(taker);
-  entries_[taker]->process.Kill();
+  const size_t accepting_entry = (owner + 1) % 3;
+  SubmitAll(accepting_entry);
+  entries_[accepting_entry]->process.Kill();
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
   CHECK(instances_.Doubles().empty());
 }
 
-// Guards against a start that a paused entry still holds, and sends when its task runs elsewhere.
+// Guards against a paused entry that sends the starts it holds after their tasks run elsewhere.
 TEST_CASE_METHOD(narrow_site_fixture,
-                 "site, entry that brings starts is paused, no task runs twice at a time") {
+                 "site, forwarding entry paused, no task runs twice at a time") {
   const auto owner = static_cast<size_t>(Owner());
-  const size_t taker = (owner + 1) % 3;
-  SubmitAll(taker);
-  entries_[taker]->process.Signal(SIGSTOP);
+  const size_t accepting_entry = (owner + 1) % 3;
+  SubmitAll(accepting_entry);
+  entries_[accepting_entry]->process.Signal(SIGSTOP);
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
-  entries_[taker]->process.Signal(SIGCONT);
+  entries_[accepting_entry]->process.Signal(SIGCONT);
   REQUIRE(Call(owner, "POST", Path(kJobs), WideJob()).code == 200);
   CHECK(Eventually([&] { return AllCompleted(owner, kJobs, kJobs + 1); }));
   CHECK(instances_.Doubles().empty());
