--- a/bench/site_load.h
+++ b/bench/site_load.h
@@ -14,7 +14,7 @@
 
 #include "bench/random_source.h"
 #include "process/scheduling/job_scheduler.h"
-#include "process/site/advice_spread.h"
+#include "process/site/advice_dispatcher.h"
 
 namespace catkinford {
 
@@ -132,7 +132,7 @@
   std::map<std::string, live_instance> instances_;
   std::map<std::string, live_job> jobs_;
   std::unique_ptr<job_scheduler> scheduler_;
-  advice_spread spread_;
+  advice_dispatcher spread_;
   bool committing_ = false;
   bool soon_ = false;
   std::map<std::string, site_part_cost> costs_;
--- /dev/null
+++ b/src/process/site/advice_dispatcher.cc
@@ -0,0 +1,59 @@
+#include "process/site/advice_dispatcher.h"
+
+#include <algorithm>
+
+namespace catkinford {
+namespace {
+
+// One entry in so many is kept for quick questions: slow ones take half a second each, and a
+// burst of them would hold up work that is late after a quarter of that.
+constexpr size_t kEntriesPerReserved = 3;
+
+}  // namespace
+
+void advice_dispatcher::SetEntries(const std::vector<std::string>& names) {
+  entries_.clear();
+  for (const std::string& name : names) {
+    entries_[name] = true;
+    busy_.try_emplace(name, false);
+  }
+}
+
+void advice_dispatcher::Add(advice_order order) {
+  (order.urgent ? urgent_ : slow_).push_back(std::move(order));
+}
+
+size_t advice_dispatcher::FreeEntries() const {
+  return static_cast<size_t>(std::count_if(entries_.begin(), entries_.end(), [&](const auto& item) {
+    const auto busy = busy_.find(item.first);
+    return busy != busy_.end() && !busy->second;
+  }));
+}
+
+std::optional<std::pair<advice_order, std::string>> advice_dispatcher::Next() {
+  const size_t free_entries = FreeEntries();
+  if (free_entries == 0) return std::nullopt;
+  std::deque<advice_order>* queue = nullptr;
+  if (!urgent_.empty()) {
+    queue = &urgent_;
+  } else if (!slow_.empty() && free_entries > entries_.size() / kEntriesPerReserved) {
+    queue = &slow_;
+  }
+  if (queue == nullptr) return std::nullopt;
+  for (const auto& [name, listed] : entries_) {
+    bool& busy = busy_[name];
+    if (busy) continue;
+    busy = true;
+    std::pair<advice_order, std::string> out(std::move(queue->front()), name);
+    queue->pop_front();
+    return out;
+  }
+  return std::nullopt;
+}
+
+void advice_dispatcher::OnAnswered(const std::string& entry) {
+  const auto found = busy_.find(entry);
+  if (found != busy_.end()) found->second = false;
+}
+
+}  // namespace catkinford
--- a/src/process/site/advice_spread.h
+++ b/src/process/site/advice_dispatcher.h
@@ -1,7 +1,7 @@
 // Spreads questions to the queues' policies over the entries: the service behind them takes one
 // question at a time from each machine, and most of the wait is its own.
-#ifndef CATKINFORD_PROCESS_SITE_ADVICE_SPREAD_H_
-#define CATKINFORD_PROCESS_SITE_ADVICE_SPREAD_H_
+#ifndef CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
+#define CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
 
 #include <cstddef>
 #include <deque>
@@ -15,7 +15,7 @@
 
 namespace catkinford {
 
-class advice_spread {
+class advice_dispatcher {
  public:
   // The entries that may ask; one that is gone gets nothing new.
   void SetEntries(const std::vector<std::string>& names);
@@ -26,14 +26,14 @@
   size_t Waiting() const { return urgent_.size() + slow_.size(); }
 
  private:
-  size_t Free() const;
+  size_t FreeEntries() const;
 
   std::map<std::string, bool> busy_;  // by entry
-  std::map<std::string, bool> listed_;
+  std::map<std::string, bool> entries_;
   std::deque<advice_order> urgent_;
   std::deque<advice_order> slow_;
 };
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_ADVICE_SPREAD_H_
+#endif  // CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
--- a/src/process/site/caller_front.h
+++ b/src/process/site/caller_front.h
@@ -15,13 +15,13 @@
 #include "connection/http_server.h"
 #include "process/site/event_loop.h"
 #include "process/site/front_status.h"
-#include "process/site/peer_words.h"
+#include "process/site/peer_messages.h"
 #include "process/site/site_log.h"
 #include "process/site/site_metrics.h"
 #include "process/site/site_ports.h"
 #include "process/site/site_records.h"
 #include "process/site/store_health.h"
-#include "process/site/version_plan.h"
+#include "process/site/version_refresh.h"
 #include "request/packed_text.h"
 
 namespace catkinford {
@@ -117,7 +117,7 @@
     response.body = std::move(body);
     response.close = hooks_.stopping();
     if (status == front_status::kUnavailable) {
-      response.retry_after = health_.ComeBackAfter(BootNow());
+      response.retry_after = health_.RetryAfter(BootNow());
     }
     numbers_.CountAnswer(
         NameOf(current), status,
@@ -206,7 +206,7 @@
     switch (health_.State(BootNow())) {
       case store_state::kUp:
         return Store(current, text, false);
-      case store_state::kDoubtful:
+      case store_state::kSuspect:
         loop_.After(kDoubtfulPause, [this, current, text] { StoreWhenUp(current, text); });
         return;
       case store_state::kDown:
--- a/src/process/site/fleet_record.h
+++ b/src/process/site/fleet_record.h
@@ -27,15 +27,16 @@
                                                      monotonic_time now) {
     for (instance_report& report : in_use) {
       const auto [at, added] = listed_.try_emplace(report.id);
-      changed_ = changed_ || added || !Same(at->second.report, report);
+      changed_ = changed_ || added || !SameRecord(at->second.report, report);
       at->second = {std::move(report), now};
     }
-    const auto gone = [now](const auto& item) { return now - item.second.in_use > kStays; };
-    const bool left = std::any_of(listed_.begin(), listed_.end(), gone);
-    const bool due = changed_ ? now >= written_ + kBetweenAdditions : now >= written_ + kStays;
-    if (!due || (!changed_ && !left)) return std::nullopt;
-    std::erase_if(listed_, gone);
-    written_ = now;
+    const auto expired = [now](const auto& item) { return now - item.second.in_use > kRetention; };
+    const bool any_expired = std::any_of(listed_.begin(), listed_.end(), expired);
+    const bool due =
+        changed_ ? now >= last_write_ + kMinWriteInterval : now >= last_write_ + kRetention;
+    if (!due || (!changed_ && !any_expired)) return std::nullopt;
+    std::erase_if(listed_, expired);
+    last_write_ = now;
     changed_ = false;
     std::vector<instance_report> out;
     out.reserve(listed_.size());
@@ -44,19 +45,19 @@
   }
 
  private:
-  struct entry {
+  struct listed_instance {
     instance_report report;
     monotonic_time in_use{};  // last
   };
-  static bool Same(const instance_report& a, const instance_report& b) {
+  static bool SameRecord(const instance_report& a, const instance_report& b) {
     return a.incarnation == b.incarnation && a.address == b.address && a.capacity == b.capacity;
   }
 
-  static constexpr std::chrono::milliseconds kBetweenAdditions{300};
-  static constexpr std::chrono::milliseconds kStays{3000};
+  static constexpr std::chrono::milliseconds kMinWriteInterval{300};
+  static constexpr std::chrono::milliseconds kRetention{3000};
 
-  std::map<std::string, entry> listed_;
-  monotonic_time written_{};
+  std::map<std::string, listed_instance> listed_;
+  monotonic_time last_write_{};
   bool changed_ = false;  // since it was last written
 };
 
--- a/src/process/site/owner_history.h
+++ b/src/process/site/owner_history.h
@@ -18,7 +18,7 @@
 class owner_history {
  public:
   // The store names this owner.
-  void OnSeen(const owner_word& owner, monotonic_time now) {
+  void OnSeen(const owner_record& owner, monotonic_time now) {
     if (owner.epoch == epoch_) return;
     epoch_ = owner.epoch;
     early_ = owner.early;
--- a/src/process/site/peer_words.cc
+++ b/src/process/site/peer_messages.cc
@@ -1,4 +1,4 @@
-#include "process/site/peer_words.h"
+#include "process/site/peer_messages.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -13,10 +13,11 @@
 
 // What an owner started without a record after such a confirmation has ended by then: the owner
 // goes on for 3.5 s and 0.65 s more, and the start's lease is 4 s by a clock that may be 2 % slow.
-constexpr milliseconds kUnrecordedMatter{9000};
+constexpr milliseconds kUnrecordedStartLifetime{9000};
 // An owner's view of the entries may be this old at most (a watch that hangs: 3.5 s), so one that
-// was registered for longer than that and kUnrecordedMatter was asked by any owner that matters.
-constexpr milliseconds kSteadyEntry{12500};
+// was registered for longer than that and kUnrecordedStartLifetime was asked by any owner that
+// matters.
+constexpr milliseconds kMinRegistration{12500};
 
 // Runs `read` over the parsed text; nothing where a field is missing or of another type.
 template <typename T, typename Read>
@@ -41,14 +42,14 @@
 
 }  // namespace
 
-std::string ToldPhaseToText(const told_phase& state) {
+std::string PeerPhaseReplyToText(const peer_phase_reply& state) {
   json out{{"owns", state.owns}};
   if (state.phase) out["phase"] = static_cast<int>(*state.phase);
   return out.dump();
 }
 
-std::optional<told_phase> ToldPhaseFromText(std::string_view text) {
-  return Parse<told_phase>(text, [](const json& in, told_phase& out) {
+std::optional<peer_phase_reply> PeerPhaseReplyFromText(std::string_view text) {
+  return Parse<peer_phase_reply>(text, [](const json& in, peer_phase_reply& out) {
     out.owns = in.at("owns").get<bool>();
     if (!in.contains("phase")) return;
     const int phase = in.at("phase").get<int>();
@@ -57,12 +58,12 @@
   });
 }
 
-std::string ToldPendingToText(const told_pending& pending) {
+std::string PeerPendingReplyToText(const peer_pending_reply& pending) {
   return json{{"owns", pending.owns}, {"pending", pending.pending}}.dump();
 }
 
-std::optional<told_pending> ToldPendingFromText(std::string_view text) {
-  return Parse<told_pending>(text, [](const json& in, told_pending& out) {
+std::optional<peer_pending_reply> PeerPendingReplyFromText(std::string_view text) {
+  return Parse<peer_pending_reply>(text, [](const json& in, peer_pending_reply& out) {
     out.owns = in.at("owns").get<bool>();
     out.pending = in.at("pending").get<size_t>();
   });
@@ -79,56 +80,57 @@
   });
 }
 
-std::string ToldVersionToText(const told_version& told) {
-  return json{{"number", told.version.number},
-              {"revision", told.version.revision},
-              {"age_ms", told.version.age.count()}}
+std::string PeerVersionReplyToText(const peer_version_reply& reply) {
+  return json{{"number", reply.version.number},
+              {"revision", reply.version.revision},
+              {"age_ms", reply.version.age.count()}}
              .dump() +
-         "\n" + told.text;
+         "\n" + reply.text;
 }
 
-std::optional<told_version> ToldVersionFromText(std::string_view text) {
+std::optional<peer_version_reply> PeerVersionReplyFromText(std::string_view text) {
   const size_t end = text.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
-  auto out = Parse<told_version>(text.substr(0, end), [](const json& in, told_version& read) {
-    read.version.number = in.at("number").get<uint64_t>();
-    read.version.revision = in.at("revision").get<uint64_t>();
-    read.version.age = milliseconds(in.at("age_ms").get<int64_t>());
-  });
+  auto out =
+      Parse<peer_version_reply>(text.substr(0, end), [](const json& in, peer_version_reply& read) {
+        read.version.number = in.at("number").get<uint64_t>();
+        read.version.revision = in.at("revision").get<uint64_t>();
+        read.version.age = milliseconds(in.at("age_ms").get<int64_t>());
+      });
   if (out) out->text = text.substr(end + 1);
   return out;
 }
 
-std::string AliveToText(const told_alive& alive) {
-  return json{{"nonce", alive.nonce}, {"busy", alive.busy}}.dump();
+std::string PeerLivenessToText(const peer_liveness& liveness) {
+  return json{{"nonce", liveness.nonce}, {"busy", liveness.busy}}.dump();
 }
 
-std::optional<told_alive> AliveFromText(std::string_view text) {
-  return Parse<told_alive>(text, [](const json& in, told_alive& out) {
+std::optional<peer_liveness> PeerLivenessFromText(std::string_view text) {
+  return Parse<peer_liveness>(text, [](const json& in, peer_liveness& out) {
     out.nonce = in.at("nonce").get<uint64_t>();
     out.busy = in.value("busy", false);
   });
 }
 
-std::string LookToText(alive_answer answer) {
+std::string OwnerLivenessToText(alive_answer answer) {
   return json{{"owner", static_cast<int>(answer)}}.dump();
 }
 
-std::optional<alive_answer> LookFromText(std::string_view text) {
+std::optional<alive_answer> OwnerLivenessFromText(std::string_view text) {
   const auto owner =
       Parse<int>(text, [](const json& in, int& out) { out = in.at("owner").get<int>(); });
   if (!owner || *owner < 0 || *owner > static_cast<int>(alive_answer::kSilent)) return std::nullopt;
   return static_cast<alive_answer>(*owner);
 }
 
-std::string OwnerWitnessToText(const owner_witness& witness) {
-  json out{{"registered_ms", witness.registered.count()}};
-  if (witness.confirmed_age) out["confirmed_ms"] = witness.confirmed_age->count();
+std::string OutageReportToText(const outage_report& report) {
+  json out{{"registered_ms", report.registered.count()}};
+  if (report.confirmed_age) out["confirmed_ms"] = report.confirmed_age->count();
   return out.dump();
 }
 
-std::optional<owner_witness> OwnerWitnessFromText(std::string_view text) {
-  return Parse<owner_witness>(text, [](const json& in, owner_witness& out) {
+std::optional<outage_report> OutageReportFromText(std::string_view text) {
+  return Parse<outage_report>(text, [](const json& in, outage_report& out) {
     out.registered = milliseconds(in.at("registered_ms").get<int64_t>());
     if (in.contains("confirmed_ms")) {
       out.confirmed_age = milliseconds(in.at("confirmed_ms").get<int64_t>());
@@ -136,23 +138,23 @@
   });
 }
 
-bool RulesOutUnrecordedStarts(const owner_witness& witness) {
-  const bool confirmed = witness.confirmed_age && *witness.confirmed_age < kUnrecordedMatter;
-  return witness.registered >= kSteadyEntry && !confirmed;
+bool RulesOutUnrecordedStarts(const outage_report& report) {
+  const bool confirmed = report.confirmed_age && *report.confirmed_age < kUnrecordedStartLifetime;
+  return report.registered >= kMinRegistration && !confirmed;
 }
 
-std::string PeerQuestionToText(const peer_question& question) {
-  const advice_order& order = question.order;
+std::string PeerAdviceRequestToText(const peer_advice_request& request) {
+  const advice_order& order = request.order;
   const json out{{"job", order.job},
                  {"occurrence", order.occurrence},
                  {"step", order.step},
                  {"instances", order.instances},
-                 {"timeout_ms", question.timeout.count()}};
+                 {"timeout_ms", request.timeout.count()}};
   return PackText(out.dump());
 }
 
-std::optional<peer_question> PeerQuestionFromText(std::string_view text) {
-  return ParsePacked<peer_question>(text, [](const json& in, peer_question& out) {
+std::optional<peer_advice_request> PeerAdviceRequestFromText(std::string_view text) {
+  return ParsePacked<peer_advice_request>(text, [](const json& in, peer_advice_request& out) {
     out.order.job = in.at("job").get<std::string>();
     out.order.occurrence = in.at("occurrence").get<uint32_t>();
     out.order.step = in.at("step").get<uint32_t>();
@@ -161,7 +163,7 @@
   });
 }
 
-std::string PeerAdviceToText(const advice_answer& answer) {
+std::string PeerAdviceReplyToText(const advice_answer& answer) {
   const json out{{"answered", answer.answered},
                  {"overloaded", answer.overloaded},
                  {"allowed", answer.allowed},
@@ -169,7 +171,7 @@
   return PackText(out.dump());
 }
 
-std::optional<advice_answer> PeerAdviceFromText(std::string_view text) {
+std::optional<advice_answer> PeerAdviceReplyFromText(std::string_view text) {
   return ParsePacked<advice_answer>(text, [](const json& in, advice_answer& out) {
     out.answered = in.at("answered").get<bool>();
     out.overloaded = in.at("overloaded").get<bool>();
--- a/src/process/site/peer_words.h
+++ b/src/process/site/peer_messages.h
@@ -17,8 +17,8 @@
 //
 // libjsonrpccpp's server answers on the thread of the call, and a question to a policy takes up to
 // a second: these calls use the HTTP server that can answer later.
-#ifndef CATKINFORD_PROCESS_SITE_PEER_WORDS_H_
-#define CATKINFORD_PROCESS_SITE_PEER_WORDS_H_
+#ifndef CATKINFORD_PROCESS_SITE_PEER_MESSAGES_H_
+#define CATKINFORD_PROCESS_SITE_PEER_MESSAGES_H_
 
 #include <chrono>
 #include <cstddef>
@@ -30,7 +30,7 @@
 #include "process/scheduling/graph_state.h"
 #include "process/scheduling/scheduler_messages.h"
 #include "process/site/owner_suspicion.h"
-#include "process/site/version_plan.h"
+#include "process/site/version_refresh.h"
 
 namespace catkinford {
 
@@ -45,11 +45,11 @@
 inline constexpr char kPeerJobPath[] = "/peer/job";
 inline constexpr char kPeerCancelPath[] = "/peer/cancel";
 
-struct told_phase {
+struct peer_phase_reply {
   bool owns = false;  // whoever does not own the site knows no states
   std::optional<graph_phase> phase;
 };
-struct told_pending {
+struct peer_pending_reply {
   bool owns = false;
   size_t pending = 0;
 };
@@ -60,46 +60,46 @@
 // What an entry can say of earlier owners. An owner sends starts without records only while every
 // registered entry confirms that the store is down; one that was there all the time and confirmed
 // nothing proves that none did.
-struct owner_witness {
+struct outage_report {
   std::chrono::milliseconds registered{0};                 // without a gap
   std::optional<std::chrono::milliseconds> confirmed_age;  // since it last confirmed an outage
 };
-struct told_alive {
+struct peer_liveness {
   uint64_t nonce = 0;  // of the process
   bool busy = false;   // overloaded: it may be silent without being gone
 };
-struct told_version {
+struct peer_version_reply {
   peer_version version;
   std::string text;  // empty: not newer than what was asked for, or not given
 };
-struct peer_question {
+struct peer_advice_request {
   advice_order order;
   std::chrono::milliseconds timeout{0};
 };
 
 // Parsing answers nothing for other text.
-std::string ToldPhaseToText(const told_phase& state);
-std::optional<told_phase> ToldPhaseFromText(std::string_view text);
-std::string ToldPendingToText(const told_pending& pending);
-std::optional<told_pending> ToldPendingFromText(std::string_view text);
+std::string PeerPhaseReplyToText(const peer_phase_reply& state);
+std::optional<peer_phase_reply> PeerPhaseReplyFromText(std::string_view text);
+std::string PeerPendingReplyToText(const peer_pending_reply& pending);
+std::optional<peer_pending_reply> PeerPendingReplyFromText(std::string_view text);
 std::string PeerHealthToText(const peer_health& health);
 std::optional<peer_health> PeerHealthFromText(std::string_view text);
 // One line of JSON, then the text as it is: it may be large.
-std::string ToldVersionToText(const told_version& told);
-std::optional<told_version> ToldVersionFromText(std::string_view text);
-std::string AliveToText(const told_alive& alive);
-std::optional<told_alive> AliveFromText(std::string_view text);
-std::string LookToText(alive_answer answer);
-std::optional<alive_answer> LookFromText(std::string_view text);
-std::string OwnerWitnessToText(const owner_witness& witness);
-std::optional<owner_witness> OwnerWitnessFromText(std::string_view text);
+std::string PeerVersionReplyToText(const peer_version_reply& reply);
+std::optional<peer_version_reply> PeerVersionReplyFromText(std::string_view text);
+std::string PeerLivenessToText(const peer_liveness& liveness);
+std::optional<peer_liveness> PeerLivenessFromText(std::string_view text);
+std::string OwnerLivenessToText(alive_answer answer);
+std::optional<alive_answer> OwnerLivenessFromText(std::string_view text);
+std::string OutageReportToText(const outage_report& report);
+std::optional<outage_report> OutageReportFromText(std::string_view text);
 // True when the witness rules out starts without records whose leases still hold.
-bool RulesOutUnrecordedStarts(const owner_witness& witness);
-std::string PeerQuestionToText(const peer_question& question);
-std::optional<peer_question> PeerQuestionFromText(std::string_view text);
-std::string PeerAdviceToText(const advice_answer& answer);
-std::optional<advice_answer> PeerAdviceFromText(std::string_view text);
+bool RulesOutUnrecordedStarts(const outage_report& report);
+std::string PeerAdviceRequestToText(const peer_advice_request& request);
+std::optional<peer_advice_request> PeerAdviceRequestFromText(std::string_view text);
+std::string PeerAdviceReplyToText(const advice_answer& answer);
+std::optional<advice_answer> PeerAdviceReplyFromText(std::string_view text);
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_PEER_WORDS_H_
+#endif  // CATKINFORD_PROCESS_SITE_PEER_MESSAGES_H_
--- a/src/process/site/record_mode.h
+++ b/src/process/site/record_mode.h
@@ -19,34 +19,36 @@
 class record_mode {
  public:
   // A change was stored after this time.
-  void OnChange(std::chrono::milliseconds took, monotonic_time now);
+  void OnChangeStored(std::chrono::milliseconds took, monotonic_time now);
   // A change has waited for this long.
-  void OnWaiting(std::chrono::milliseconds waited);
+  void OnChangePending(std::chrono::milliseconds waited);
   // An earlier owner's declaration was found.
   void OnInherited();
   // This owner does not know all that earlier ones may have started: until it does, the next one
   // must be told the same.
-  void OnUnvouched();
-  void OnDeclared();
-  void OnWithdrawn();
+  void OnUnconfirmedStarts();
+  void OnAsyncDeclared();
+  void OnAsyncWithdrawn();
 
   // The next change should hold the declaration.
-  bool WantsDeclared() const { return phase_ == phase::kSlow; }
+  bool ShouldDeclareAsync() const { return phase_ == phase::kSlow; }
   // The next change may withdraw it, if all records are stored and all that earlier owners may have
   // started is known.
-  bool WantsWithdrawn(bool all_known) const { return phase_ == phase::kReturning && all_known; }
-  bool StartsWait() const { return phase_ != phase::kBehind; }
+  bool ShouldWithdrawAsync(bool all_known) const {
+    return phase_ == phase::kRecovering && all_known;
+  }
+  bool StartsAwaitRecords() const { return phase_ != phase::kAsync; }
 
  private:
   enum class phase : uint8_t {
-    kAhead,      // records first
-    kSlow,       // records first, and the store is slow
-    kBehind,     // declared: starts leave at once
-    kReturning,  // records first again; the declaration still stands
+    kWriteAhead,  // records first
+    kSlow,        // records first, and the store is slow
+    kAsync,       // declared: starts leave at once
+    kRecovering,  // records first again; the declaration still stands
   };
-  phase phase_ = phase::kAhead;
-  bool unvouched_ = false;
-  monotonic_time quick_since_ = monotonic_time::max();
+  phase phase_ = phase::kWriteAhead;
+  bool unconfirmed_starts_ = false;
+  monotonic_time fast_since_ = monotonic_time::max();
 };
 
 }  // namespace catkinford
--- a/src/process/site/site_log.cc
+++ b/src/process/site/site_log.cc
@@ -12,9 +12,9 @@
 namespace catkinford {
 namespace {
 
-constexpr std::chrono::milliseconds kWriterWait{200};
-constexpr size_t kWaitingLines = 4096;  // a second of a busy entry, several times over
-constexpr size_t kLongestField = 80;
+constexpr std::chrono::milliseconds kWriterPollInterval{200};
+constexpr size_t kQueuedLines = 4096;  // a second of a busy entry, several times over
+constexpr size_t kMaxFieldBytes = 80;
 // Details may use this share of a second's lines; warnings always find room.
 constexpr double kDetailShare = 0.8;
 
@@ -114,7 +114,7 @@
 }
 
 std::string LogField(std::string_view text) {
-  std::string out(text.substr(0, kLongestField));
+  std::string out(text.substr(0, kMaxFieldBytes));
   for (char& c : out) {
     if (static_cast<unsigned char>(c) <= ' ' || c == '=') c = '?';
   }
@@ -122,7 +122,7 @@
 }
 
 site_log::site_log(std::string entry, uint32_t lines_per_second)
-    : entry_(std::move(entry)), lines_per_second_(lines_per_second), ring_(kWaitingLines) {
+    : entry_(std::move(entry)), lines_per_second_(lines_per_second), ring_(kQueuedLines) {
   el::Configurations config;
   config.setToDefault();
   config.setGlobally(el::ConfigurationType::Format, "%datetime{%Y-%M-%dT%H:%m:%s.%g} %level %msg");
@@ -141,9 +141,9 @@
   const int64_t second =
       std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch()).count();
   if (second_.exchange(second, std::memory_order_relaxed) != second) {
-    in_second_.store(0, std::memory_order_relaxed);
+    lines_in_second_.store(0, std::memory_order_relaxed);
   }
-  const uint32_t used = in_second_.fetch_add(1, std::memory_order_relaxed);
+  const uint32_t used = lines_in_second_.fetch_add(1, std::memory_order_relaxed);
   if (level == kWarning || level == kSummary) return true;
   const double share = level == kDetail ? kDetailShare : 1.0;
   return used < static_cast<uint32_t>(share * lines_per_second_);
@@ -154,22 +154,22 @@
   std::string line = absl::StrCat(static_cast<int>(event), " ", std::string(info.name),
                                   " entry=", entry_, " ", fields);
   if (!Admit(info.level, now) || !ring_.TryPush(line)) {
-    left_out_.fetch_add(1, std::memory_order_relaxed);
+    dropped_lines_.fetch_add(1, std::memory_order_relaxed);
   }
 }
 
 void site_log::Run() {
-  uint64_t told = 0;
+  uint64_t reported = 0;
   std::vector<std::string> lines;
-  while (ring_.PopAll(lines, kWriterWait)) {
+  while (ring_.PopAll(lines, kWriterPollInterval)) {
     for (const std::string& line : lines) LOG(INFO) << line;
     lines.clear();
-    const uint64_t left_out = LeftOut();
-    if (left_out == told) continue;
-    told = left_out;
+    const uint64_t dropped = DroppedLines();
+    if (dropped == reported) continue;
+    reported = dropped;
     LOG(INFO) << absl::StrCat(static_cast<int>(kLinesLeftOut), " ",
                               std::string(InfoOf(kLinesLeftOut).name), " entry=", entry_,
-                              " count=", left_out);
+                              " count=", dropped);
   }
 }
 
--- a/src/process/site/site_log.h
+++ b/src/process/site/site_log.h
@@ -110,7 +110,7 @@
   // From any thread; never waits. `fields`: "name=value name=value". Details are left out first
   // when the second's lines run out.
   void Write(site_event event, monotonic_time now, const std::string& fields);
-  uint64_t LeftOut() const { return left_out_.load(std::memory_order_relaxed); }
+  uint64_t DroppedLines() const { return dropped_lines_.load(std::memory_order_relaxed); }
 
  private:
   void Run();
@@ -120,8 +120,8 @@
   const uint32_t lines_per_second_;
   bounded_ring<std::string> ring_;
   std::atomic<int64_t> second_{0};
-  std::atomic<uint32_t> in_second_{0};
-  std::atomic<uint64_t> left_out_{0};
+  std::atomic<uint32_t> lines_in_second_{0};
+  std::atomic<uint64_t> dropped_lines_{0};
   std::thread writer_;
 };
 
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -43,7 +43,7 @@
 
 // The present content of the keys under kSitePrefix.
 struct site_view {
-  std::optional<owner_word> owner;
+  std::optional<owner_record> owner;
   uint64_t owner_revision = 0;  // 0: no such key
   uint64_t owner_changed = 0;   // the store's revision when it was last written or removed
   uint64_t epoch = 0;           // the highest so far
@@ -324,7 +324,7 @@
   void Claim(bool early) {
     const bool free = early || !view_.owner || view_.owner->entry.name == self_.name;
     if (resigning_ || owns_ || !free || !LeaseGood(BootNow())) return;
-    const owner_word word{self_, view_.epoch + 1, early};
+    const owner_record word{self_, view_.epoch + 1, early};
     const bool others = history_.EarlierMayAct(ttl_, BootNow());
     store_write write;
     write.expected = {{kOwnerKey, view_.owner_revision}, {kEpochKey, view_.epoch_revision}};
--- a/src/process/site/site_metrics.cc
+++ b/src/process/site/site_metrics.cc
@@ -32,10 +32,10 @@
                         "Answers to callers, by call and status.")),
       store_calls_(Counters(registry_, "catkinford_site_store_calls_total",
                             "Calls to the platform's store, by call and outcome.")),
-      orders_(Counters(registry_, "catkinford_site_orders_total",
-                       "Orders to instances, by order and outcome.")),
-      ends_(Counters(registry_, "catkinford_site_run_ends_total",
-                     "Ends of runs that instances listed, by how they ended.")),
+      commands_(Counters(registry_, "catkinford_site_orders_total",
+                         "Orders to instances, by order and outcome.")),
+      run_ends_(Counters(registry_, "catkinford_site_run_ends_total",
+                         "Ends of runs that instances listed, by how they ended.")),
       version_reads_(Counters(registry_, "catkinford_site_version_reads_total",
                               "Reads of the configuration, by source and outcome.")),
       link_bytes_(Counters(registry_, "catkinford_site_link_bytes_total",
@@ -62,9 +62,9 @@
                                    "Since the configuration was last confirmed.")),
       version_bytes(OneGauge(registry_, "catkinford_site_version_bytes",
                              "Size of the configuration's text.")),
-      version_texts(Counters(registry_, "catkinford_site_version_texts_total",
-                             "Texts of the configuration given to other entries.")
-                        .Add({})),
+      version_texts_sent(Counters(registry_, "catkinford_site_version_texts_total",
+                                  "Texts of the configuration given to other entries.")
+                             .Add({})),
       log_lines_left_out(Counters(registry_, "catkinford_site_log_lines_left_out_total",
                                   "Log lines that found no room.")
                              .Add({})) {}
@@ -80,20 +80,23 @@
   store_calls_.Add({{"call", call}, {"outcome", outcome}}).Increment();
 }
 
-void site_metrics::CountOrder(const std::string& order, const std::string& outcome) {
-  orders_.Add({{"order", order}, {"outcome", outcome}}).Increment();
+void site_metrics::CountCommand(const std::string& command, const std::string& outcome) {
+  commands_.Add({{"order", command}, {"outcome", outcome}}).Increment();
 }
 
-void site_metrics::CountEnd(const std::string& how) { ends_.Add({{"how", how}}).Increment(); }
+void site_metrics::CountRunEnd(const std::string& how) {
+  run_ends_.Add({{"how", how}}).Increment();
+}
 
 void site_metrics::CountVersionRead(const std::string& source, const std::string& outcome) {
   version_reads_.Add({{"source", source}, {"outcome", outcome}}).Increment();
 }
 
-void site_metrics::CountTraffic(const std::string& kind, const traffic& use) {
-  link_bytes_.Add({{"call", kind}, {"direction", "sent"}}).Increment(static_cast<double>(use.sent));
+void site_metrics::CountTraffic(const std::string& kind, const traffic& bytes) {
+  link_bytes_.Add({{"call", kind}, {"direction", "sent"}})
+      .Increment(static_cast<double>(bytes.sent));
   link_bytes_.Add({{"call", kind}, {"direction", "received"}})
-      .Increment(static_cast<double>(use.received));
+      .Increment(static_cast<double>(bytes.received));
 }
 
 std::string site_metrics::Text() {
--- a/src/process/site/site_metrics.h
+++ b/src/process/site/site_metrics.h
@@ -24,36 +24,36 @@
   // `call`: submit, cancel, state, pending; `outcome`: the status that was answered.
   void CountAnswer(const std::string& call, int status, std::chrono::microseconds took);
   void CountStoreCall(const std::string& call, const std::string& outcome);
-  void CountOrder(const std::string& order, const std::string& outcome);
-  void CountEnd(const std::string& how);
+  void CountCommand(const std::string& command, const std::string& outcome);
+  void CountRunEnd(const std::string& how);
   // `source`: store, watch or peer; `outcome`: done, refused, absent, history_gone or
   // broken_off.
   void CountVersionRead(const std::string& source, const std::string& outcome);
   // Bytes of calls of one kind since the last time.
-  void CountTraffic(const std::string& kind, const traffic& use);
+  void CountTraffic(const std::string& kind, const traffic& bytes);
   std::string Text();
 
  private:
   prometheus::Registry registry_;
   prometheus::Family<prometheus::Counter>& answers_;
   prometheus::Family<prometheus::Counter>& store_calls_;
-  prometheus::Family<prometheus::Counter>& orders_;
-  prometheus::Family<prometheus::Counter>& ends_;
+  prometheus::Family<prometheus::Counter>& commands_;
+  prometheus::Family<prometheus::Counter>& run_ends_;
   prometheus::Family<prometheus::Counter>& version_reads_;
   prometheus::Family<prometheus::Counter>& link_bytes_;
   prometheus::Family<prometheus::Histogram>& answer_seconds_;
 
  public:
-  prometheus::Histogram& decide_seconds;   // one round of decisions of the owner
-  prometheus::Counter& takeovers;          // times that this entry began to own the site
-  prometheus::Gauge& owns_site;            // 1 or 0
-  prometheus::Gauge& jobs;                 // known to the owner
-  prometheus::Gauge& runs;                 // that hold room
-  prometheus::Gauge& version;              // number of the configuration in force
-  prometheus::Gauge& store_age_seconds;    // since the store last answered
-  prometheus::Gauge& version_age_seconds;  // since the store last confirmed the configuration
-  prometheus::Gauge& version_bytes;        // of the configuration's text
-  prometheus::Counter& version_texts;      // given to other entries
+  prometheus::Histogram& decide_seconds;    // one round of decisions of the owner
+  prometheus::Counter& takeovers;           // times that this entry began to own the site
+  prometheus::Gauge& owns_site;             // 1 or 0
+  prometheus::Gauge& jobs;                  // known to the owner
+  prometheus::Gauge& runs;                  // that hold room
+  prometheus::Gauge& version;               // number of the configuration in force
+  prometheus::Gauge& store_age_seconds;     // since the store last answered
+  prometheus::Gauge& version_age_seconds;   // since the store last confirmed the configuration
+  prometheus::Gauge& version_bytes;         // of the configuration's text
+  prometheus::Counter& version_texts_sent;  // given to other entries
   prometheus::Counter& log_lines_left_out;
 };
 
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -20,12 +20,12 @@
 #include "absl/strings/str_cat.h"
 #include "connection/http_client.h"
 #include "connection/http_server.h"
-#include "process/site/advice_spread.h"
+#include "process/site/advice_dispatcher.h"
 #include "process/site/caller_front.h"
 #include "process/site/event_loop.h"
 #include "process/site/owner_budget.h"
 #include "process/site/owner_suspicion.h"
-#include "process/site/peer_words.h"
+#include "process/site/peer_messages.h"
 #include "process/site/site_log.h"
 #include "process/site/site_membership.h"
 #include "process/site/site_metrics.h"
@@ -36,8 +36,8 @@
 #include "process/site/start_relay.h"
 #include "process/site/store_health.h"
 #include "process/site/takeover_spacing.h"
-#include "process/site/text_ration.h"
-#include "process/site/version_follow.h"
+#include "process/site/text_rate_limiter.h"
+#include "process/site/version_follower.h"
 
 namespace catkinford {
 
@@ -120,9 +120,9 @@
   const site_entry* Owner() const;
   void PhaseFromOwner(const std::string& job, std::function<void(std::optional<graph_phase>)> done);
   void PendingFromOwner(const std::string& queue, std::function<void(std::optional<size_t>)> done);
-  told_version TellVersion(const http_request& request);
+  peer_version_reply TellVersion(const http_request& request);
   void VersionFromPeer(uint64_t have, bool text, byte_counter arrived,
-                       const std::function<void(std::optional<told_version>)>& done);
+                       const std::function<void(std::optional<peer_version_reply>)>& done);
   void JudgeOutage(const std::function<void(outage_verdict)>& done);
   // Watching the owner's process.
   void WatchOwner();
@@ -132,7 +132,7 @@
   void ReadOwnersChange(uint64_t epoch);
   void JudgeOwner(uint64_t epoch);
   void OnSuspected(uint64_t epoch);
-  owner_witness Witness() const;
+  outage_report Witness() const;
   void SeekWitness();
   void SpreadAdvice();
   void AskAdvice(const advice_order& order, const std::string& entry);
@@ -150,15 +150,15 @@
   event_loop loop_;
   store_health store_health_;
   site_membership<std::remove_reference_t<decltype(std::declval<Platform>().Store())>> membership_;
-  version_follow<Platform> versions_;
+  version_follower<Platform> versions_;
   caller_front<Platform> front_;
   owner_budget budget_;
   start_relay<Platform> relay_;      // of this entry's starts, while it owns the site
   start_carrier<Platform> carrier_;  // of another owner's
-  advice_spread advice_;
+  advice_dispatcher advice_;
   std::shared_ptr<site_owner<Platform>> owner_;
   std::map<std::string, bool> peer_silent_;
-  text_ration texts_;  // of the configuration, for other entries
+  text_rate_limiter texts_;  // of the configuration, for other entries
   absl::BitGen random_;
   bool ask_strong_ = false;  // entries for the configuration: any and strong ones by turns
   owner_suspicion suspicion_;
@@ -258,7 +258,7 @@
   hooks.changed = [this] { OnVersion(); };
   hooks.store_up = [this] { return store_health_.State(BootNow()) == store_state::kUp; };
   hooks.ask_peer = [this](uint64_t have, bool text, byte_counter arrived,
-                          const std::function<void(std::optional<told_version>)>& done) {
+                          const std::function<void(std::optional<peer_version_reply>)>& done) {
     VersionFromPeer(have, text, std::move(arrived), done);
   };
   return hooks;
@@ -405,7 +405,7 @@
 void site_node<Platform>::OnPeer(http_server::token token, http_request request) {
   if (request.path == kPeerAlivePath) {
     return peer_server_->Respond(
-        token, {.body = AliveToText({membership_.Self().nonce, overloaded_.load()})});
+        token, {.body = PeerLivenessToText({membership_.Self().nonce, overloaded_.load()})});
   }
   const bool taken =
       loop_.TryPost([this, token, request = std::move(request)] { AnswerPeer(token, request); });
@@ -417,12 +417,12 @@
   http_response response;
   const bool owns = owner_ != nullptr && owner_->Loaded();
   if (request.path == kPeerStatePath) {
-    told_phase state{owns, std::nullopt};
+    peer_phase_reply state{owns, std::nullopt};
     if (owns) state.phase = owner_->PhaseOf(request.Query("id"));
-    response.body = ToldPhaseToText(state);
+    response.body = PeerPhaseReplyToText(state);
   } else if (request.path == kPeerPendingPath) {
     response.body =
-        ToldPendingToText({owns, owns ? owner_->Pending(request.Query("queue")) : size_t{0}});
+        PeerPendingReplyToText({owns, owns ? owner_->Pending(request.Query("queue")) : size_t{0}});
   } else if (request.path == kPeerHealthPath) {
     const monotonic_time now = BootNow();
     const auto age =
@@ -430,13 +430,13 @@
     if (age >= kStoreFresh) outage_confirmed_ = now;
     response.body = PeerHealthToText({age, membership_.View().epoch});
   } else if (request.path == kPeerWitnessPath) {
-    response.body = OwnerWitnessToText(Witness());
+    response.body = OutageReportToText(Witness());
   } else if (request.path == kPeerLookPath) {
     return LookAtOwner([this, token](alive_answer answer) {
-      peer_server_->Respond(token, {.body = LookToText(answer)});
+      peer_server_->Respond(token, {.body = OwnerLivenessToText(answer)});
     });
   } else if (request.path == kPeerVersionPath) {
-    response.body = ToldVersionToText(TellVersion(request));
+    response.body = PeerVersionReplyToText(TellVersion(request));
   } else if (request.path == kPeerJobPath) {
     if (owner_ != nullptr) owner_->OnJobStored(request.Query("id"), request.body);
   } else if (request.path == kPeerCancelPath) {
@@ -457,11 +457,11 @@
 
 template <site_platform Platform>
 void site_node<Platform>::AdviseFor(http_server::token token, const http_request& request) {
-  const auto question = PeerQuestionFromText(request.body);
+  const auto question = PeerAdviceRequestFromText(request.body);
   if (!question) return peer_server_->Respond(token, {.status = front_status::kBadRequest});
   platform_.Advisor().Ask(question->order, question->timeout,
                           [this, token](const advice_answer& answer) {
-                            peer_server_->Respond(token, {.body = PeerAdviceToText(answer)});
+                            peer_server_->Respond(token, {.body = PeerAdviceReplyToText(answer)});
                           });
 }
 
@@ -499,7 +499,7 @@
   };
   numbers_.store_age_seconds.Set(seconds(membership_.StoreAnswered()));
   numbers_.version_age_seconds.Set(seconds(versions_.AsOf()));
-  const double left_out = static_cast<double>(log_.LeftOut());
+  const double left_out = static_cast<double>(log_.DroppedLines());
   numbers_.log_lines_left_out.Increment(left_out - numbers_.log_lines_left_out.Value());
   TellLinkUse();
 }
@@ -541,7 +541,7 @@
   peers_.Send(std::move(call), [this, done, asked, nonce = process.nonce](http_result result) {
     loop_.Post([done, asked, nonce, result = std::move(result)] {
       if (result.status == transfer_status::kDone) {
-        const auto alive = AliveFromText(result.body);
+        const auto alive = PeerLivenessFromText(result.body);
         if (!alive || alive->nonce != nonce) return done(alive_answer::kOtherProcess);
         return done(alive->busy ? alive_answer::kBusy : alive_answer::kAlive);
       }
@@ -617,7 +617,7 @@
   for (const site_entry& other : others) {
     AskPeer(other, kPeerLookPath,
             [this, answers, left, epoch](const std::optional<std::string>& text) {
-              const auto seen = text ? LookFromText(*text) : std::nullopt;
+              const auto seen = text ? OwnerLivenessFromText(*text) : std::nullopt;
               if (seen) answers->push_back(*seen);
               if (--*left > 0) return;
               asking_others_ = false;
@@ -694,9 +694,9 @@
 }
 
 template <site_platform Platform>
-owner_witness site_node<Platform>::Witness() const {
+outage_report site_node<Platform>::Witness() const {
   const monotonic_time now = BootNow();
-  owner_witness out;
+  outage_report out;
   out.registered = membership_.RegisteredFor(now);
   if (outage_confirmed_) {
     out.confirmed_age =
@@ -709,7 +709,7 @@
 template <site_platform Platform>
 void site_node<Platform>::SeekWitness() {
   const std::weak_ptr<site_owner<Platform>> weak = owner_;
-  const auto take = [this, weak](const owner_witness& witness, const std::string& from) {
+  const auto take = [this, weak](const outage_report& witness, const std::string& from) {
     const auto owner = weak.lock();
     if (owner == nullptr || owner != owner_ || !RulesOutUnrecordedStarts(witness)) return false;
     if (std::exchange(witnessed_epoch_, membership_.Epoch()) == membership_.Epoch()) return true;
@@ -723,7 +723,7 @@
   for (const auto& [name, entry] : membership_.View().entries) {
     if (name == settings_.name) continue;
     AskPeer(entry, kPeerWitnessPath, [take, name](const std::optional<std::string>& text) {
-      const auto witness = text ? OwnerWitnessFromText(*text) : std::nullopt;
+      const auto witness = text ? OutageReportFromText(*text) : std::nullopt;
       if (witness) take(*witness, name);
     });
   }
@@ -737,7 +737,7 @@
   if (owner_ == nullptr) return;
   owner_->End();
   owner_.reset();
-  advice_ = advice_spread();
+  advice_ = advice_dispatcher();
   OnViewChanged();
 }
 
@@ -808,7 +808,7 @@
   if (owner == nullptr) return done(std::nullopt);
   AskPeer(*owner, absl::StrCat(kPeerStatePath, "?id=", job),
           [done = std::move(done)](const std::optional<std::string>& text) {
-            const auto state = text ? ToldPhaseFromText(*text) : std::nullopt;
+            const auto state = text ? PeerPhaseReplyFromText(*text) : std::nullopt;
             done(state && state->owns ? state->phase : std::nullopt);
           });
 }
@@ -821,24 +821,24 @@
   if (owner == nullptr) return done(std::nullopt);
   AskPeer(*owner, absl::StrCat(kPeerPendingPath, "?queue=", queue),
           [done = std::move(done)](const std::optional<std::string>& text) {
-            const auto pending = text ? ToldPendingFromText(*text) : std::nullopt;
+            const auto pending = text ? PeerPendingReplyFromText(*text) : std::nullopt;
             done(pending && pending->owns ? std::optional<size_t>(pending->pending) : std::nullopt);
           });
 }
 
 // What this entry tells another one of its configuration.
 template <site_platform Platform>
-told_version site_node<Platform>::TellVersion(const http_request& request) {
+peer_version_reply site_node<Platform>::TellVersion(const http_request& request) {
   const monotonic_time now = BootNow();
-  told_version told;
-  told.version = versions_.Word(now);
+  peer_version_reply told;
+  told.version = versions_.PeerVersion(now);
   uint64_t have = 0;
   const bool newer = absl::SimpleAtoi(request.Query("have"), &have) && told.version.number > have;
   if (!newer || request.Query("text") != "1") return told;
   const bool given = texts_.Take(versions_.Text().size(), now);
   if (given) {
     told.text = versions_.Text();
-    numbers_.version_texts.Increment();
+    numbers_.version_texts_sent.Increment();
   }
   log_.Write(site_event::kVersionTold, now,
              absl::StrCat("peer=", LogField(request.Query("by")), " version=", told.version.number,
@@ -849,7 +849,7 @@
 template <site_platform Platform>
 void site_node<Platform>::VersionFromPeer(
     uint64_t have, bool text, byte_counter arrived,
-    const std::function<void(std::optional<told_version>)>& done) {
+    const std::function<void(std::optional<peer_version_reply>)>& done) {
   ask_strong_ = !ask_strong_;
   const auto peer =
       PickEntry(membership_.View(), settings_.name, ask_strong_, absl::Uniform<uint64_t>(random_));
@@ -857,7 +857,7 @@
   AskPeer(
       *peer, absl::StrCat(kPeerVersionPath, "?have=", have, "&text=", text, "&by=", settings_.name),
       [done](const std::optional<std::string>& answer) {
-        done(answer ? ToldVersionFromText(*answer) : std::nullopt);
+        done(answer ? PeerVersionReplyFromText(*answer) : std::nullopt);
       },
       std::move(arrived));
 }
@@ -932,12 +932,12 @@
   http_call call;
   call.method = "POST";
   call.url = absl::StrCat("http://", found->second.address, kPeerAdvisePath);
-  call.body = PeerQuestionToText({order, timeout});
+  call.body = PeerAdviceRequestToText({order, timeout});
   call.timeout = timeout + kPeerTimeout;
   peers_.Send(std::move(call), [this, finish](http_result result) {
     loop_.Post([finish, result = std::move(result)] {
       const bool good = result.status == transfer_status::kDone && result.code == front_status::kOk;
-      const auto answer = good ? PeerAdviceFromText(result.body) : std::nullopt;
+      const auto answer = good ? PeerAdviceReplyFromText(result.body) : std::nullopt;
       finish(answer.value_or(advice_answer{}));
     });
   });
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -262,7 +262,7 @@
               const auto text = self.Unpacked(item);
               if (text) self.loaded_fleet_ = FleetFromText(*text);
             }
-            if (item.key == kBehindKey) self.records_behind_ = true;
+            if (item.key == kAsyncRecordsKey) self.records_behind_ = true;
           }
         },
         [](self_type& self) { self.LoadRegistry(); });
@@ -276,7 +276,7 @@
     const monotonic_time now = BootNow();
     loaded_ = true;
     if (records_behind_) mode_.OnInherited();
-    if (!vouched_ && !records_behind_ && epoch_ > 1) mode_.OnUnvouched();
+    if (!vouched_ && !records_behind_ && epoch_ > 1) mode_.OnUnconfirmedStarts();
     TrustRecords();
     scheduler_.OnInherited(loaded_fleet_, now);
     scheduler_.OnRegistry(registry_, now);
@@ -433,7 +433,7 @@
   void Decide() {
     const monotonic_time now = BootNow();
     if (now < next_decide_ || !hooks_.may_act(now)) return;
-    if (committing_) mode_.OnWaiting(WaitedSince(last_commit_, now));
+    if (committing_) mode_.OnChangePending(WaitedSince(last_commit_, now));
     FollowMode(now);
     const owner_budget& budget = hooks_.budget(now);
     scheduler_.SetStartsInFlight(budget.StartsInFlight(most_starts_));
@@ -477,7 +477,7 @@
     const job_entry* entry = scheduler_.Find(order.key.job);
     hooks_.start(order, entry == nullptr ? std::string() : entry->job.accepted_by,
                  OnAnswer([order = std::move(remembered)](self_type& self, order_answer answer) {
-                   self.numbers_.CountOrder("start", std::string(ToText(answer.result)));
+                   self.numbers_.CountCommand("start", std::string(ToText(answer.result)));
                    if (self.Fenced(answer.result, order.to)) return;
                    self.scheduler_.OnStartAnswer(order, answer, BootNow());
                    if (self.scheduler_.StartsPlanned()) self.SendRecordedStarts(BootNow());
@@ -488,7 +488,7 @@
   void SendStop(const stop_order& order) {
     platform_.Instances().Stop(
         order, epoch_, OnAnswer([order](self_type& self, order_answer answer) {
-          self.numbers_.CountOrder("stop", std::string(ToText(answer.result)));
+          self.numbers_.CountCommand("stop", std::string(ToText(answer.result)));
           if (self.Fenced(answer.result, order.to)) return;
           self.scheduler_.OnStopAnswer(order, answer, BootNow());
         }));
@@ -497,7 +497,7 @@
   void SendPace(const pace_order& order) {
     platform_.Instances().Pace(
         order, epoch_, OnAnswer([order](self_type& self, order_answer answer) {
-          self.numbers_.CountOrder("pace", std::string(ToText(answer.result)));
+          self.numbers_.CountCommand("pace", std::string(ToText(answer.result)));
           if (self.Fenced(answer.result, order.to)) return;
           self.scheduler_.OnPaceAnswer(order, answer, BootNow());
         }));
@@ -508,14 +508,14 @@
     std::function<void(self_type&, std::optional<instance_listing>, order_result)> done =
         [order, sent](self_type& self, std::optional<instance_listing> listing,
                       order_result result) {
-          self.numbers_.CountOrder("list", std::string(ToText(result)));
+          self.numbers_.CountCommand("list", std::string(ToText(result)));
           if (self.Fenced(result, order.to)) return;
           if (!listing) {
             self.scheduler_.OnNoListing(order, result, BootNow());
             return;
           }
           for (const ended_row& row : listing->ended) {
-            self.numbers_.CountEnd(std::string(ToText(row.how)));
+            self.numbers_.CountRunEnd(std::string(ToText(row.how)));
           }
           self.scheduler_.OnListing(order, *listing, sent, BootNow());
           self.Soon();
@@ -545,12 +545,12 @@
     NoteFleet(now);
     const size_t most = Platform::kMostInOneChange - kOwnEntries;
     std::vector<job_progress_write> writes = scheduler_.TakeUnstored(most, budget.RecordBytes());
-    const bool declares = mode_.WantsDeclared();
-    const bool withdraws = !declares && mode_.WantsWithdrawn(scheduler_.RecordsKnown());
+    const bool declares = mode_.ShouldDeclareAsync();
+    const bool withdraws = !declares && mode_.ShouldWithdrawAsync(scheduler_.RecordsKnown());
     if (writes.empty() && !fleet_unstored_ && expired_.empty() && !declares && !withdraws) return;
     store_write change = Guarded();
-    if (declares) change.puts.push_back({kBehindKey, absl::StrCat(epoch_), {}});
-    if (withdraws) change.deletes.push_back(kBehindKey);
+    if (declares) change.puts.push_back({kAsyncRecordsKey, absl::StrCat(epoch_), {}});
+    if (withdraws) change.deletes.push_back(kAsyncRecordsKey);
     declares_ = declares;
     withdraws_ = withdraws;
     for (const job_progress_write& write : writes) {
@@ -644,21 +644,21 @@
 
   void FollowMode(monotonic_time now) {
     const bool store_down = hooks_.store_down_for_all(now);
-    scheduler_.SetUnrecordedStarts(!mode_.StartsWait() || store_down);
+    scheduler_.SetUnrecordedStarts(!mode_.StartsAwaitRecords() || store_down);
     // With the store down for all, nothing newer can have been acknowledged.
     scheduler_.HoldStarts(!hooks_.version_confirmed(now) && !store_down);
   }
 
   void OnModeStored(std::chrono::milliseconds took, monotonic_time now) {
-    mode_.OnChange(took, now);
+    mode_.OnChangeStored(took, now);
     FollowMode(now);
     if (std::exchange(declares_, false)) {
-      mode_.OnDeclared();
+      mode_.OnAsyncDeclared();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=1 ms=", took.count()));
     }
     if (std::exchange(withdraws_, false)) {
       records_behind_ = false;
-      mode_.OnWithdrawn();
+      mode_.OnAsyncWithdrawn();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=0 ms=", took.count()));
     }
   }
--- a/src/process/site/site_records.cc
+++ b/src/process/site/site_records.cc
@@ -35,17 +35,17 @@
   }
 }
 
-std::string OwnerToText(const owner_word& owner) {
+std::string OwnerToText(const owner_record& owner) {
   return json{{"entry", EntryToJson(owner.entry)}, {"epoch", owner.epoch}, {"early", owner.early}}
       .dump();
 }
 
-std::optional<owner_word> OwnerFromText(std::string_view text) {
+std::optional<owner_record> OwnerFromText(std::string_view text) {
   const json in = json::parse(text, nullptr, false);
   if (!in.is_object()) return std::nullopt;
   try {
-    return owner_word{EntryFromJson(in.at("entry")), in.at("epoch").get<uint64_t>(),
-                      in.value("early", false)};
+    return owner_record{EntryFromJson(in.at("entry")), in.at("epoch").get<uint64_t>(),
+                        in.value("early", false)};
   } catch (const json::exception&) {
     return std::nullopt;
   }
--- a/src/process/site/site_records.h
+++ b/src/process/site/site_records.h
@@ -32,7 +32,7 @@
 inline constexpr char kProgressPrefix[] = "progress/";
 inline constexpr char kCommitKey[] = "owner/commit";
 inline constexpr char kFleetKey[] = "owner/fleet";
-inline constexpr char kBehindKey[] = "owner/behind";  // starts leave before their records
+inline constexpr char kAsyncRecordsKey[] = "owner/behind";  // starts leave before their records
 
 struct site_entry {
   std::string name;
@@ -45,7 +45,7 @@
   bool operator==(const site_entry&) const = default;
 };
 
-struct owner_word {
+struct owner_record {
   site_entry entry;
   uint64_t epoch = 0;
   bool early = false;  // claimed while the lease of the owner before had not ended
@@ -54,8 +54,8 @@
 // Parsing answers nothing for bytes that are no such record.
 std::string EntryToText(const site_entry& entry);
 std::optional<site_entry> EntryFromText(std::string_view text);
-std::string OwnerToText(const owner_word& owner);
-std::optional<owner_word> OwnerFromText(std::string_view text);
+std::string OwnerToText(const owner_record& owner);
+std::optional<owner_record> OwnerFromText(std::string_view text);
 std::string FleetToText(const std::vector<instance_report>& instances);
 std::vector<instance_report> FleetFromText(std::string_view text);
 
--- a/src/process/site/site_settings.cc
+++ b/src/process/site/site_settings.cc
@@ -16,8 +16,8 @@
 
 // One field: takes its value, or says what would have been right.
 struct field_rule {
-  std::function<bool(const json&, site_settings&)> take;
-  const char* want;
+  std::function<bool(const json&, site_settings&)> apply;
+  const char* expected;
   bool required = false;
 };
 
@@ -127,15 +127,15 @@
   return rules;
 }
 
-leaf::result<void> TakeField(const std::string& path, const json& value, site_settings& out,
-                             std::map<std::string, bool>& seen) {
+leaf::result<void> ApplyField(const std::string& path, const json& value, site_settings& out,
+                              std::map<std::string, bool>& seen) {
   const auto rule = Rules().find(path);
   if (rule == Rules().end()) {
     return leaf::new_error(settings_error{settings_fault::kUnknownField, path, value.dump(), ""});
   }
-  if (!rule->second.take(value, out)) {
+  if (!rule->second.apply(value, out)) {
     return leaf::new_error(
-        settings_error{settings_fault::kWrongType, path, value.dump(), rule->second.want});
+        settings_error{settings_fault::kWrongType, path, value.dump(), rule->second.expected});
   }
   seen[path] = true;
   return {};
@@ -152,18 +152,19 @@
   std::map<std::string, bool> seen;
   for (const auto& [name, value] : in.items()) {
     if (!value.is_object()) {
-      leaf::result<void> taken = TakeField(name, value, out, seen);
-      if (!taken) return taken.error();
+      leaf::result<void> applied = ApplyField(name, value, out, seen);
+      if (!applied) return applied.error();
       continue;
     }
     for (const auto& [inner, field] : value.items()) {
-      leaf::result<void> taken = TakeField(absl::StrCat(name, ".", inner), field, out, seen);
-      if (!taken) return taken.error();
+      leaf::result<void> applied = ApplyField(absl::StrCat(name, ".", inner), field, out, seen);
+      if (!applied) return applied.error();
     }
   }
   for (const auto& [path, rule] : Rules()) {
     if (rule.required && !seen.contains(path)) {
-      return leaf::new_error(settings_error{settings_fault::kMissingField, path, "", rule.want});
+      return leaf::new_error(
+          settings_error{settings_fault::kMissingField, path, "", rule.expected});
     }
   }
   return out;
--- a/src/process/site/store_health.cc
+++ b/src/process/site/store_health.cc
@@ -8,54 +8,55 @@
 using std::chrono::milliseconds;
 
 // Answers take 4 ms at the store and a few on the way; one of a busy entry rarely 100 ms.
-constexpr milliseconds kDoubtfulAfter{250};
+constexpr milliseconds kSuspectAfter{250};
 constexpr milliseconds kDownAfter{700};
 // A store that is slow for all, up to a hundred times, is not down.
-constexpr double kTimesUsual = 4;
-constexpr double kKeep = 0.8;  // weight of the past in the smoothed latency
+constexpr double kLatencyFactor = 4;
+constexpr double kSmoothing = 0.8;  // weight of the past in the smoothed latency
 // For callers that are refused. Beyond a few seconds a quick job is late whatever happens.
-constexpr std::chrono::seconds kSoonest{1};
-constexpr std::chrono::seconds kLatest{3};
+constexpr std::chrono::seconds kMinRetryAfter{1};
+constexpr std::chrono::seconds kMaxRetryAfter{3};
 // One call that is turned away or lost says little: single answers get lost.
-constexpr uint32_t kFailedInARow = 2;
+constexpr uint32_t kFailuresForDown = 2;
 
 }  // namespace
 
 uint64_t store_health::Sent(monotonic_time now) {
-  waiting_.emplace_hint(waiting_.end(), ++last_call_, now);
+  pending_.emplace_hint(pending_.end(), ++last_call_, now);
   return last_call_;
 }
 
-void store_health::Answered(uint64_t call, bool good, monotonic_time now) {
-  const auto found = waiting_.find(call);
-  if (found == waiting_.end()) return;
+void store_health::Answered(uint64_t call, bool success, monotonic_time now) {
+  const auto found = pending_.find(call);
+  if (found == pending_.end()) return;
   const std::chrono::duration<double, std::milli> took = now - found->second;
-  waiting_.erase(found);
-  if (!good) {
-    ++failed_;
+  pending_.erase(found);
+  if (!success) {
+    ++consecutive_failures_;
     return;
   }
-  failed_ = 0;
-  answered_ = now;
-  last_good_ = std::max(last_good_, call);
-  latency_ = kKeep * latency_ + (1 - kKeep) * took;
+  consecutive_failures_ = 0;
+  last_success_at_ = now;
+  last_success_ = std::max(last_success_, call);
+  latency_ = kSmoothing * latency_ + (1 - kSmoothing) * took;
 }
 
 store_state store_health::State(monotonic_time now) const {
-  if (failed_ >= kFailedInARow) return store_state::kDown;
+  if (consecutive_failures_ >= kFailuresForDown) return store_state::kDown;
   // An older call than one that was answered has lost its answer alone: the store is there.
-  const auto oldest = waiting_.upper_bound(last_good_);
-  if (oldest == waiting_.end()) return store_state::kUp;
+  const auto oldest = pending_.upper_bound(last_success_);
+  if (oldest == pending_.end()) return store_state::kUp;
   const auto silent = now - oldest->second;
-  const auto usual = std::chrono::duration_cast<milliseconds>(kTimesUsual * latency_);
+  const auto usual = std::chrono::duration_cast<milliseconds>(kLatencyFactor * latency_);
   if (silent > std::max(kDownAfter, usual)) return store_state::kDown;
-  if (silent > std::max(kDoubtfulAfter, usual)) return store_state::kDoubtful;
+  if (silent > std::max(kSuspectAfter, usual)) return store_state::kSuspect;
   return store_state::kUp;
 }
 
-std::chrono::seconds store_health::ComeBackAfter(monotonic_time now) const {
-  if (answered_ == monotonic_time::max()) return kSoonest;
-  return std::clamp(std::chrono::round<std::chrono::seconds>(now - answered_), kSoonest, kLatest);
+std::chrono::seconds store_health::RetryAfter(monotonic_time now) const {
+  if (last_success_at_ == monotonic_time::max()) return kMinRetryAfter;
+  return std::clamp(std::chrono::round<std::chrono::seconds>(now - last_success_at_),
+                    kMinRetryAfter, kMaxRetryAfter);
 }
 
 milliseconds store_health::Latency() const {
--- a/src/process/site/store_health.h
+++ b/src/process/site/store_health.h
@@ -18,7 +18,7 @@
 
 enum class store_state : uint8_t {
   kUp,
-  kDoubtful,  // a call waits longer than usual: wait a moment before sending more
+  kSuspect,  // a call waits longer than usual: wait a moment before sending more
   kDown
 };
 
@@ -28,22 +28,22 @@
   // purpose (watches) are left out.
   uint64_t Sent(monotonic_time now);
   // `good`: the store did what it was asked or said why not; not: turned away, or no answer.
-  void Answered(uint64_t call, bool good, monotonic_time now);
+  void Answered(uint64_t call, bool success, monotonic_time now);
 
   store_state State(monotonic_time now) const;
   // When a caller that is refused now should come back. An outage that has lasted for a while will
   // last about as long again: callers have few tries, and spend them all in one outage of four
   // seconds if each is told to come back in one.
-  std::chrono::seconds ComeBackAfter(monotonic_time now) const;
+  std::chrono::seconds RetryAfter(monotonic_time now) const;
   // Of recent good answers, smoothed.
   std::chrono::milliseconds Latency() const;
 
  private:
-  std::map<uint64_t, monotonic_time> waiting_;  // when each call was sent
+  std::map<uint64_t, monotonic_time> pending_;  // when each call was sent
   uint64_t last_call_ = 0;
-  uint64_t last_good_ = 0;                           // the newest call with a good answer
-  monotonic_time answered_ = monotonic_time::max();  // the last good answer
-  uint32_t failed_ = 0;                              // since the last good answer
+  uint64_t last_success_ = 0;                               // the newest call with a good answer
+  monotonic_time last_success_at_ = monotonic_time::max();  // the last good answer
+  uint32_t consecutive_failures_ = 0;                       // since the last good answer
   std::chrono::duration<double, std::milli> latency_{0};
 };
 
--- a/src/process/site/text_ration.h
+++ b/src/process/site/text_rate_limiter.h
@@ -1,8 +1,8 @@
 // Bounds what an entry gives of its link for texts that other entries ask it for. Many may ask at
 // once; without a bound their answers fill the link, none arrives in time, and what the entry
 // itself waits for arrives late.
-#ifndef CATKINFORD_PROCESS_SITE_TEXT_RATION_H_
-#define CATKINFORD_PROCESS_SITE_TEXT_RATION_H_
+#ifndef CATKINFORD_PROCESS_SITE_TEXT_RATE_LIMITER_H_
+#define CATKINFORD_PROCESS_SITE_TEXT_RATE_LIMITER_H_
 
 #include <chrono>
 #include <cstddef>
@@ -12,16 +12,17 @@
 
 namespace catkinford {
 
-class text_ration {
+class text_rate_limiter {
  public:
-  explicit text_ration(double link_mbps)
+  explicit text_rate_limiter(double link_mbps)
       : bytes_per_second_(kShare * link_mbps * kBytesInMegabit) {}
 
   // True when `bytes` may be sent now; they count as sent.
   bool Take(size_t bytes, monotonic_time now) {
     if (now < free_at_) return false;
-    const std::chrono::duration<double> takes(static_cast<double>(bytes) / bytes_per_second_);
-    free_at_ = now + std::chrono::duration_cast<monotonic_time::duration>(takes);
+    const std::chrono::duration<double> transfer_time(static_cast<double>(bytes) /
+                                                      bytes_per_second_);
+    free_at_ = now + std::chrono::duration_cast<monotonic_time::duration>(transfer_time);
     return true;
   }
 
@@ -34,4 +35,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_TEXT_RATION_H_
+#endif  // CATKINFORD_PROCESS_SITE_TEXT_RATE_LIMITER_H_
--- a/src/process/site/version_follow.h
+++ b/src/process/site/version_follower.h
@@ -1,8 +1,8 @@
 // The configuration in force at this entry: read from the store, watched, and taken from other
 // entries while the store does not answer. It never goes back to a lower version. When to ask, and
-// how far the configuration may be trusted, version_plan says; this carries it out.
-#ifndef CATKINFORD_PROCESS_SITE_VERSION_FOLLOW_H_
-#define CATKINFORD_PROCESS_SITE_VERSION_FOLLOW_H_
+// how far the configuration may be trusted, version_refresh says; this carries it out.
+#ifndef CATKINFORD_PROCESS_SITE_VERSION_FOLLOWER_H_
+#define CATKINFORD_PROCESS_SITE_VERSION_FOLLOWER_H_
 
 #include <algorithm>
 #include <atomic>
@@ -16,11 +16,11 @@
 
 #include "absl/strings/str_cat.h"
 #include "process/site/event_loop.h"
-#include "process/site/peer_words.h"
+#include "process/site/peer_messages.h"
 #include "process/site/site_log.h"
 #include "process/site/site_metrics.h"
 #include "process/site/site_ports.h"
-#include "process/site/version_plan.h"
+#include "process/site/version_refresh.h"
 
 namespace catkinford {
 
@@ -33,22 +33,22 @@
   // Asks some other entry for what is newer than `have`, and for its text if `text`; answered once,
   // with nothing when it does not say. `arrived` counts the bytes of the answer.
   std::function<void(uint64_t have, bool text, byte_counter arrived,
-                     std::function<void(std::optional<told_version>)>)>
+                     std::function<void(std::optional<peer_version_reply>)>)>
       ask_peer;
 };
 
 template <site_platform Platform>
-class version_follow {
+class version_follower {
  public:
-  // `in_force`: how long after its acknowledgement a change has to be in force everywhere.
-  version_follow(Platform& platform, event_loop& loop, site_log& log, site_metrics& numbers,
-                 std::chrono::milliseconds in_force, version_hooks hooks)
+  // `propagation_limit`: how long after its acknowledgement a change has to be in force everywhere.
+  version_follower(Platform& platform, event_loop& loop, site_log& log, site_metrics& metrics,
+                   std::chrono::milliseconds propagation_limit, version_hooks hooks)
       : platform_(platform),
         loop_(loop),
         log_(log),
-        numbers_(numbers),
+        metrics_(metrics),
         hooks_(std::move(hooks)),
-        plan_(in_force, BootNow()) {}
+        plan_(propagation_limit, BootNow()) {}
 
   void Start() { Tick(); }
 
@@ -59,16 +59,16 @@
   // The configuration here was the newest at this time.
   monotonic_time AsOf() const { return plan_.AsOf(); }
   // What this entry tells another one.
-  peer_version Word(monotonic_time now) const {
-    peer_version word;
-    if (version_ != nullptr) word.number = version_->Number();
-    word.revision = plan_.Revision();
-    word.age = std::chrono::ceil<std::chrono::milliseconds>(now - plan_.AsOf());
-    return word;
+  peer_version PeerVersion(monotonic_time now) const {
+    peer_version out;
+    if (version_ != nullptr) out.number = version_->Number();
+    out.revision = plan_.Revision();
+    out.age = std::chrono::ceil<std::chrono::milliseconds>(now - plan_.AsOf());
+    return out;
   }
 
  private:
-  static constexpr std::chrono::milliseconds kTick{100};
+  static constexpr std::chrono::milliseconds kTickInterval{100};
 
   static const char* NameOf(version_call call) {
     switch (call) {
@@ -100,99 +100,101 @@
   }
 
   void Tick() {
-    loop_.After(kTick, [this] { Tick(); });
-    Drive();
+    loop_.After(kTickInterval, [this] { Tick(); });
+    SendDueCalls();
   }
 
-  void Drive() {
+  void SendDueCalls() {
     const monotonic_time now = BootNow();
     while (const auto query = plan_.NextStoreCall(hooks_.store_up(), Arriving(), now)) Send(*query);
-    if (plan_.AsksPeer(now)) AskPeer();
-    NoteTrust(now);
+    if (plan_.ShouldQueryPeer(now)) AskPeer();
+    LogTrustChange(now);
   }
 
   // Some bytes of an answer are there, and not all of them: a small one is whole at once.
   bool Arriving() const {
-    return std::any_of(arrived_.begin(), arrived_.end(),
+    return std::any_of(received_.begin(), received_.end(),
                        [](const auto& item) { return *item.second > 0; });
   }
 
   byte_counter Count(uint64_t call) {
-    return arrived_.emplace(call, std::make_shared<std::atomic<uint64_t>>(0)).first->second;
+    return received_.emplace(call, std::make_shared<std::atomic<uint64_t>>(0)).first->second;
   }
 
   void Send(const version_query& query) {
-    read_way way;
-    way.fresh_connection = query.fresh_connection;
-    way.arrived = Count(query.id);
+    read_way options;
+    options.fresh_connection = query.fresh_connection;
+    options.arrived = Count(query.id);
     const store_callback done = [this, query](store_reply reply) {
       loop_.Post([this, query, reply = std::move(reply)] {
-        arrived_.erase(query.id);
+        received_.erase(query.id);
         OnReply(query, reply);
-        Drive();
+        SendDueCalls();
       });
     };
     if (query.call == version_call::kRead) {
-      platform_.Store().Get(Platform::kVersionKeyName, done, way);
+      platform_.Store().Get(Platform::kVersionKeyName, done, options);
     } else {
-      platform_.Store().Watch(Platform::kVersionKeyPrefix, query.after, query.wait, done, way);
+      platform_.Store().Watch(Platform::kVersionKeyPrefix, query.after, query.wait, done, options);
     }
   }
 
   void OnReply(const version_query& query, const store_reply& reply) {
-    NoteRead(query, reply);
-    version_news news;
-    news.status = reply.status;
-    news.revision = reply.revision;
-    news.idle = query.call != version_call::kRead && reply.items.empty();
+    LogRead(query, reply);
+    version_reply summary;
+    summary.status = reply.status;
+    summary.revision = reply.revision;
+    summary.idle = query.call != version_call::kRead && reply.items.empty();
     const store_item* newest = nullptr;
     for (const store_item& item : reply.items) {
       if (item.key != Platform::kVersionKeyName || item.deleted) continue;
       newest = &item;
-      ++news.versions;
+      ++summary.versions;
     }
     if (reply.status == store_status::kDone && newest != nullptr) {
-      Take(newest->value, NameOf(query.call));
+      Apply(newest->value, NameOf(query.call));
     }
-    plan_.OnNews(query, news, BootNow());
+    plan_.OnStoreReply(query, summary, BootNow());
   }
 
   void AskPeer() {
     const uint64_t have = version_ == nullptr ? 0 : version_->Number();
     const bool text = !Arriving();
-    hooks_.ask_peer(have, text, Count(kPeerCall), [this](const std::optional<told_version>& told) {
-      arrived_.erase(kPeerCall);
-      numbers_.CountVersionRead("peer", told ? "done" : "unanswered");
-      if (told && !told->text.empty()) Take(told->text, "peer");
-      plan_.OnPeer(told ? std::optional(told->version) : std::nullopt, BootNow());
-    });
+    hooks_.ask_peer(
+        have, text, Count(kPeerCall), [this](const std::optional<peer_version_reply>& peer_reply) {
+          received_.erase(kPeerCall);
+          metrics_.CountVersionRead("peer", peer_reply ? "done" : "unanswered");
+          if (peer_reply && !peer_reply->text.empty()) Apply(peer_reply->text, "peer");
+          plan_.OnPeerReply(peer_reply ? std::optional(peer_reply->version) : std::nullopt,
+                            BootNow());
+        });
   }
 
   // What ended a read, and how far it had come: a limit that is too short for the text looks
   // different from a silent connection or a store that refuses.
-  void NoteRead(const version_query& query, const store_reply& reply) {
-    numbers_.CountVersionRead(NameOf(query.call), OutcomeOf(reply.status));
+  void LogRead(const version_query& query, const store_reply& reply) {
+    metrics_.CountVersionRead(NameOf(query.call), OutcomeOf(reply.status));
     if (reply.status == store_status::kDone) return;
     const monotonic_time now = BootNow();
-    log_.Write(
-        site_event::kVersionUnread, now,
-        absl::StrCat("source=", NameOf(query.call), " outcome=", OutcomeOf(reply.status),
-                     " bytes=", reply.bytes, " ms=", MillisSince(query.sent, now), " ", Held(now)));
+    log_.Write(site_event::kVersionUnread, now,
+               absl::StrCat("source=", NameOf(query.call), " outcome=", OutcomeOf(reply.status),
+                            " bytes=", reply.bytes, " ms=", MillisSince(query.sent, now), " ",
+                            VersionFields(now)));
   }
 
-  void NoteTrust(monotonic_time now) {
+  void LogTrustChange(monotonic_time now) {
     const bool confirmed = plan_.Trust(now) != version_trust::kUnconfirmed;
     if (std::exchange(confirmed_, confirmed) == confirmed) return;
     log_.Write(confirmed ? site_event::kVersionConfirmed : site_event::kVersionUnconfirmed, now,
-               absl::StrCat(Held(now), " heard=", plan_.Heard()));
+               absl::StrCat(VersionFields(now), " heard=", plan_.HighestKnown()));
   }
 
-  std::string Held(monotonic_time now) const {
+  std::string VersionFields(monotonic_time now) const {
     if (version_ == nullptr) return "version=0 age_ms=-1";
     return absl::StrCat("version=", version_->Number(), " age_ms=", MillisSince(plan_.AsOf(), now));
   }
 
-  void Take(const std::string& text, const char* source) {
+  void Apply(const std::string& text, const char* source) {
     if (text == text_) return;
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
@@ -200,8 +202,8 @@
           if (version_ != nullptr && version->Number() <= version_->Number()) return {};
           version_ = std::move(version);
           text_ = text;
-          plan_.OnTaken(version_->Number());
-          numbers_.version_bytes.Set(static_cast<double>(text_.size()));
+          plan_.OnApplied(version_->Number());
+          metrics_.version_bytes.Set(static_cast<double>(text_.size()));
           log_.Write(site_event::kVersionTaken, BootNow(),
                      absl::StrCat("version=", version_->Number(), " source=", source,
                                   " queues=", version_->Queues().size(),
@@ -220,10 +222,10 @@
   Platform& platform_;
   event_loop& loop_;
   site_log& log_;
-  site_metrics& numbers_;
+  site_metrics& metrics_;
   version_hooks hooks_;
-  version_plan plan_;
-  std::map<uint64_t, byte_counter> arrived_;  // of the calls under way
+  version_refresh plan_;
+  std::map<uint64_t, byte_counter> received_;  // of the calls under way
   std::shared_ptr<const site_version> version_;
   std::string text_;
   bool confirmed_ = false;
@@ -231,4 +233,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SITE_VERSION_FOLLOW_H_
+#endif  // CATKINFORD_PROCESS_SITE_VERSION_FOLLOWER_H_
--- a/test/owner_history_test.cc
+++ b/test/owner_history_test.cc
@@ -14,7 +14,7 @@
 class owner_history_fixture {
  protected:
   void Seen(uint64_t epoch, bool early, monotonic_time when) {
-    owner_word word;
+    owner_record word;
     word.epoch = epoch;
     word.early = early;
     history.OnSeen(word, when);
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE_METHOD(owner_history_fixture, "owner word, stored and read, keeps how it was claimed") {
-  owner_word word;
+  owner_record word;
   word.epoch = 7;
   word.early = true;
   const auto read = OwnerFromText(OwnerToText(word));
--- a/test/owner_suspicion_test.cc
+++ b/test/owner_suspicion_test.cc
@@ -106,7 +106,7 @@
 TEST_CASE("owner watchers, strong entries, are two of them and not the owner") {
   site_view view;
   for (const char* name : {"a", "b", "c", "d"}) view.entries[name] = {name, "", "zone", 1, 1.0};
-  view.owner = owner_word{view.entries["b"], 1};
+  view.owner = owner_record{view.entries["b"], 1};
   view.epoch = 1;
   size_t watchers = 0;
   for (const auto& [name, entry] : view.entries) watchers += WatchesOwner(view, name) ? 1 : 0;
--- a/test/pages_test.cc
+++ b/test/pages_test.cc
@@ -121,8 +121,8 @@
   site_metrics numbers;
   numbers.CountAnswer("submit", 200, std::chrono::microseconds(1));
   numbers.CountStoreCall("commit", "done");
-  numbers.CountOrder("start", "done");
-  numbers.CountEnd("done");
+  numbers.CountCommand("start", "done");
+  numbers.CountRunEnd("done");
   numbers.CountVersionRead("store", "done");
   numbers.CountTraffic("peer/state", {1, 200, 300});
   const std::string text = numbers.Text();
--- a/test/platform_codec_test.cc
+++ b/test/platform_codec_test.cc
@@ -6,8 +6,8 @@
 #include "platform/codecs.h"
 #include "platform/instance_calls.h"
 #include "process/scheduling/arrival_meter.h"
-#include "process/site/advice_spread.h"
-#include "process/site/peer_words.h"
+#include "process/site/advice_dispatcher.h"
+#include "process/site/peer_messages.h"
 #include "process/site/site_membership.h"
 #include "process/site/site_records.h"
 #include "process/site/site_settings.h"
@@ -208,7 +208,7 @@
 // Slow questions of a burst must not take all entries: quick work is late after some hundred
 // milliseconds, and would wait half a second behind them.
 TEST_CASE_METHOD(site_parts_fixture, "advice spread, burst of slow asks, keeps entries for quick") {
-  advice_spread spread;
+  advice_dispatcher spread;
   spread.SetEntries({"a", "b", "c", "d", "e", "f"});
   for (int i = 0; i < 10; ++i) spread.Add({});
   int slow = 0;
@@ -223,7 +223,7 @@
 }
 
 TEST_CASE_METHOD(site_parts_fixture, "advice spread, entry gone, gets nothing new") {
-  advice_spread spread;
+  advice_dispatcher spread;
   spread.SetEntries({"a", "b"});
   spread.SetEntries({"b"});
   spread.Add({});
@@ -238,7 +238,7 @@
 // it were believed, the new owner would think that it had lost the site.
 TEST_CASE_METHOD(site_parts_fixture, "site view, old news after newer, changes nothing") {
   site_view view;
-  const owner_word mine{{"me", "1.1.1.1:1", "d", 5}, 4};
+  const owner_record mine{{"me", "1.1.1.1:1", "d", 5}, 4};
   view.Take({kOwnerKey, OwnerToText(mine), 20});
   view.Take({kOwnerKey, {}, 15, true});
   REQUIRE(view.owner);
@@ -299,22 +299,24 @@
 }
 
 TEST_CASE_METHOD(site_parts_fixture, "words between entries, read back, are the same") {
-  const peer_question question{{"00000000000000ab", 1, 2, {"i-1"}, {}, false}, milliseconds(900)};
-  const auto again = PeerQuestionFromText(PeerQuestionToText(question));
+  const peer_advice_request question{{"00000000000000ab", 1, 2, {"i-1"}, {}, false},
+                                     milliseconds(900)};
+  const auto again = PeerAdviceRequestFromText(PeerAdviceRequestToText(question));
   REQUIRE(again);
   CHECK(again->order.instances == question.order.instances);
   CHECK(again->timeout == question.timeout);
-  CHECK(ToldPhaseFromText(ToldPhaseToText({true, graph_phase::kFailed}))->phase ==
+  CHECK(PeerPhaseReplyFromText(PeerPhaseReplyToText({true, graph_phase::kFailed}))->phase ==
         graph_phase::kFailed);
-  CHECK_FALSE(ToldPhaseFromText(R"({"owns":true,"phase":77})")->phase);
-  CHECK_FALSE(PeerAdviceFromText("[]"));
-  const auto told = ToldVersionFromText(ToldVersionToText({{7, 90, milliseconds(40)}, "{\n}"}));
+  CHECK_FALSE(PeerPhaseReplyFromText(R"({"owns":true,"phase":77})")->phase);
+  CHECK_FALSE(PeerAdviceReplyFromText("[]"));
+  const auto told =
+      PeerVersionReplyFromText(PeerVersionReplyToText({{7, 90, milliseconds(40)}, "{\n}"}));
   REQUIRE(told);
   CHECK(told->version.number == 7);
   CHECK(told->version.revision == 90);
   CHECK(told->version.age == milliseconds(40));
   CHECK(told->text == "{\n}");
-  CHECK_FALSE(ToldVersionFromText(R"({"number":7,"revision":90,"age_ms":40})"));
+  CHECK_FALSE(PeerVersionReplyFromText(R"({"number":7,"revision":90,"age_ms":40})"));
 }
 
 }  // namespace
--- a/test/record_mode_test.cc
+++ b/test/record_mode_test.cc
@@ -13,7 +13,7 @@
   void Changes(int count, milliseconds took) {
     for (int i = 0; i < count; ++i) {
       now += std::max(took, milliseconds{60});
-      mode.OnChange(took, now);
+      mode.OnChangeStored(took, now);
     }
   }
 
@@ -25,57 +25,57 @@
 // than half a second before anything runs.
 TEST_CASE_METHOD(record_mode_fixture, "record mode, slow store, starts leave once it is declared") {
   Changes(5, milliseconds{10});
-  CHECK_FALSE(mode.WantsDeclared());
+  CHECK_FALSE(mode.ShouldDeclareAsync());
   Changes(1, milliseconds{300});
-  CHECK(mode.WantsDeclared());
-  CHECK(mode.StartsWait());  // a next owner would not know yet
-  mode.OnDeclared();
-  CHECK_FALSE(mode.StartsWait());
+  CHECK(mode.ShouldDeclareAsync());
+  CHECK(mode.StartsAwaitRecords());  // a next owner would not know yet
+  mode.OnAsyncDeclared();
+  CHECK_FALSE(mode.StartsAwaitRecords());
 }
 
 TEST_CASE_METHOD(record_mode_fixture, "record mode, store quick again, waits for all records") {
   Changes(1, milliseconds{300});
-  mode.OnDeclared();
+  mode.OnAsyncDeclared();
   Changes(5, milliseconds{10});
-  CHECK_FALSE(mode.StartsWait());  // not trusted yet
+  CHECK_FALSE(mode.StartsAwaitRecords());  // not trusted yet
   Changes(30, milliseconds{10});
-  CHECK(mode.StartsWait());
-  CHECK_FALSE(mode.WantsWithdrawn(false));
-  CHECK(mode.WantsWithdrawn(true));
-  mode.OnWithdrawn();
-  CHECK_FALSE(mode.WantsWithdrawn(true));
+  CHECK(mode.StartsAwaitRecords());
+  CHECK_FALSE(mode.ShouldWithdrawAsync(false));
+  CHECK(mode.ShouldWithdrawAsync(true));
+  mode.OnAsyncWithdrawn();
+  CHECK_FALSE(mode.ShouldWithdrawAsync(true));
 }
 
 // The store is slow again before the declaration is withdrawn: it still stands.
 TEST_CASE_METHOD(record_mode_fixture,
                  "record mode, slow again while returning, needs no new word") {
   mode.OnInherited();
-  CHECK(mode.StartsWait());
-  mode.OnWaiting(milliseconds{200});
-  CHECK_FALSE(mode.StartsWait());
-  CHECK_FALSE(mode.WantsDeclared());
+  CHECK(mode.StartsAwaitRecords());
+  mode.OnChangePending(milliseconds{200});
+  CHECK_FALSE(mode.StartsAwaitRecords());
+  CHECK_FALSE(mode.ShouldDeclareAsync());
 }
 
 // An owner that nobody vouched for dies before it knows all that earlier ones may have started. If
 // it left no word of that, its follower would start a task that still runs out of its sight.
 TEST_CASE_METHOD(record_mode_fixture,
                  "record mode, owner not vouched for, declares until it knows") {
-  mode.OnUnvouched();
+  mode.OnUnconfirmedStarts();
   Changes(2, milliseconds{10});
-  CHECK(mode.WantsDeclared());
-  mode.OnDeclared();
+  CHECK(mode.ShouldDeclareAsync());
+  mode.OnAsyncDeclared();
   Changes(40, milliseconds{10});
-  CHECK_FALSE(mode.WantsWithdrawn(false));
-  CHECK(mode.WantsWithdrawn(true));
-  mode.OnWithdrawn();
+  CHECK_FALSE(mode.ShouldWithdrawAsync(false));
+  CHECK(mode.ShouldWithdrawAsync(true));
+  mode.OnAsyncWithdrawn();
   Changes(2, milliseconds{10});
-  CHECK_FALSE(mode.WantsDeclared());
+  CHECK_FALSE(mode.ShouldDeclareAsync());
 }
 
 TEST_CASE_METHOD(record_mode_fixture, "record mode, slow once and quick after, declares nothing") {
-  mode.OnWaiting(milliseconds{160});
+  mode.OnChangePending(milliseconds{160});
   Changes(1, milliseconds{10});
-  CHECK_FALSE(mode.WantsDeclared());
+  CHECK_FALSE(mode.ShouldDeclareAsync());
 }
 
 }  // namespace
--- a/test/site_soak.cc
+++ b/test/site_soak.cc
@@ -26,7 +26,8 @@
 constexpr uint32_t kTries = 4;
 constexpr char kQueue[] = "/open/";
 constexpr char kGoingQueue[] = "going";
-constexpr milliseconds kInForce{3000};  // a change is in force everywhere, by the entries' settings
+constexpr milliseconds kPropagationLimit{
+    3000};  // a change is in force everywhere, by the entries' settings
 constexpr milliseconds kBetweenVersions{1500};
 constexpr milliseconds kBetweenQueueChecks{40};
 constexpr milliseconds kCheckTimeout{300};  // an entry that stands still says nothing
@@ -196,7 +197,7 @@
   bool in_force = false;
   bool changed = false;
   for (const queue_change& change : queue_changes_) {
-    if (change.acknowledged <= asked - kInForce) {
+    if (change.acknowledged <= asked - kPropagationLimit) {
       in_force = change.there;
     } else if (change.sent <= answered) {
       changed = changed || change.there == there;
--- a/test/store_health_test.cc
+++ b/test/store_health_test.cc
@@ -29,7 +29,7 @@
   Wait(milliseconds{100});
   CHECK(health.State(now) == store_state::kUp);
   Wait(milliseconds{200});
-  CHECK(health.State(now) == store_state::kDoubtful);
+  CHECK(health.State(now) == store_state::kSuspect);
   Wait(milliseconds{500});
   CHECK(health.State(now) == store_state::kDown);
   AnswerAfter(milliseconds{6});
@@ -69,10 +69,10 @@
 TEST_CASE_METHOD(store_health_fixture, "store health, outage of four seconds, callers outlast it") {
   AnswerAfter(milliseconds{6});
   const monotonic_time outage = now;
-  for (int tries = 0; tries < 4; ++tries) Wait(health.ComeBackAfter(now));
+  for (int tries = 0; tries < 4; ++tries) Wait(health.RetryAfter(now));
   CHECK(now - outage > std::chrono::seconds(5));
   AnswerAfter(milliseconds{6});
-  CHECK(health.ComeBackAfter(now) == std::chrono::seconds(1));
+  CHECK(health.RetryAfter(now) == std::chrono::seconds(1));
 }
 
 }  // namespace
--- a/test/text_ration_test.cc
+++ b/test/text_rate_limiter_test.cc
@@ -1,4 +1,4 @@
-#include "process/site/text_ration.h"
+#include "process/site/text_rate_limiter.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -12,12 +12,12 @@
 TEST_CASE("text ration, asked by many, gives one text and keeps the link free") {
   monotonic_time now{seconds(1000)};
   constexpr size_t kText = 1'000'000;
-  text_ration narrow(10);
+  text_rate_limiter narrow(10);
   CHECK(narrow.Take(kText, now));
   CHECK_FALSE(narrow.Take(kText, now));
   CHECK_FALSE(narrow.Take(kText, now + seconds(3)));
   CHECK(narrow.Take(kText, now + seconds(4)));
-  text_ration wide(1000);
+  text_rate_limiter wide(1000);
   CHECK(wide.Take(kText, now));
   CHECK(wide.Take(kText, now + milliseconds{50}));
 }
--- a/test/version_plan_test.cc
+++ b/test/version_refresh_test.cc
@@ -1,4 +1,4 @@
-#include "process/site/version_plan.h"
+#include "process/site/version_refresh.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kStep{10};
-constexpr milliseconds kInForce{3000};
+constexpr milliseconds kPropagationLimit{3000};
 constexpr milliseconds kCallTimeout{1000};
 constexpr milliseconds kPeerTimeout{400};
 constexpr milliseconds kLatency{10};  // to the store or a peer and back
@@ -27,7 +27,7 @@
   // kDeaf: reads are answered, watches hear of nothing and get no answer.
   enum class store_mode : uint8_t { kUp, kDeaf, kSilent, kRefuses };
 
-  version_world() : plan(kInForce, now) { Acknowledge(); }
+  version_world() : plan(kPropagationLimit, now) { Acknowledge(); }
 
   bool Confirmed() const { return plan.Trust(now) != version_trust::kUnconfirmed; }
   bool IsNewest() const { return plan.Trust(now) == version_trust::kNewest; }
@@ -52,8 +52,8 @@
 
   // The safety of it all: what an entry still answers by misses nothing that has to be in force.
   void Check() {
-    if (!Confirmed() || number >= NewestBefore(now - kInForce)) return;
-    FAIL("answers by version " << number << " while " << NewestBefore(now - kInForce)
+    if (!Confirmed() || number >= NewestBefore(now - kPropagationLimit)) return;
+    FAIL("answers by version " << number << " while " << NewestBefore(now - kPropagationLimit)
                                << " has to be in force");
   }
 
@@ -62,7 +62,7 @@
     bool lost = false;  // never answered: its connection is silent, or the store was
     // Set once the answer is on its way.
     std::optional<monotonic_time> arrives;
-    version_news news;
+    version_reply news;
     uint64_t brings = 0;  // a version; 0: none
   };
   struct pending_question {
@@ -91,7 +91,7 @@
       }
       calls.push_back(call);
     }
-    if (plan.AsksPeer(now)) {
+    if (plan.ShouldQueryPeer(now)) {
       ++asked;
       pending_question question{now + kPeerTimeout, std::nullopt, 0};
       if (peer_answers) {
@@ -137,7 +137,7 @@
       const pending_call done = call;
       calls.erase(calls.begin() + static_cast<std::ptrdiff_t>(i));
       Take(done.brings);
-      plan.OnNews(done.query, done.news, now);
+      plan.OnStoreReply(done.query, done.news, now);
     }
     for (size_t i = 0; i < questions.size();) {
       if (questions[i].arrives > now) {
@@ -147,14 +147,14 @@
       const pending_question done = questions[i];
       questions.erase(questions.begin() + static_cast<std::ptrdiff_t>(i));
       if (done.word) Take(done.brings);
-      plan.OnPeer(done.word, now);
+      plan.OnPeerReply(done.word, now);
     }
   }
 
   void Take(uint64_t version) {
     if (version <= number) return;
     number = version;
-    plan.OnTaken(version);
+    plan.OnApplied(version);
   }
 
   // Kept connections go silent for good, and with them what is under way on them.
@@ -183,7 +183,7 @@
   }
 
   monotonic_time now{seconds(1000)};
-  version_plan plan;
+  version_refresh plan;
   std::vector<monotonic_time> acks;  // of version 1, 2, ...; the store's revisions are the same
   uint64_t number = 0;               // in force at the entry
   store_mode store = store_mode::kUp;
@@ -215,7 +215,7 @@
   Run(seconds(5));
   SilenceKept();
   Acknowledge();
-  Run(kInForce);
+  Run(kPropagationLimit);
   CHECK(number == 2);
 }
 
@@ -227,7 +227,7 @@
   Run(seconds(10));
   REQUIRE(texts == 1);
   Acknowledge();
-  Run(kInForce);
+  Run(kPropagationLimit);
   CHECK(number == 2);
   CHECK(texts == 2);
   Run(seconds(10), [this] { REQUIRE(Confirmed()); });
@@ -283,7 +283,7 @@
   SetStore(store_mode::kRefuses);
   Run(seconds(9), [this] { REQUIRE(Confirmed()); });
   Acknowledge();
-  Run(kInForce);
+  Run(kPropagationLimit);
   CHECK(number == 2);
 }
 
@@ -295,7 +295,7 @@
   SetStore(store_mode::kSilent);
   Acknowledge();
   Run(milliseconds{1500}, [this] { REQUIRE(Confirmed()); });
-  Run(kInForce);
+  Run(kPropagationLimit);
   CHECK_FALSE(Confirmed());
 }
 
@@ -313,7 +313,7 @@
                  "[version]") {
   Run(seconds(5));
   REQUIRE(IsNewest());
-  plan.OnPeer(peer_version{2, 2, milliseconds{0}}, now);
+  plan.OnPeerReply(peer_version{2, 2, milliseconds{0}}, now);
   CHECK(Confirmed());
   CHECK_FALSE(IsNewest());
 }
