--- a/src/process/site/version_follower.h
+++ b/src/process/site/version_follower.h
@@ -48,22 +48,22 @@
         log_(log),
         metrics_(metrics),
         hooks_(std::move(hooks)),
-        plan_(propagation_limit, BootNow()) {}
+        refresh_(propagation_limit, BootNow()) {}
 
   void Start() { Tick(); }
 
   // Null before the first one was read.
   const std::shared_ptr<const site_version>& Version() const { return version_; }
   const std::string& Text() const { return text_; }
-  version_trust Trust(monotonic_time now) const { return plan_.Trust(now); }
+  version_trust Trust(monotonic_time now) const { return refresh_.Trust(now); }
   // The configuration here was the newest at this time.
-  monotonic_time AsOf() const { return plan_.AsOf(); }
+  monotonic_time AsOf() const { return refresh_.AsOf(); }
   // What this entry tells another one.
   peer_version PeerVersion(monotonic_time now) const {
     peer_version out;
     if (version_ != nullptr) out.number = version_->Number();
-    out.revision = plan_.Revision();
-    out.age = std::chrono::ceil<std::chrono::milliseconds>(now - plan_.AsOf());
+    out.revision = refresh_.Revision();
+    out.age = std::chrono::ceil<std::chrono::milliseconds>(now - refresh_.AsOf());
     return out;
   }
 
@@ -106,8 +106,9 @@
 
   void SendDueCalls() {
     const monotonic_time now = BootNow();
-    while (const auto query = plan_.NextStoreCall(hooks_.store_up(), Arriving(), now)) Send(*query);
-    if (plan_.ShouldQueryPeer(now)) AskPeer();
+    while (const auto query = refresh_.NextStoreCall(hooks_.store_up(), Arriving(), now))
+      Send(*query);
+    if (refresh_.ShouldQueryPeer(now)) AskPeer();
     LogTrustChange(now);
   }
 
@@ -154,7 +155,7 @@
     if (reply.status == store_status::kDone && newest != nullptr) {
       Apply(newest->value, NameOf(query.call));
     }
-    plan_.OnStoreReply(query, summary, BootNow());
+    refresh_.OnStoreReply(query, summary, BootNow());
   }
 
   void AskPeer() {
@@ -165,8 +166,8 @@
           received_.erase(kPeerCall);
           metrics_.CountVersionRead("peer", peer_reply ? "done" : "unanswered");
           if (peer_reply && !peer_reply->text.empty()) Apply(peer_reply->text, "peer");
-          plan_.OnPeerReply(peer_reply ? std::optional(peer_reply->version) : std::nullopt,
-                            BootNow());
+          refresh_.OnPeerReply(peer_reply ? std::optional(peer_reply->version) : std::nullopt,
+                               BootNow());
         });
   }
 
@@ -183,15 +184,16 @@
   }
 
   void LogTrustChange(monotonic_time now) {
-    const bool confirmed = plan_.Trust(now) != version_trust::kUnconfirmed;
+    const bool confirmed = refresh_.Trust(now) != version_trust::kUnconfirmed;
     if (std::exchange(confirmed_, confirmed) == confirmed) return;
     log_.Write(confirmed ? site_event::kVersionConfirmed : site_event::kVersionUnconfirmed, now,
-               absl::StrCat(VersionFields(now), " heard=", plan_.HighestKnown()));
+               absl::StrCat(VersionFields(now), " heard=", refresh_.HighestKnown()));
   }
 
   std::string VersionFields(monotonic_time now) const {
     if (version_ == nullptr) return "version=0 age_ms=-1";
-    return absl::StrCat("version=", version_->Number(), " age_ms=", MillisSince(plan_.AsOf(), now));
+    return absl::StrCat("version=", version_->Number(),
+                        " age_ms=", MillisSince(refresh_.AsOf(), now));
   }
 
   void Apply(const std::string& text, const char* source) {
@@ -202,7 +204,7 @@
           if (version_ != nullptr && version->Number() <= version_->Number()) return {};
           version_ = std::move(version);
           text_ = text;
-          plan_.OnApplied(version_->Number());
+          refresh_.OnApplied(version_->Number());
           metrics_.version_bytes.Set(static_cast<double>(text_.size()));
           log_.Write(site_event::kVersionTaken, BootNow(),
                      absl::StrCat("version=", version_->Number(), " source=", source,
@@ -224,7 +226,7 @@
   site_log& log_;
   site_metrics& metrics_;
   version_hooks hooks_;
-  version_refresh plan_;
+  version_refresh refresh_;
   std::map<uint64_t, byte_counter> received_;  // of the calls under way
   std::shared_ptr<const site_version> version_;
   std::string text_;
--- a/test/fleet_record_test.cc
+++ b/test/fleet_record_test.cc
@@ -56,10 +56,10 @@
   const auto written = record.Update(Fleet(4), now);
   REQUIRE(written);
   CHECK(written->size() == 4);
-  std::vector<instance_report> reborn = Fleet(4);
-  reborn[2].incarnation = 2;
+  std::vector<instance_report> restarted = Fleet(4);
+  restarted[2].incarnation = 2;
   now += milliseconds{300};
-  const auto again = record.Update(reborn, now);
+  const auto again = record.Update(restarted, now);
   REQUIRE(again);
   CHECK(again->at(2).incarnation == 2);
 }
--- a/test/narrow_link_test.cc
+++ b/test/narrow_link_test.cc
@@ -14,7 +14,7 @@
 // longer than any call to the store may stay unanswered.
 class narrow_link_fixture : public site_fixture {
  protected:
-  static constexpr uint64_t kNarrow = 150'000;  // bytes a second
+  static constexpr uint64_t kNarrowBytesPerSecond = 150'000;  // bytes a second
   static constexpr size_t kQueues = 2500;
 
   narrow_link_fixture() : site_fixture(no_entries{}) {
@@ -32,7 +32,7 @@
   void Narrow() {
     for (const link_index link : links_) {
       link_rule rule;
-      rule.bytes_per_second = kNarrow;
+      rule.bytes_per_second = kNarrowBytesPerSecond;
       proxy_.SetRule(link, rule);
     }
   }
@@ -81,15 +81,17 @@
                  "[version]") {
   for (auto& entry : entries_) Start(*entry);
   REQUIRE(Eventually([this] { return Ready(0) && Ready(1) && Owner() >= 0; }));
-  const auto nowhere = [this] { return Call(0, "POST", "/nowhere/" + JobId(1), TwoSteps()).code; };
-  CHECK(nowhere() == 404);
+  const auto unknown_queue_status = [this] {
+    return Call(0, "POST", "/nowhere/" + JobId(1), TwoSteps()).code;
+  };
+  CHECK(unknown_queue_status() == 404);
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "other").code == 401);
   for (const link_index link : links_) proxy_.SetRule(link, {link_state::kHold});
-  CHECK(Eventually([&] { return nowhere() == 503; }));
+  CHECK(Eventually([&] { return unknown_queue_status() == 503; }));
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "other").code == 503);
   CHECK_FALSE(Ready(0));
   for (const link_index link : links_) proxy_.SetRule(link, {});
-  CHECK(Eventually([&] { return nowhere() == 404; }));
+  CHECK(Eventually([&] { return unknown_queue_status() == 404; }));
   CHECK(Eventually([this] { return Ready(0) && Ready(1); }));
 }
 
--- a/test/site_fixture.h
+++ b/test/site_fixture.h
@@ -24,10 +24,10 @@
 
 inline constexpr std::chrono::seconds kGenerousLimit{30};
 
-inline bool Eventually(const std::function<bool()>& holds) {
+inline bool Eventually(const std::function<bool()>& condition) {
   const auto until = std::chrono::steady_clock::now() + kGenerousLimit;
   while (std::chrono::steady_clock::now() < until) {
-    if (holds()) return true;
+    if (condition()) return true;
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
   return false;
--- a/test/site_fleet_test.cc
+++ b/test/site_fleet_test.cc
@@ -53,16 +53,16 @@
 }
 
 TEST_CASE_METHOD(site_fixture, "site, cancelled job, is told so and its tasks end") {
-  const std::string lasting = json{{"task-spec", "work"},
-                                   {"steps",
-                                    {{{"count", 2},
-                                      {"cpu", 500},
-                                      {"mem-mb", 64},
-                                      {"estimate-ms", 100},
-                                      {"long-running", true}}}}}
-                                  .dump();
+  const std::string long_running = json{
+      {"task-spec", "work"},
+      {"steps",
+       {{{"count", 2},
+         {"cpu", 500},
+         {"mem-mb", 64},
+         {"estimate-ms", 100},
+         {"long-running", true}}}}}.dump();
   const std::string path = "/open/" + JobId(7);
-  REQUIRE(Call(0, "POST", path, lasting).code == 200);
+  REQUIRE(Call(0, "POST", path, long_running).code == 200);
   REQUIRE(Eventually([this] { return instances_.Running() == 2; }));
   CHECK(Call(1, "DELETE", path).code == 200);
   CHECK(Eventually([&] { return StateOf(0, path) == "cancelled"; }));
--- a/test/site_soak.cc
+++ b/test/site_soak.cc
@@ -18,18 +18,18 @@
 
 constexpr size_t kEntries = 5;
 constexpr size_t kInstances = 6;
-constexpr milliseconds kTaskTakes{250};
-constexpr milliseconds kBetweenJobs{60};
-constexpr milliseconds kBetweenFaults{350};
+constexpr milliseconds kTaskDuration{250};
+constexpr milliseconds kJobInterval{60};
+constexpr milliseconds kFaultInterval{350};
 constexpr milliseconds kCallTimeout{3000};  // what callers wait for an answer
-constexpr seconds kCalmLimit{60};           // generous: leases of dead owners and runs end first
+constexpr seconds kRecoveryLimit{60};       // generous: leases of dead owners and runs end first
 constexpr uint32_t kTries = 4;
 constexpr char kQueue[] = "/open/";
-constexpr char kGoingQueue[] = "going";
+constexpr char kTransientQueue[] = "going";
 constexpr milliseconds kPropagationLimit{
     3000};  // a change is in force everywhere, by the entries' settings
-constexpr milliseconds kBetweenVersions{1500};
-constexpr milliseconds kBetweenQueueChecks{40};
+constexpr milliseconds kVersionInterval{1500};
+constexpr milliseconds kQueueCheckInterval{40};
 constexpr milliseconds kCheckTimeout{300};  // an entry that stands still says nothing
 constexpr uint32_t kManyQueues = 2500;      // some 570 KB on the wire
 
@@ -52,9 +52,9 @@
 
 site_soak::site_soak(uint64_t seed, const std::string& name)
     : random_(seed),
-      versions_(seed + 1),
+      version_random_(seed + 1),
       name_(name),
-      instances_(store_, kInstances, kTaskTakes),
+      instances_(store_, kInstances, kTaskDuration),
       http_(16) {
   proxy_.Start();
   http_.Start();
@@ -77,24 +77,24 @@
   proxy_.Stop();
 }
 
-void site_soak::WriteSettings(entry& made, const std::string& domain) {
-  made.callers = FreePort();
-  made.store_link = proxy_.AddLink(store_.Port());
-  const std::string base = absl::StrCat(CATKINFORD_BIN_DIR, "/soak_", name_, "_", made.name);
-  made.settings_file = base + ".json";
-  made.log_file = base + ".log";
-  const json settings{{"name", made.name},
+void site_soak::WriteSettings(entry& added, const std::string& domain) {
+  added.callers = FreePort();
+  added.store_link = proxy_.AddLink(store_.Port());
+  const std::string base = absl::StrCat(CATKINFORD_BIN_DIR, "/soak_", name_, "_", added.name);
+  added.settings_file = base + ".json";
+  added.log_file = base + ".log";
+  const json settings{{"name", added.name},
                       {"failure_domain", domain},
                       {"listen",
-                       {{"callers", absl::StrCat("127.0.0.1:", made.callers)},
+                       {{"callers", absl::StrCat("127.0.0.1:", added.callers)},
                         {"ready", absl::StrCat("127.0.0.1:", FreePort())},
                         {"address", "127.0.0.1"},
                         {"peer_port", FreePort()},
                         {"metrics_port", 0}}},
                       {"platform",
-                       {{"store", absl::StrCat("127.0.0.1:", proxy_.PortOf(made.store_link))},
+                       {{"store", absl::StrCat("127.0.0.1:", proxy_.PortOf(added.store_link))},
                         {"advice", instances_.AdviceAddress()}}}};
-  std::ofstream(made.settings_file) << settings.dump();
+  std::ofstream(added.settings_file) << settings.dump();
 }
 
 void site_soak::StartEntry(entry& one) {
@@ -130,14 +130,14 @@
                      {"after", {0}}});
   }
   const std::string body = json{{"task-spec", id}, {"steps", steps}}.dump();
-  job& made = jobs_[id];
-  for (uint32_t tries = 0; tries < kTries && !made.accepted; ++tries) {
+  job& added = jobs_[id];
+  for (uint32_t tries = 0; tries < kTries && !added.accepted; ++tries) {
     const http_result result = Call(Pick(kEntries), "POST", PathOf(id), body, kCallTimeout);
     if (result.status == transfer_status::kNotSent) continue;
-    if (result.status == transfer_status::kDone && result.code == 200) made.accepted = true;
+    if (result.status == transfer_status::kDone && result.code == 200) added.accepted = true;
     const bool refused = result.status == transfer_status::kDone &&
                          (result.code == 503 || result.code == 429 || result.code == 404);
-    if (!made.accepted && !refused) made.unsure = true;
+    if (!added.accepted && !refused) added.outcome_unknown = true;
   }
 }
 
@@ -152,19 +152,19 @@
   if (!refused) chosen->second.cancelled = true;
 }
 
-void site_soak::Ask() {
+void site_soak::QueryJobStates() {
   for (auto& [id, one] : jobs_) {
     if (!one.accepted || one.state == "completed" || one.state == "cancelled") continue;
     const http_result result = Call(Pick(kEntries), "GET", PathOf(id), {}, kCallTimeout);
     if (result.status != transfer_status::kDone) continue;
     if (result.code == 410)
-      broken_.push_back(absl::StrCat(id, ": accepted, and told to be unknown"));
+      violations_.push_back(absl::StrCat(id, ": accepted, and told to be unknown"));
     if (result.code != 200) continue;
     const json body = json::parse(result.body, nullptr, false);
     one.state = body.is_object() ? body.value("state", std::string()) : std::string();
-    if (one.state == "failed") broken_.push_back(absl::StrCat(id, ": failed without a cause"));
+    if (one.state == "failed") violations_.push_back(absl::StrCat(id, ": failed without a cause"));
     if (one.state == "cancelled" && !one.cancelled) {
-      broken_.push_back(absl::StrCat(id, ": cancelled, and nobody asked for it"));
+      violations_.push_back(absl::StrCat(id, ": cancelled, and nobody asked for it"));
     }
   }
 }
@@ -173,10 +173,10 @@
 // ----------------------------------------------------------------------------
 
 void site_soak::ChangeVersion() {
-  const bool there = PickVersion(2) == 0;
+  const bool present = PickForVersions(2) == 0;
   json queues = json::array({OpenQueue("open")});
-  if (there) queues.push_back(OpenQueue(kGoingQueue));
-  const uint32_t more = PickVersion(2) == 0 ? 0 : PickVersion(kManyQueues);
+  if (present) queues.push_back(OpenQueue(kTransientQueue));
+  const uint32_t more = PickForVersions(2) == 0 ? 0 : PickForVersions(kManyQueues);
   for (uint32_t i = 0; i < more; ++i) queues.push_back(OpenQueue(absl::StrCat("other-", i)));
   const json version{{"version", ++version_},
                      {"routes", queues},
@@ -184,7 +184,7 @@
                      {"limits", {{"max-body-bytes", 20000}}},
                      {"tenants", json::array()}};
   const std::string text = version.dump();
-  queue_change change{there, steady_clock::now(), {}};
+  queue_change change{present, steady_clock::now(), {}};
   store_.Put("op/config", text);
   change.acknowledged = steady_clock::now();
   queue_changes_.push_back(change);
@@ -192,63 +192,65 @@
 
 // By what was in force when it was asked, or by any change since: until the time is over within
 // which a change has to be in force, both old and new may be said.
-bool site_soak::MaySay(bool there, steady_clock::time_point asked,
-                       steady_clock::time_point answered) const {
-  bool in_force = false;
+bool site_soak::AnswerAllowed(bool present, steady_clock::time_point asked,
+                              steady_clock::time_point answered) const {
+  bool in_effect = false;
   bool changed = false;
   for (const queue_change& change : queue_changes_) {
     if (change.acknowledged <= asked - kPropagationLimit) {
-      in_force = change.there;
+      in_effect = change.present;
     } else if (change.sent <= answered) {
-      changed = changed || change.there == there;
+      changed = changed || change.present == present;
     }
   }
-  return in_force == there || changed;
+  return in_effect == present || changed;
 }
 
 // A body that no queue takes: refused as malformed where the queue is, as unknown where it is not.
-std::optional<bool> site_soak::AskForQueue(size_t at) {
+std::optional<bool> site_soak::QueryTransientQueue(size_t at) {
   const auto asked = steady_clock::now();
-  const http_result result = Call(at, "POST", absl::StrCat("/", kGoingQueue, "/00000000000000ff"),
-                                  "no json", kCheckTimeout);
+  const http_result result =
+      Call(at, "POST", absl::StrCat("/", kTransientQueue, "/00000000000000ff"), "no json",
+           kCheckTimeout);
   const auto answered = steady_clock::now();
-  const bool told = result.status == transfer_status::kDone;
-  if (!told || (result.code != 400 && result.code != 404)) return std::nullopt;
-  const bool there = result.code == 400;
-  if (!MaySay(there, asked, answered)) {
-    broken_.push_back(absl::StrCat(entries_[at]->name, ": says ", there ? "there" : "not there",
-                                   " of a queue, by a version that is out of force; newest is ",
-                                   version_));
+  const bool answered_in_time = result.status == transfer_status::kDone;
+  if (!answered_in_time || (result.code != 400 && result.code != 404)) return std::nullopt;
+  const bool present = result.code == 400;
+  if (!AnswerAllowed(present, asked, answered)) {
+    violations_.push_back(
+        absl::StrCat(entries_[at]->name, ": says ", present ? "there" : "not there",
+                     " of a queue, by a version that is out of force; newest is ", version_));
   }
-  return there;
+  return present;
 }
 
-bool site_soak::AllFollow() {
+bool site_soak::AllAtNewestVersion() {
   bool all = true;
-  for (size_t i = 0; i < kEntries; ++i) all = AskForQueue(i) == queue_changes_.back().there && all;
+  for (size_t i = 0; i < kEntries; ++i)
+    all = QueryTransientQueue(i) == queue_changes_.back().present && all;
   return all;
 }
 
 // --- faults --------------------------------------------------------------------------------------
 
-void site_soak::BringFault() {
+void site_soak::InjectFault() {
   ++faults_;
   switch (Pick(8)) {
     case 0:
     case 1:
     case 2:
-      return FaultOfProcess(*entries_[Pick(kEntries)]);
+      return InjectProcessFault(*entries_[Pick(kEntries)]);
     case 3:
     case 4:
-      return FaultOfStoreLink(*entries_[Pick(kEntries)]);
+      return InjectStoreLinkFault(*entries_[Pick(kEntries)]);
     case 5:
-      return FaultOfInstance();
+      return InjectInstanceFault();
     default:
-      return FaultOfStore();
+      return InjectStoreFault();
   }
 }
 
-void site_soak::FaultOfProcess(entry& one) {
+void site_soak::InjectProcessFault(entry& one) {
   if (!one.process.Alive()) return StartEntry(one);
   if (one.paused) {
     one.process.Signal(SIGCONT);
@@ -269,18 +271,18 @@
   }
 }
 
-void site_soak::FaultOfStoreLink(entry& one) {
+void site_soak::InjectStoreLinkFault(entry& one) {
   constexpr link_state kStates[] = {link_state::kPass, link_state::kPass,   link_state::kCut,
                                     link_state::kHold, link_state::kOneWay, link_state::kOtherWay};
   link_rule rule;
   rule.state = kStates[Pick(std::size(kStates))];
   if (Pick(4) == 0) rule.delay = milliseconds(Pick(150));
-  if (PickVersion(3) == 0) rule.bytes_per_second = 150'000 + PickVersion(600'000);
+  if (PickForVersions(3) == 0) rule.bytes_per_second = 150'000 + PickForVersions(600'000);
   proxy_.SetRule(one.store_link, rule);
   if (Pick(4) == 0) proxy_.SilenceOpenConnections(one.store_link);
 }
 
-void site_soak::FaultOfInstance() {
+void site_soak::InjectInstanceFault() {
   const link_index link = instance_links_[Pick(kInstances)];
   constexpr link_state kStates[] = {link_state::kPass, link_state::kCut, link_state::kOneWay};
   link_rule rule;
@@ -289,7 +291,7 @@
   if (Pick(3) == 0) proxy_.SilenceOpenConnections(link);
 }
 
-void site_soak::FaultOfStore() {
+void site_soak::InjectStoreFault() {
   switch (Pick(3)) {
     case 0:
       return store_.SetDown(Pick(2) == 0);
@@ -300,7 +302,7 @@
   }
 }
 
-void site_soak::Mend() {
+void site_soak::ClearFaults() {
   store_.SetDown(false);
   for (auto& one : entries_) {
     proxy_.SetRule(one->store_link, {});
@@ -318,7 +320,7 @@
   for (auto& one : entries_) {
     if (!one->process.Alive()) StartEntry(*one);
   }
-  Ask();
+  QueryJobStates();
   return std::all_of(jobs_.begin(), jobs_.end(), [](const auto& item) {
     const job& one = item.second;
     return !one.accepted || one.cancelled || one.state == "completed";
@@ -326,50 +328,50 @@
 }
 
 std::vector<std::string> site_soak::Run(milliseconds time) {
-  const auto begun = steady_clock::now();
-  auto next_job = begun;
-  auto next_fault = begun + seconds(2);
-  auto next_version = begun + seconds(3);
-  auto next_check = begun;
-  while (steady_clock::now() < begun + time) {
+  const auto run_start = steady_clock::now();
+  auto next_job = run_start;
+  auto next_fault = run_start + seconds(2);
+  auto next_version = run_start + seconds(3);
+  auto next_check = run_start;
+  while (steady_clock::now() < run_start + time) {
     std::this_thread::sleep_for(milliseconds(5));
     if (steady_clock::now() >= next_job) {
       Submit();
       if (Pick(12) == 0) CancelOne();
-      next_job = steady_clock::now() + kBetweenJobs;
+      next_job = steady_clock::now() + kJobInterval;
     }
     if (steady_clock::now() >= next_fault) {
-      BringFault();
-      next_fault = steady_clock::now() + kBetweenFaults;
+      InjectFault();
+      next_fault = steady_clock::now() + kFaultInterval;
     }
     if (steady_clock::now() >= next_version) {
       ChangeVersion();
-      next_version = steady_clock::now() + kBetweenVersions * (1 + PickVersion(3));
+      next_version = steady_clock::now() + kVersionInterval * (1 + PickForVersions(3));
     }
     if (steady_clock::now() >= next_check) {
-      AskForQueue(PickVersion(kEntries));
-      next_check = steady_clock::now() + kBetweenQueueChecks;
+      QueryTransientQueue(PickForVersions(kEntries));
+      next_check = steady_clock::now() + kQueueCheckInterval;
     }
   }
-  Mend();
-  const auto calm = steady_clock::now();
-  while (!AllEnded() && steady_clock::now() < calm + kCalmLimit) {
+  ClearFaults();
+  const auto recovery_start = steady_clock::now();
+  while (!AllEnded() && steady_clock::now() < recovery_start + kRecoveryLimit) {
     std::this_thread::sleep_for(milliseconds(200));
   }
-  while (!AllFollow() && steady_clock::now() < calm + 2 * kCalmLimit) {
+  while (!AllAtNewestVersion() && steady_clock::now() < recovery_start + 2 * kRecoveryLimit) {
     std::this_thread::sleep_for(milliseconds(200));
   }
   CheckAtEnd();
-  return broken_;
+  return violations_;
 }
 
 void site_soak::CheckAtEnd() {
-  if (!AllFollow()) broken_.push_back("an entry never follows the newest version");
+  if (!AllAtNewestVersion()) violations_.push_back("an entry never follows the newest version");
   for (const std::string& task : instances_.Doubles()) {
-    broken_.push_back(absl::StrCat(task, ": two runs at the same time"));
+    violations_.push_back(absl::StrCat(task, ": two runs at the same time"));
   }
   for (const std::string& task : instances_.StartsAfterDone()) {
-    broken_.push_back(absl::StrCat(task, ": started after its end was acknowledged"));
+    violations_.push_back(absl::StrCat(task, ": started after its end was acknowledged"));
   }
   std::set<std::string> started;
   for (const standin_start& start : instances_.Starts()) {
@@ -377,10 +379,10 @@
   }
   for (const auto& [id, one] : jobs_) {
     if (one.accepted && !one.cancelled && one.state != "completed") {
-      broken_.push_back(absl::StrCat(id, ": accepted, and never completed: ", one.state));
+      violations_.push_back(absl::StrCat(id, ": accepted, and never completed: ", one.state));
     }
-    if (!one.accepted && !one.unsure && started.contains(id)) {
-      broken_.push_back(absl::StrCat(id, ": refused each time, and ran"));
+    if (!one.accepted && !one.outcome_unknown && started.contains(id)) {
+      violations_.push_back(absl::StrCat(id, ": refused each time, and ran"));
     }
   }
 }
--- a/test/site_soak.h
+++ b/test/site_soak.h
@@ -46,43 +46,46 @@
   };
   struct job {
     bool accepted = false;
-    bool unsure = false;     // some try got neither a yes nor a no
-    bool cancelled = false;  // or may be
+    bool outcome_unknown = false;  // some try got neither a yes nor a no
+    bool cancelled = false;        // or may be
     std::string state;
   };
   // A queue that comes and goes with the versions of the configuration.
   struct queue_change {
-    bool there = false;
+    bool present = false;
     std::chrono::steady_clock::time_point sent;
     std::chrono::steady_clock::time_point acknowledged;
   };
 
   void ChangeVersion();
-  bool MaySay(bool there, std::chrono::steady_clock::time_point asked,
-              std::chrono::steady_clock::time_point answered) const;
+  bool AnswerAllowed(bool present, std::chrono::steady_clock::time_point asked,
+                     std::chrono::steady_clock::time_point answered) const;
   // What the entry says of that queue; nothing: neither yes nor no.
-  std::optional<bool> AskForQueue(size_t at);
-  bool AllFollow();
-  uint32_t PickVersion(uint32_t bound) { return static_cast<uint32_t>(versions_() % bound); }
+  std::optional<bool> QueryTransientQueue(size_t at);
+  bool AllAtNewestVersion();
+  uint32_t PickForVersions(uint32_t bound) {
+    return static_cast<uint32_t>(version_random_() % bound);
+  }
   uint32_t Pick(uint32_t bound) { return static_cast<uint32_t>(random_() % bound); }
-  void WriteSettings(entry& made, const std::string& domain);
+  void WriteSettings(entry& added, const std::string& domain);
   void StartEntry(entry& one);
   http_result Call(size_t at, const std::string& method, const std::string& path,
                    const std::string& body, std::chrono::milliseconds timeout);
   void Submit();
   void CancelOne();
-  void Ask();
-  void BringFault();
-  void FaultOfProcess(entry& one);
-  void FaultOfStoreLink(entry& one);
-  void FaultOfInstance();
-  void FaultOfStore();
-  void Mend();
+  void QueryJobStates();
+  void InjectFault();
+  void InjectProcessFault(entry& one);
+  void InjectStoreLinkFault(entry& one);
+  void InjectInstanceFault();
+  void InjectStoreFault();
+  void ClearFaults();
   bool AllEnded();
   void CheckAtEnd();
 
   std::mt19937_64 random_;
-  std::mt19937_64 versions_;  // of its own: the course of the other faults does not depend on it
+  std::mt19937_64
+      version_random_;  // of its own: the course of the other faults does not depend on it
   std::string name_;
   standin_metadata_store store_;
   standin_instances instances_;
@@ -95,7 +98,7 @@
   uint64_t version_ = 0;
   std::vector<queue_change> queue_changes_;
   size_t faults_ = 0;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace catkinford
--- a/test/site_soak_test.cc
+++ b/test/site_soak_test.cc
@@ -13,14 +13,14 @@
 namespace catkinford {
 namespace {
 
-constexpr std::chrono::seconds kFaultsFor{12};
+constexpr std::chrono::seconds kFaultDuration{12};
 
 void RunSeed(uint64_t seed) {
   INFO("seed " << seed);
   site_soak soak(seed, absl::StrCat("seed", seed));
-  const std::vector<std::string> broken = soak.Run(kFaultsFor);
-  for (const std::string& what : broken) UNSCOPED_INFO(what);
-  CHECK(broken.empty());
+  const std::vector<std::string> violations = soak.Run(kFaultDuration);
+  for (const std::string& what : violations) UNSCOPED_INFO(what);
+  CHECK(violations.empty());
   CHECK(soak.Accepted() > 0);
 }
 
@@ -34,9 +34,9 @@
 TEST_CASE("site soak, queue added among faults, is never said to be missing") { RunSeed(8); }
 
 TEST_CASE("site soak, seeds given by hand, keeps every promise", "[.soak]") {
-  const char* given = std::getenv("CATKINFORD_SOAK_SEEDS");
-  REQUIRE(given != nullptr);
-  const std::vector<std::string> ends = absl::StrSplit(given, ':');
+  const char* range = std::getenv("CATKINFORD_SOAK_SEEDS");
+  REQUIRE(range != nullptr);
+  const std::vector<std::string> ends = absl::StrSplit(range, ':');
   REQUIRE(ends.size() == 2);
   uint64_t from = 0;
   uint64_t to = 0;
--- a/test/version_refresh_test.cc
+++ b/test/version_refresh_test.cc
@@ -24,13 +24,13 @@
 // texts slowly, kept connections that can go silent, and another entry that holds the newest.
 class version_world {
  protected:
-  // kDeaf: reads are answered, watches hear of nothing and get no answer.
-  enum class store_mode : uint8_t { kUp, kDeaf, kSilent, kRefuses };
+  // kWatchesSilent: reads are answered, watches hear of nothing and get no answer.
+  enum class store_mode : uint8_t { kUp, kWatchesSilent, kSilent, kRejects };
 
-  version_world() : plan(kPropagationLimit, now) { Acknowledge(); }
+  version_world() : refresh(kPropagationLimit, now) { Acknowledge(); }
 
-  bool Confirmed() const { return plan.Trust(now) != version_trust::kUnconfirmed; }
-  bool IsNewest() const { return plan.Trust(now) == version_trust::kNewest; }
+  bool Confirmed() const { return refresh.Trust(now) != version_trust::kUnconfirmed; }
+  bool IsNewest() const { return refresh.Trust(now) == version_trust::kNewest; }
 
   void Acknowledge() { acks.push_back(now); }
   uint64_t Newest() const { return acks.size(); }
@@ -45,13 +45,13 @@
     for (const auto until = now + time; now < until; now += kStep) {
       Deliver();
       Drive();
-      Check();
+      CheckSafety();
       each();
     }
   }
 
   // The safety of it all: what an entry still answers by misses nothing that has to be in force.
-  void Check() {
+  void CheckSafety() {
     if (!Confirmed() || number >= NewestBefore(now - kPropagationLimit)) return;
     FAIL("answers by version " << number << " while " << NewestBefore(now - kPropagationLimit)
                                << " has to be in force");
@@ -62,72 +62,73 @@
     bool lost = false;  // never answered: its connection is silent, or the store was
     // Set once the answer is on its way.
     std::optional<monotonic_time> arrives;
-    version_reply news;
-    uint64_t brings = 0;  // a version; 0: none
+    version_reply reply;
+    uint64_t version = 0;  // a version; 0: none
   };
-  struct pending_question {
+  struct pending_peer_query {
     monotonic_time arrives;
-    std::optional<peer_version> word;
-    uint64_t brings = 0;
+    std::optional<peer_version> reply;
+    uint64_t version = 0;
   };
 
   bool Arriving() const {
     return std::any_of(calls.begin(), calls.end(), [this](const pending_call& call) {
-      return call.brings != 0 && call.arrives && *call.arrives > now;
+      return call.version != 0 && call.arrives && *call.arrives > now;
     });
   }
-  bool StoreUp() const { return store == store_mode::kUp || store == store_mode::kDeaf; }
+  bool StoreUp() const { return store == store_mode::kUp || store == store_mode::kWatchesSilent; }
 
   void Drive() {
-    while (const auto query = plan.NextStoreCall(StoreUp(), Arriving(), now)) {
+    while (const auto query = refresh.NextStoreCall(StoreUp(), Arriving(), now)) {
       ++sent;
       pending_call call;
       call.query = *query;
-      call.lost = store == store_mode::kSilent || (kept_silent && !query->fresh_connection);
-      if (query->fresh_connection) kept_silent = false;
-      if (!call.lost && store == store_mode::kRefuses) {
-        call.news.status = store_status::kUnavailable;
+      call.lost = store == store_mode::kSilent || (pooled_silent && !query->fresh_connection);
+      if (query->fresh_connection) pooled_silent = false;
+      if (!call.lost && store == store_mode::kRejects) {
+        call.reply.status = store_status::kUnavailable;
         call.arrives = now + kLatency;
       }
       calls.push_back(call);
     }
-    if (plan.ShouldQueryPeer(now)) {
-      ++asked;
-      pending_question question{now + kPeerTimeout, std::nullopt, 0};
+    if (refresh.ShouldQueryPeer(now)) {
+      ++peer_queries_sent;
+      pending_peer_query peer_query{now + kPeerTimeout, std::nullopt, 0};
       if (peer_answers) {
-        question.word = peer_version{Newest(), Newest(), milliseconds{0}};
-        const bool gives = Newest() > number && !Arriving();
-        question.brings = gives ? Newest() : 0;
-        question.arrives = now + kLatency + (gives ? peer_text_takes : milliseconds{0});
+        peer_query.reply = peer_version{Newest(), Newest(), milliseconds{0}};
+        const bool sends_text = Newest() > number && !Arriving();
+        peer_query.version = sends_text ? Newest() : 0;
+        peer_query.arrives = now + kLatency + (sends_text ? peer_text_duration : milliseconds{0});
       }
-      questions.push_back(question);
+      peer_queries.push_back(peer_query);
     }
   }
 
   // What the store answers a call that it holds.
   void Answer(pending_call& call) {
     const bool read = call.query.call == version_call::kRead;
-    const bool news = read || Newest() > call.query.after;
+    const bool reply = read || Newest() > call.query.after;
     const bool over = now >= call.query.sent + call.query.wait;
-    if (!news && !over) return;
-    call.news.status = store_status::kDone;
-    call.news.revision = Newest();
-    call.news.idle = !news;
-    call.news.versions = read ? 1 : static_cast<size_t>(Newest() - call.query.after);
-    call.brings = news ? Newest() : 0;
-    call.arrives = now + kLatency + text_takes * static_cast<int>(news ? call.news.versions : 0);
-    if (news) texts += call.news.versions;
+    if (!reply && !over) return;
+    call.reply.status = store_status::kDone;
+    call.reply.revision = Newest();
+    call.reply.idle = !reply;
+    call.reply.versions = read ? 1 : static_cast<size_t>(Newest() - call.query.after);
+    call.version = reply ? Newest() : 0;
+    call.arrives =
+        now + kLatency + text_duration * static_cast<int>(reply ? call.reply.versions : 0);
+    if (reply) texts += call.reply.versions;
   }
 
   void Deliver() {
     for (size_t i = 0; i < calls.size();) {
       pending_call& call = calls[i];
-      const bool heard = store == store_mode::kUp ||
-                         (store == store_mode::kDeaf && call.query.call == version_call::kRead);
-      const bool held = !call.lost && !call.arrives && heard;
+      const bool responds = store == store_mode::kUp || (store == store_mode::kWatchesSilent &&
+                                                         call.query.call == version_call::kRead);
+      const bool held = !call.lost && !call.arrives && responds;
       if (held) Answer(call);
       if (!call.arrives && now >= call.query.sent + call.query.wait + kCallTimeout) {
-        call.news.status = store_status::kUnknown;
+        call.reply.status = store_status::kUnknown;
         call.arrives = now;
       }
       if (!call.arrives || *call.arrives > now) {
@@ -136,65 +137,66 @@
       }
       const pending_call done = call;
       calls.erase(calls.begin() + static_cast<std::ptrdiff_t>(i));
-      Take(done.brings);
-      plan.OnStoreReply(done.query, done.news, now);
+      Apply(done.version);
+      refresh.OnStoreReply(done.query, done.reply, now);
     }
-    for (size_t i = 0; i < questions.size();) {
-      if (questions[i].arrives > now) {
+    for (size_t i = 0; i < peer_queries.size();) {
+      if (peer_queries[i].arrives > now) {
         ++i;
         continue;
       }
-      const pending_question done = questions[i];
-      questions.erase(questions.begin() + static_cast<std::ptrdiff_t>(i));
-      if (done.word) Take(done.brings);
-      plan.OnPeerReply(done.word, now);
+      const pending_peer_query done = peer_queries[i];
+      peer_queries.erase(peer_queries.begin() + static_cast<std::ptrdiff_t>(i));
+      if (done.reply) Apply(done.version);
+      refresh.OnPeerReply(done.reply, now);
     }
   }
 
-  void Take(uint64_t version) {
+  void Apply(uint64_t version) {
     if (version <= number) return;
     number = version;
-    plan.OnApplied(version);
+    refresh.OnApplied(version);
   }
 
   // Kept connections go silent for good, and with them what is under way on them.
-  void SilenceKept() {
-    kept_silent = true;
+  void SilencePooledConnections() {
+    pooled_silent = true;
     for (pending_call& call : calls) call.lost = call.lost || !call.query.fresh_connection;
   }
   void SetStore(store_mode mode) {
     // What deaf watches missed is no longer kept.
     for (pending_call& call : calls) {
       const bool watch = call.query.call == version_call::kWatch;
-      if (store != store_mode::kDeaf || mode == store || call.lost || call.arrives || !watch)
+      if (store != store_mode::kWatchesSilent || mode == store || call.lost || call.arrives ||
+          !watch)
         continue;
-      call.news.status = store_status::kHistoryGone;
+      call.reply.status = store_status::kHistoryGone;
       call.arrives = now;
     }
     store = mode;
-    if (mode == store_mode::kUp || mode == store_mode::kDeaf) return;
+    if (mode == store_mode::kUp || mode == store_mode::kWatchesSilent) return;
     for (pending_call& call : calls) {
       if (call.arrives) continue;
       if (mode == store_mode::kSilent) call.lost = true;
-      if (mode != store_mode::kRefuses) continue;
-      call.news.status = store_status::kUnknown;  // cut
+      if (mode != store_mode::kRejects) continue;
+      call.reply.status = store_status::kUnknown;  // cut
       call.arrives = now;
     }
   }
 
   monotonic_time now{seconds(1000)};
-  version_refresh plan;
+  version_refresh refresh;
   std::vector<monotonic_time> acks;  // of version 1, 2, ...; the store's revisions are the same
   uint64_t number = 0;               // in force at the entry
   store_mode store = store_mode::kUp;
-  bool kept_silent = false;
+  bool pooled_silent = false;
   bool peer_answers = true;
-  milliseconds text_takes{0};
-  milliseconds peer_text_takes{0};
+  milliseconds text_duration{0};
+  milliseconds peer_text_duration{0};
   std::vector<pending_call> calls;
-  std::vector<pending_question> questions;
+  std::vector<pending_peer_query> peer_queries;
   size_t sent = 0;
-  size_t asked = 0;
+  size_t peer_queries_sent = 0;
   size_t texts = 0;
 };
 
@@ -205,7 +207,7 @@
   Run(seconds(1));
   Run(seconds(30), [this] { REQUIRE(IsNewest()); });
   CHECK(sent < 30);
-  CHECK(asked == 0);
+  CHECK(peer_queries_sent == 0);
 }
 
 // Guards against a watch that nobody answers: its connection went silent without a reset.
@@ -213,7 +215,7 @@
                  "[version]") {
   peer_answers = GENERATE(true, false);
   Run(seconds(5));
-  SilenceKept();
+  SilencePooledConnections();
   Acknowledge();
   Run(kPropagationLimit);
   CHECK(number == 2);
@@ -223,7 +225,7 @@
 // twice as long.
 TEST_CASE_METHOD(version_world, "version plan, text takes long to arrive, is carried once",
                  "[version]") {
-  text_takes = milliseconds{1500};
+  text_duration = milliseconds{1500};
   Run(seconds(10));
   REQUIRE(texts == 1);
   Acknowledge();
@@ -236,7 +238,7 @@
 // Guards against an entry that is behind by more versions the longer it receives them.
 TEST_CASE_METHOD(version_world, "version plan, versions faster than texts arrive, stays close",
                  "[version]") {
-  text_takes = milliseconds{500};
+  text_duration = milliseconds{500};
   peer_answers = false;
   Run(seconds(5));
   for (int i = 0; i < 50; ++i) {
@@ -254,7 +256,7 @@
                  "[version]") {
   Run(seconds(5));
   peer_answers = false;
-  SetStore(store_mode::kDeaf);
+  SetStore(store_mode::kWatchesSilent);
   Acknowledge();
   Run(seconds(4), [this] { REQUIRE(Confirmed()); });
   CHECK(number == 2);
@@ -280,7 +282,7 @@
 TEST_CASE_METHOD(version_world, "version plan, store refuses this entry, another one tells it",
                  "[version]") {
   Run(seconds(5));
-  SetStore(store_mode::kRefuses);
+  SetStore(store_mode::kRejects);
   Run(seconds(9), [this] { REQUIRE(Confirmed()); });
   Acknowledge();
   Run(kPropagationLimit);
@@ -313,7 +315,7 @@
                  "[version]") {
   Run(seconds(5));
   REQUIRE(IsNewest());
-  plan.OnPeerReply(peer_version{2, 2, milliseconds{0}}, now);
+  refresh.OnPeerReply(peer_version{2, 2, milliseconds{0}}, now);
   CHECK(Confirmed());
   CHECK_FALSE(IsNewest());
 }
@@ -331,23 +333,23 @@
           Acknowledge();
           break;
         case 2:
-          SilenceKept();
+          SilencePooledConnections();
           break;
         case 3:
           SetStore(store_mode::kSilent);
           break;
         case 4:
-          SetStore(store_mode::kRefuses);
+          SetStore(store_mode::kRejects);
           break;
         case 5:
           peer_answers = pick(2) == 0;
           break;
         case 6:
-          SetStore(store_mode::kDeaf);
+          SetStore(store_mode::kWatchesSilent);
           break;
         case 7:
-          text_takes = milliseconds{pick(1500)};
-          peer_text_takes = milliseconds{pick(800)};
+          text_duration = milliseconds{pick(1500)};
+          peer_text_duration = milliseconds{pick(800)};
           break;
         default:
           SetStore(store_mode::kUp);
@@ -356,7 +358,7 @@
       if (pick(10) == 0) now += milliseconds{pick(6000)};  // the process stood still
     }
     SetStore(store_mode::kUp);
-    text_takes = milliseconds{300};
+    text_duration = milliseconds{300};
     Run(seconds(6));
     CHECK(number == Newest());
     CHECK(IsNewest());
