--- a/src/process/site/advice_dispatcher.cc
+++ b/src/process/site/advice_dispatcher.cc
@@ -5,8 +5,8 @@
 namespace catkinford {
 namespace {
 
-// One entry in so many is kept for quick questions: slow ones take half a second each, and a
-// burst of them would hold up work that is late after a quarter of that.
+// One entry in every `kEntriesPerReserved` is reserved for urgent queries: slow queries take half a
+// second each, and a burst of them would delay work that is late after a quarter of that.
 constexpr size_t kEntriesPerReserved = 3;
 
 }  // namespace
--- a/src/process/site/advice_dispatcher.h
+++ b/src/process/site/advice_dispatcher.h
@@ -1,5 +1,6 @@
-// Spreads questions to the queues' policies over the entries: the service behind them takes one
-// question at a time from each machine, and most of the wait is its own.
+// Distributes advice queries (calls to the policies of queues) over the entries of the site. The
+// advice service handles one query at a time per calling machine, and most of the latency is its
+// own, so queries from several entries run in parallel.
 #ifndef CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
 #define CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
 
@@ -17,10 +18,10 @@
 
 class advice_dispatcher {
  public:
-  // The entries that may ask; one that is gone gets nothing new.
+  // The entries that may send queries; an entry that is no longer listed gets no new ones.
   void SetEntries(const std::vector<std::string>& names);
   void Add(advice_order order);
-  // The next question and the entry that asks it; nothing while no entry is free for one.
+  // The next query and the entry to send it; urgent queries first. Empty while no entry is free.
   std::optional<std::pair<advice_order, std::string>> Next();
   void OnAnswered(const std::string& entry);
   size_t Waiting() const { return urgent_.size() + slow_.size(); }
@@ -28,7 +29,7 @@
  private:
   size_t FreeEntries() const;
 
-  std::map<std::string, bool> busy_;  // by entry
+  std::map<std::string, bool> busy_;  // by entry: a query is in flight
   std::map<std::string, bool> entries_;
   std::deque<advice_order> urgent_;
   std::deque<advice_order> slow_;
--- a/src/process/site/fleet_record.h
+++ b/src/process/site/fleet_record.h
@@ -1,10 +1,10 @@
-// The stored list of instances that may run work: when it is written, and what it says.
+// The stored list of instances that may run work: decides when it is written and with what content.
 //
-// The load it answers: hundreds of instances of which some fall silent and come back all the time.
-// The list is long, and written at each of these changes it takes more of the owner's processor and
-// link than all else; answers are then read late, more instances seem silent, and the list is
-// written again. An instance must be in it before it gets work, but may stay for a while after it
-// left: a next owner waits for its leases then, no more.
+// With hundreds of instances, some stop answering and return all the time. Writing the long list at
+// each such change costs the owner more CPU and bandwidth than everything else; replies are then
+// read late, more instances appear silent, and the list is written again. An instance must be
+// listed before it gets work, but may stay listed for a while after it leaves: the only cost is
+// that the next owner waits for its leases.
 #ifndef CATKINFORD_PROCESS_SITE_FLEET_RECORD_H_
 #define CATKINFORD_PROCESS_SITE_FLEET_RECORD_H_
 
@@ -22,7 +22,8 @@
 
 class fleet_record {
  public:
-  // `in_use`: the instances that may run work now. What to write, if it is time to write anything.
+  // `in_use`: the instances that may run work now. Returns the list to write, or nothing if no
+  // write is due.
   std::optional<std::vector<instance_report>> Update(std::vector<instance_report> in_use,
                                                      monotonic_time now) {
     for (instance_report& report : in_use) {
@@ -47,7 +48,7 @@
  private:
   struct listed_instance {
     instance_report report;
-    monotonic_time in_use{};  // last
+    monotonic_time in_use{};  // when it was last passed to Update()
   };
   static bool SameRecord(const instance_report& a, const instance_report& b) {
     return a.incarnation == b.incarnation && a.address == b.address && a.capacity == b.capacity;
@@ -58,7 +59,7 @@
 
   std::map<std::string, listed_instance> listed_;
   monotonic_time last_write_{};
-  bool changed_ = false;  // since it was last written
+  bool changed_ = false;  // since the last write
 };
 
 }  // namespace catkinford
--- a/src/process/site/peer_messages.cc
+++ b/src/process/site/peer_messages.cc
@@ -11,15 +11,16 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-// What an owner started without a record after such a confirmation has ended by then: the owner
-// goes on for 3.5 s and 0.65 s more, and the start's lease is 4 s by a clock that may be 2 % slow.
+// By this time after an outage was confirmed, all that was started without a record has ended: the
+// owner continues for 3.5 s and 0.65 s more, and the start's lease is 4 s by a clock that may be
+// 2 % slow.
 constexpr milliseconds kUnrecordedStartLifetime{9000};
-// An owner's view of the entries may be this old at most (a watch that hangs: 3.5 s), so one that
-// was registered for longer than that and kUnrecordedStartLifetime was asked by any owner that
-// matters.
+// An owner's view of the entries may be 3.5 s old (a watch that hangs). An entry that has been
+// registered for longer than that plus kUnrecordedStartLifetime was asked by every owner whose
+// unrecorded starts may still run.
 constexpr milliseconds kMinRegistration{12500};
 
-// Runs `read` over the parsed text; nothing where a field is missing or of another type.
+// Applies `read` to the parsed text; returns nothing if a field is missing or has a wrong type.
 template <typename T, typename Read>
 std::optional<T> Parse(std::string_view text, Read read) {
   const json in = json::parse(text, nullptr, false);
@@ -33,7 +34,7 @@
   return out;
 }
 
-// Lists of instances are long: they travel packed.
+// Messages with lists of instances are long and are sent compressed.
 template <typename T, typename Read>
 std::optional<T> ParsePacked(std::string_view bytes, Read read) {
   const auto text = UnpackText(bytes);
--- a/src/process/site/peer_messages.h
+++ b/src/process/site/peer_messages.h
@@ -1,22 +1,24 @@
-// What the entries of a site say to each other, over HTTP with JSON bodies.
+// Messages between the entries of a site: HTTP with JSON bodies.
 //
-//   GET  /peer/state?id=     of a job, from the owner
+//   GET  /peer/state?id=     phase of a job, from the owner
 //   GET  /peer/pending?queue=
-//   GET  /peer/health        when the store last answered, the highest epoch seen
-//   GET  /peer/witness       whether an owner may have gone on while the store was down
-//   GET  /peer/alive         the process's nonce, and if it is busy; answered without its loop
-//   GET  /peer/look          whether the owner's process is alive, as seen from there
+//                            number of pending jobs of a queue, from the owner
+//   GET  /peer/health        time since the store last answered, highest epoch seen
+//   GET  /peer/witness       whether an owner may have continued while the store was down
+//   GET  /peer/alive         the process's nonce and whether it is overloaded; answered outside
+//                            the event loop
+//   GET  /peer/look          whether the owner's process is alive, as seen by the entry asked
 //   GET  /peer/version?have=&text=
-//                            the configuration's number and since when it is confirmed; with text=1
-//                            its text too, if it is newer than `have` and the link has room for it
-//   POST /peer/advise        asks a queue's policy from there
-//   POST /peer/job           a job's record, just stored: the owner need not wait for its watch
-//   POST /peer/cancel?id=    a cancelling, just stored
+//                            the configuration's number and when it was last confirmed; with text=1
+//                            also its text, if it is newer than `have` and the link has capacity
+//   POST /peer/advise        queries a queue's policy on behalf of the owner
+//   POST /peer/job           a job record that was just stored; spares the owner its watch delay
+//   POST /peer/cancel?id=    a cancellation that was just stored
 //   POST /peer/start, /peer/started
-//                            see start_words.h
+//                            forwarded starts; see start_words.h
 //
-// libjsonrpccpp's server answers on the thread of the call, and a question to a policy takes up to
-// a second: these calls use the HTTP server that can answer later.
+// These calls use the HTTP server that can respond asynchronously: libjsonrpccpp's server responds
+// on the thread of the call, and a policy query takes up to a second.
 #ifndef CATKINFORD_PROCESS_SITE_PEER_MESSAGES_H_
 #define CATKINFORD_PROCESS_SITE_PEER_MESSAGES_H_
 
@@ -46,7 +48,7 @@
 inline constexpr char kPeerCancelPath[] = "/peer/cancel";
 
 struct peer_phase_reply {
-  bool owns = false;  // whoever does not own the site knows no states
+  bool owns = false;  // only the owner of the site knows the phases of jobs
   std::optional<graph_phase> phase;
 };
 struct peer_pending_reply {
@@ -54,37 +56,37 @@
   size_t pending = 0;
 };
 struct peer_health {
-  std::chrono::milliseconds store_age{0};  // since the store last answered there
-  uint64_t epoch = 0;
+  std::chrono::milliseconds store_age{0};  // since the store last answered that entry
+  uint64_t epoch = 0;                      // the highest one seen
 };
-// What an entry can say of earlier owners. An owner sends starts without records only while every
-// registered entry confirms that the store is down; one that was there all the time and confirmed
-// nothing proves that none did.
+// What an entry knows about store outages during earlier ownerships. An owner sends starts without
+// records only while every registered entry confirms that the store is down. An entry that was
+// registered throughout and confirmed no outage therefore proves that there were no such starts.
 struct outage_report {
-  std::chrono::milliseconds registered{0};                 // without a gap
+  std::chrono::milliseconds registered{0};                 // time registered without a gap
   std::optional<std::chrono::milliseconds> confirmed_age;  // since it last confirmed an outage
 };
 struct peer_liveness {
   uint64_t nonce = 0;  // of the process
-  bool busy = false;   // overloaded: it may be silent without being gone
+  bool busy = false;   // overloaded: it may stop answering without being dead
 };
 struct peer_version_reply {
   peer_version version;
-  std::string text;  // empty: not newer than what was asked for, or not given
+  std::string text;  // empty: not newer than requested, not requested, or over the rate limit
 };
 struct peer_advice_request {
   advice_order order;
   std::chrono::milliseconds timeout{0};
 };
 
-// Parsing answers nothing for other text.
+// The ...FromText functions return nothing for malformed text.
 std::string PeerPhaseReplyToText(const peer_phase_reply& state);
 std::optional<peer_phase_reply> PeerPhaseReplyFromText(std::string_view text);
 std::string PeerPendingReplyToText(const peer_pending_reply& pending);
 std::optional<peer_pending_reply> PeerPendingReplyFromText(std::string_view text);
 std::string PeerHealthToText(const peer_health& health);
 std::optional<peer_health> PeerHealthFromText(std::string_view text);
-// One line of JSON, then the text as it is: it may be large.
+// One line of JSON, then the text verbatim, because it may be large.
 std::string PeerVersionReplyToText(const peer_version_reply& reply);
 std::optional<peer_version_reply> PeerVersionReplyFromText(std::string_view text);
 std::string PeerLivenessToText(const peer_liveness& liveness);
@@ -93,7 +95,7 @@
 std::optional<alive_answer> OwnerLivenessFromText(std::string_view text);
 std::string OutageReportToText(const outage_report& report);
 std::optional<outage_report> OutageReportFromText(std::string_view text);
-// True when the witness rules out starts without records whose leases still hold.
+// True if the report rules out unrecorded starts whose leases may still be valid.
 bool RulesOutUnrecordedStarts(const outage_report& report);
 std::string PeerAdviceRequestToText(const peer_advice_request& request);
 std::optional<peer_advice_request> PeerAdviceRequestFromText(std::string_view text);
--- a/src/process/site/record_mode.cc
+++ b/src/process/site/record_mode.cc
@@ -7,11 +7,11 @@
 
 using std::chrono::milliseconds;
 
-// A change takes about 10 ms, 25 and now and then 60 beside much other work. A quick job has a
-// second or two in all.
+// A change takes about 10 ms; under load 25 ms and occasionally 60 ms. A short job has one to two
+// seconds in total.
 constexpr milliseconds kSlow{150};
 constexpr milliseconds kFast{80};
-constexpr milliseconds kFastFor{1500};  // before it is trusted again
+constexpr milliseconds kFastFor{1500};  // before the store counts as fast again
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   if (waited < kSlow) return;
   fast_since_ = monotonic_time::max();
   if (phase_ == phase::kWriteAhead) phase_ = phase::kSlow;
-  // Still declared: no need to say it again.
+  // The declaration is still stored; no need to repeat it.
   if (phase_ == phase::kRecovering) phase_ = phase::kAsync;
 }
 
--- a/src/process/site/record_mode.h
+++ b/src/process/site/record_mode.h
@@ -1,11 +1,11 @@
-// Whether starts wait until their records are stored.
+// Decides whether starts wait until their records are stored.
 //
-// They do as long as the store is quick: it costs a start about 10 ms and lets the next owner know
-// where each task may be at work. With a store that takes 300 ms an answer, each step of a quick
-// job would lose as much. Then the owner declares, in the store, that its records run behind;
-// starts leave at once, and a next owner that finds the declaration waits for the instances that it
-// cannot list. The declaration is withdrawn when the store is quick again and nothing is missing in
-// the records.
+// They wait while the store is fast: this costs a start about 10 ms and lets the next owner know
+// where each task may be running. If the store takes 300 ms per reply, each step of a short job
+// would lose as much. The owner then declares in the store that its records are asynchronous, and
+// sends starts at once; a next owner that finds the declaration waits for the instances whose runs
+// it cannot list. The declaration is withdrawn when the store is fast again and the records are
+// complete.
 #ifndef CATKINFORD_PROCESS_SITE_RECORD_MODE_H_
 #define CATKINFORD_PROCESS_SITE_RECORD_MODE_H_
 
@@ -18,22 +18,22 @@
 
 class record_mode {
  public:
-  // A change was stored after this time.
+  // A change was stored; `took`: the time from sending it to the reply.
   void OnChangeStored(std::chrono::milliseconds took, monotonic_time now);
-  // A change has waited for this long.
+  // A change has been waiting for the store's reply for this long.
   void OnChangePending(std::chrono::milliseconds waited);
-  // An earlier owner's declaration was found.
+  // The declaration of an earlier owner was found in the store.
   void OnInherited();
-  // This owner does not know all that earlier ones may have started: until it does, the next one
-  // must be told the same.
+  // Earlier owners may have started runs that this owner does not know of. Until it knows them all,
+  // it must declare asynchronous records, so that the next owner learns the same.
   void OnUnconfirmedStarts();
   void OnAsyncDeclared();
   void OnAsyncWithdrawn();
 
-  // The next change should hold the declaration.
+  // The next change should contain the declaration.
   bool ShouldDeclareAsync() const { return phase_ == phase::kSlow; }
-  // The next change may withdraw it, if all records are stored and all that earlier owners may have
-  // started is known.
+  // The next change may withdraw the declaration. `all_known`: all records are stored, and all runs
+  // that earlier owners may have started are known.
   bool ShouldWithdrawAsync(bool all_known) const {
     return phase_ == phase::kRecovering && all_known;
   }
@@ -41,10 +41,10 @@
 
  private:
   enum class phase : uint8_t {
-    kWriteAhead,  // records first
-    kSlow,        // records first, and the store is slow
-    kAsync,       // declared: starts leave at once
-    kRecovering,  // records first again; the declaration still stands
+    kWriteAhead,  // starts wait for their records
+    kSlow,        // starts wait, and the store is slow: not yet declared
+    kAsync,       // declared: starts are sent at once
+    kRecovering,  // starts wait again; the declaration is not withdrawn yet
   };
   phase phase_ = phase::kWriteAhead;
   bool unconfirmed_starts_ = false;
--- a/src/process/site/site_records.cc
+++ b/src/process/site/site_records.cc
@@ -85,7 +85,7 @@
       each.incarnation = row.at("born").get<int64_t>();
       out.push_back(std::move(each));
     } catch (const json::exception&) {
-      continue;  // a row that can't be read names no instance; the others hold
+      continue;  // a malformed row names no instance; the other rows stay valid
     }
   }
   return out;
--- a/src/process/site/site_records.h
+++ b/src/process/site/site_records.h
@@ -1,14 +1,16 @@
 // What a site keeps in the store: keys, and the records under them.
 //
-//   site/owner          who owns the site; lives as long as its process's lease
-//   site/epoch          the highest epoch of an owner; only grows
-//   site/entry/NAME     an entry that lives; as long as its lease
-//   inbox/job/ID        an accepted job, written once by the entry that took it
-//   inbox/cancel/ID     a job whose cancelling was accepted
-//   progress/ID         what of a job is done, written by the owner
-//   owner/commit        changes with each write of the owner: one that is carried out late finds it
-//                       changed and does nothing
-//   owner/fleet         the instances that the owner may have given work to
+//   site/owner          the owner of the site; bound to the lease of its process
+//   site/epoch          the highest epoch of an owner; never decreases
+//   site/entry/NAME     a running entry; bound to its lease
+//   inbox/job/ID        an accepted job, written once by the entry that accepted it
+//   inbox/cancel/ID     a job whose cancellation was accepted
+//   progress/ID         the progress of a job, written by the owner
+//   owner/commit        changes with each write of the owner: a write that is carried out late
+//   finds
+//                       it changed and does nothing
+//   owner/fleet         the instances that may run work of the owner
+//   owner/behind        present while starts are sent before their records are stored
 #ifndef CATKINFORD_PROCESS_SITE_SITE_RECORDS_H_
 #define CATKINFORD_PROCESS_SITE_SITE_RECORDS_H_
 
@@ -32,14 +34,14 @@
 inline constexpr char kProgressPrefix[] = "progress/";
 inline constexpr char kCommitKey[] = "owner/commit";
 inline constexpr char kFleetKey[] = "owner/fleet";
-inline constexpr char kAsyncRecordsKey[] = "owner/behind";  // starts leave before their records
+inline constexpr char kAsyncRecordsKey[] = "owner/behind";
 
 struct site_entry {
   std::string name;
   std::string address;  // "ip:port" for calls between entries
   std::string failure_domain;
-  uint64_t nonce = 0;  // of the process: a restarted one has another
-  // How much work its machine can do, against that of others; see Strength().
+  uint64_t nonce = 0;  // of the process: a restarted process has another
+  // Capacity of its machine relative to others; see Strength().
   double strength = 1;
 
   bool operator==(const site_entry&) const = default;
@@ -48,10 +50,10 @@
 struct owner_record {
   site_entry entry;
   uint64_t epoch = 0;
-  bool early = false;  // claimed while the lease of the owner before had not ended
+  bool early = false;  // claimed before the lease of the previous owner ended
 };
 
-// Parsing answers nothing for bytes that are no such record.
+// The ...FromText functions return nothing for malformed text; FleetFromText skips malformed rows.
 std::string EntryToText(const site_entry& entry);
 std::optional<site_entry> EntryFromText(std::string_view text);
 std::string OwnerToText(const owner_record& owner);
--- a/src/process/site/store_health.cc
+++ b/src/process/site/store_health.cc
@@ -7,16 +7,17 @@
 
 using std::chrono::milliseconds;
 
-// Answers take 4 ms at the store and a few on the way; one of a busy entry rarely 100 ms.
+// A reply takes 4 ms at the store and a few more on the network; on a busy entry rarely 100 ms.
 constexpr milliseconds kSuspectAfter{250};
 constexpr milliseconds kDownAfter{700};
-// A store that is slow for all, up to a hundred times, is not down.
+// The thresholds scale with the usual latency: a store that is slow for everyone, by up to a factor
+// of a hundred, is not down.
 constexpr double kLatencyFactor = 4;
 constexpr double kSmoothing = 0.8;  // weight of the past in the smoothed latency
-// For callers that are refused. Beyond a few seconds a quick job is late whatever happens.
+// Bounds of Retry-After. Beyond a few seconds a short job is late in any case.
 constexpr std::chrono::seconds kMinRetryAfter{1};
 constexpr std::chrono::seconds kMaxRetryAfter{3};
-// One call that is turned away or lost says little: single answers get lost.
+// A single failed call is no evidence of an outage: individual replies get lost.
 constexpr uint32_t kFailuresForDown = 2;
 
 }  // namespace
@@ -43,7 +44,7 @@
 
 store_state store_health::State(monotonic_time now) const {
   if (consecutive_failures_ >= kFailuresForDown) return store_state::kDown;
-  // An older call than one that was answered has lost its answer alone: the store is there.
+  // If a newer call has been answered, only the reply of the older one was lost: the store is up.
   const auto oldest = pending_.upper_bound(last_success_);
   if (oldest == pending_.end()) return store_state::kUp;
   const auto silent = now - oldest->second;
--- a/src/process/site/store_health.h
+++ b/src/process/site/store_health.h
@@ -1,10 +1,10 @@
-// Whether the platform's store answers this entry, judged by its calls: how long the oldest one has
-// been waiting, against how long answers took lately.
+// Tracks whether the platform's store answers this entry: compares how long the oldest pending call
+// has been waiting with the recent latency of replies.
 //
-// A store that goes silent keeps every call until its timeout. Submissions sent meanwhile may be
-// carried out or not, nobody can say, and their callers get neither a yes nor a no. Judged by the
-// calls under way, silence is noticed within a few hundred milliseconds, and what comes after is
-// refused at once, truthfully: it was never sent.
+// A store that stops answering holds every call until its timeout. Submissions sent meanwhile may
+// or may not be carried out, so their callers can be told neither success nor failure. Judging by
+// pending calls detects this within a few hundred milliseconds; later submissions are rejected at
+// once, and correctly so: they were never sent.
 #ifndef CATKINFORD_PROCESS_SITE_STORE_HEALTH_H_
 #define CATKINFORD_PROCESS_SITE_STORE_HEALTH_H_
 
@@ -18,32 +18,34 @@
 
 enum class store_state : uint8_t {
   kUp,
-  kSuspect,  // a call waits longer than usual: wait a moment before sending more
+  kSuspect,  // a call takes longer than usual: delay further calls briefly
   kDown
 };
 
 class store_health {
  public:
-  // A call leaves; its number is given back with the answer. Calls that wait at the store on
-  // purpose (watches) are left out.
+  // A call is sent. Returns its number, to be passed to Answered(). Not for calls that wait at the
+  // store on purpose (watches).
   uint64_t Sent(monotonic_time now);
-  // `good`: the store did what it was asked or said why not; not: turned away, or no answer.
+  // `success`: the store carried out the call or said why it cannot. False: it turned the call away
+  // or did not reply.
   void Answered(uint64_t call, bool success, monotonic_time now);
 
   store_state State(monotonic_time now) const;
-  // When a caller that is refused now should come back. An outage that has lasted for a while will
-  // last about as long again: callers have few tries, and spend them all in one outage of four
-  // seconds if each is told to come back in one.
+  // Retry-After for callers that are rejected now. Grows with the duration of the outage, which is
+  // expected to last about as long again: callers have few retries, and with a fixed second they
+  // would use all of them in an outage of four seconds.
   std::chrono::seconds RetryAfter(monotonic_time now) const;
-  // Of recent good answers, smoothed.
+  // Smoothed latency of recent successful calls.
   std::chrono::milliseconds Latency() const;
 
  private:
-  std::map<uint64_t, monotonic_time> pending_;  // when each call was sent
+  std::map<uint64_t, monotonic_time> pending_;  // by call number: when it was sent
   uint64_t last_call_ = 0;
-  uint64_t last_success_ = 0;                               // the newest call with a good answer
-  monotonic_time last_success_at_ = monotonic_time::max();  // the last good answer
-  uint32_t consecutive_failures_ = 0;                       // since the last good answer
+  uint64_t last_success_ = 0;  // the newest call that succeeded
+  monotonic_time last_success_at_ =
+      monotonic_time::max();           // time of the last successful reply; max(): none
+  uint32_t consecutive_failures_ = 0;  // failed calls since the last success
   std::chrono::duration<double, std::milli> latency_{0};
 };
 
--- a/src/process/site/text_rate_limiter.h
+++ b/src/process/site/text_rate_limiter.h
@@ -1,6 +1,6 @@
-// Bounds what an entry gives of its link for texts that other entries ask it for. Many may ask at
-// once; without a bound their answers fill the link, none arrives in time, and what the entry
-// itself waits for arrives late.
+// Limits the share of its link that an entry spends on sending configuration texts to other
+// entries. Many may ask at once; without a limit the replies fill the link, none arrives in time,
+// and the entry's own traffic is delayed.
 #ifndef CATKINFORD_PROCESS_SITE_TEXT_RATE_LIMITER_H_
 #define CATKINFORD_PROCESS_SITE_TEXT_RATE_LIMITER_H_
 
@@ -17,7 +17,7 @@
   explicit text_rate_limiter(double link_mbps)
       : bytes_per_second_(kShare * link_mbps * kBytesInMegabit) {}
 
-  // True when `bytes` may be sent now; they count as sent.
+  // Returns true if `bytes` may be sent now, and then counts them as sent.
   bool Take(size_t bytes, monotonic_time now) {
     if (now < free_at_) return false;
     const std::chrono::duration<double> transfer_time(static_cast<double>(bytes) /
--- a/src/process/site/version_follower.h
+++ b/src/process/site/version_follower.h
@@ -1,6 +1,7 @@
-// The configuration in force at this entry: read from the store, watched, and taken from other
-// entries while the store does not answer. It never goes back to a lower version. When to ask, and
-// how far the configuration may be trusted, version_refresh says; this carries it out.
+// Keeps the configuration of this entry up to date: reads and watches it in the store, and gets it
+// from other entries while the store does not answer. Never returns to a lower version.
+// version_refresh decides when to query and how far the configuration may be trusted; this class
+// does the I/O.
 #ifndef CATKINFORD_PROCESS_SITE_VERSION_FOLLOWER_H_
 #define CATKINFORD_PROCESS_SITE_VERSION_FOLLOWER_H_
 
@@ -27,11 +28,12 @@
 using byte_counter = std::shared_ptr<std::atomic<uint64_t>>;
 
 struct version_hooks {
-  std::function<void()> changed;  // another configuration is in force
+  std::function<void()> changed;  // another configuration is in effect
   // The store answers this entry's other calls.
   std::function<bool()> store_up;
-  // Asks some other entry for what is newer than `have`, and for its text if `text`; answered once,
-  // with nothing when it does not say. `arrived` counts the bytes of the answer.
+  // Queries another entry for a version newer than `have`, with its text if `text` is set. The
+  // callback runs once, with nothing if there is no answer. `arrived` counts the bytes of the
+  // reply.
   std::function<void(uint64_t have, bool text, byte_counter arrived,
                      std::function<void(std::optional<peer_version_reply>)>)>
       ask_peer;
@@ -40,7 +42,7 @@
 template <site_platform Platform>
 class version_follower {
  public:
-  // `propagation_limit`: how long after its acknowledgement a change has to be in force everywhere.
+  // `propagation_limit`: how long after its acknowledgement a change must be in effect everywhere.
   version_follower(Platform& platform, event_loop& loop, site_log& log, site_metrics& metrics,
                    std::chrono::milliseconds propagation_limit, version_hooks hooks)
       : platform_(platform),
@@ -52,13 +54,13 @@
 
   void Start() { Tick(); }
 
-  // Null before the first one was read.
+  // Null until the first configuration is read.
   const std::shared_ptr<const site_version>& Version() const { return version_; }
   const std::string& Text() const { return text_; }
   version_trust Trust(monotonic_time now) const { return refresh_.Trust(now); }
-  // The configuration here was the newest at this time.
+  // The time as of which the configuration held here was the newest.
   monotonic_time AsOf() const { return refresh_.AsOf(); }
-  // What this entry tells another one.
+  // What this entry reports to others about its configuration.
   peer_version PeerVersion(monotonic_time now) const {
     peer_version out;
     if (version_ != nullptr) out.number = version_->Number();
@@ -112,7 +114,7 @@
     LogTrustChange(now);
   }
 
-  // Some bytes of an answer are there, and not all of them: a small one is whole at once.
+  // A reply has arrived in part. A small reply arrives complete and never counts here.
   bool Arriving() const {
     return std::any_of(received_.begin(), received_.end(),
                        [](const auto& item) { return *item.second > 0; });
@@ -171,8 +173,8 @@
         });
   }
 
-  // What ended a read, and how far it had come: a limit that is too short for the text looks
-  // different from a silent connection or a store that refuses.
+  // Logs why a read failed and how many bytes had arrived: this tells a timeout that is too short
+  // for the text from a dead connection and from a store that rejects calls.
   void LogRead(const version_query& query, const store_reply& reply) {
     metrics_.CountVersionRead(NameOf(query.call), OutcomeOf(reply.status));
     if (reply.status == store_status::kDone) return;
@@ -227,7 +229,7 @@
   site_metrics& metrics_;
   version_hooks hooks_;
   version_refresh refresh_;
-  std::map<uint64_t, byte_counter> received_;  // of the calls under way
+  std::map<uint64_t, byte_counter> received_;  // bytes received, by call in flight
   std::shared_ptr<const site_version> version_;
   std::string text_;
   bool confirmed_ = false;
--- a/src/process/site/version_refresh.cc
+++ b/src/process/site/version_refresh.cc
@@ -8,19 +8,19 @@
 
 using std::chrono::milliseconds;
 
-// Shares of the time within which a change has to be in force.
-constexpr double kWatchShare = 0.4;      // a watch waits this long: it renews what is known in time
-constexpr double kPeerQueryShare = 0.5;  // knowledge older than this is asked for at other entries
-constexpr double kExtraReadShare = 0.6;  // and than this is read beside a watch that is late
-// How long after its wait a watch's answer may come; a store that is slow takes a third of a
-// second.
+// Shares of the propagation limit.
+constexpr double kWatchShare = 0.4;      // wait of a watch, short enough to renew as_of_ in time
+constexpr double kPeerQueryShare = 0.5;  // age of as_of_ from which other entries are queried
+constexpr double kExtraReadShare = 0.6;  // age of as_of_ from which reads run beside a late watch
+// How long after its wait the reply to a watch may arrive; a slow store takes a third of a second.
 constexpr milliseconds kReplyGrace{400};
 
 constexpr milliseconds kMinWatchWait{50};
-// Between two such reads: one on a connection that is silent from the start holds up no other.
+// Between two reads beside a late watch: a read whose connection is dead from the start must not
+// delay the next one.
 constexpr milliseconds kExtraReadInterval{400};
 constexpr milliseconds kRetryInterval{250};
-// A watch that answers sooner with nothing new is asked again only after this.
+// Minimum time between two watches if the first returned early without changes.
 constexpr milliseconds kIdleInterval{200};
 constexpr milliseconds kPeerQueryInterval{250};
 
@@ -52,7 +52,7 @@
                                                             monotonic_time now) {
   if (!main_call_) {
     if (now < next_call_at_) return std::nullopt;
-    // What is known is already old: the watch answers early, so that it is renewed in time.
+    // If as_of_ is already old, the watch waits less, so that as_of_ is renewed in time.
     const auto remaining = as_of_ + Share(kExtraReadShare, propagation_limit_) - now;
     const auto wait = std::clamp(std::chrono::duration_cast<milliseconds>(remaining), kMinWatchWait,
                                  Share(kWatchShare, propagation_limit_));
@@ -82,17 +82,18 @@
   const bool is_main = main_call_ == query.id;
   if (is_main) main_call_.reset();
   if (reply.status == store_status::kDone) {
-    // The store answers a watch early only with something new; that may be as old as the call.
+    // A watch that waited in full without changes confirms the end of its wait. Any other reply may
+    // be as old as the call.
     const bool waited = reply.idle && now - query.sent >= query.wait;
     Confirm(reply.revision, waited ? query.sent + query.wait : query.sent);
     if (!is_main) return;
-    // Behind by several: more may have come meanwhile, and only the newest is of use.
+    // Several versions behind: more may have been added meanwhile, and only the newest is needed.
     next_is_read_ = reply.versions > 1;
     next_call_at_ = reply.idle ? std::max(now, query.sent + kIdleInterval) : now;
     return;
   }
   if (!is_main) return;
-  // After long silence a watch would bring every version of that time, one after the other.
+  // After a long outage a watch would return every version stored meanwhile, one after the other.
   const bool behind = now - as_of_ > propagation_limit_;
   next_is_read_ = revision_ == 0 || behind || reply.status == store_status::kHistoryGone;
   const bool silent = reply.status == store_status::kUnknown;
