--- a/test/fleet_record_test.cc
+++ b/test/fleet_record_test.cc
@@ -34,7 +34,7 @@
   monotonic_time now{seconds(100)};
 };
 
-// Guards against an owner that is kept busy by its own list while instances fall silent in turn.
+// Guards against an owner that spends its time writing the list while instances flap in turn.
 TEST_CASE_METHOD(fleet_record_fixture,
                  "fleet record, hundreds of instances flapping, is written once") {
   constexpr int kInstances = 300;
@@ -47,7 +47,7 @@
   CHECK(writes == 0);
 }
 
-// Guards against instances that get work before a next owner would look for it there.
+// Guards against instances that get work before the next owner would look for runs there.
 TEST_CASE_METHOD(fleet_record_fixture, "fleet record, instances join, are written soon") {
   REQUIRE(record.Update(Fleet(3), now));
   now += milliseconds{100};
@@ -64,8 +64,9 @@
   CHECK(again->at(2).incarnation == 2);
 }
 
-// Guards against a next owner that waits for an instance which left for good.
-TEST_CASE_METHOD(fleet_record_fixture, "fleet record, instance gone for good, leaves the list") {
+// Guards against a next owner that waits for an instance that left for good.
+TEST_CASE_METHOD(fleet_record_fixture,
+                 "fleet record, instance gone for good, is removed from the list") {
   REQUIRE(record.Update(Fleet(3), now));
   bool left = false;
   for (int round = 0; round < 100 && !left; ++round) {
--- a/test/narrow_link_test.cc
+++ b/test/narrow_link_test.cc
@@ -1,4 +1,4 @@
-// Sites whose links carry a large configuration slowly.
+// Sites whose links transfer a large configuration slowly.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -10,11 +10,11 @@
 namespace catkinford {
 namespace {
 
-// Two entries whose ways to the store can be made narrow, and a configuration that takes such a way
-// longer than any call to the store may stay unanswered.
+// Two entries whose links to the store can be made narrow, and a configuration whose transfer over
+// such a link takes longer than the timeout of any call to the store.
 class narrow_link_fixture : public site_fixture {
  protected:
-  static constexpr uint64_t kNarrowBytesPerSecond = 150'000;  // bytes a second
+  static constexpr uint64_t kNarrowBytesPerSecond = 150'000;
   static constexpr size_t kQueues = 2500;
 
   narrow_link_fixture() : site_fixture(no_entries{}) {
@@ -50,10 +50,10 @@
   std::vector<link_index> links_;
 };
 
-// Guards against an entry that never catches up: its read of a new version is ended by time,
-// however much has arrived, and begins again at the first byte.
+// Guards against an entry that never catches up: its read of a new version times out, however much
+// has arrived, and restarts at the first byte.
 TEST_CASE_METHOD(narrow_link_fixture,
-                 "site, version larger than its links carry in time, is in force at every entry",
+                 "site, version too large for its links to transfer in time, reaches every entry",
                  "[version]") {
   for (auto& entry : entries_) Start(*entry);
   REQUIRE(Eventually([this] { return Ready(0) && Ready(1) && Owner() >= 0; }));
@@ -63,9 +63,9 @@
   CHECK(Eventually([this] { return Serves(1); }));
 }
 
-// Guards against an entry that starts and never gets ready: the same read, its first.
+// Guards against an entry that never becomes ready because its first read times out in this way.
 TEST_CASE_METHOD(narrow_link_fixture,
-                 "site, started with a version larger than its links carry in time, gets ready",
+                 "site, started with a version too large to transfer in time, becomes ready",
                  "[version]") {
   PutLargeVersion(2);
   Narrow();
@@ -74,11 +74,12 @@
   CHECK(Eventually([this] { return Serves(0) && Serves(1); }));
 }
 
-// Guards against "no such queue" from an entry that has heard nothing for longer than a change may
-// take, and against work taken by a configuration that may be out of force.
-TEST_CASE_METHOD(narrow_link_fixture,
-                 "site, cut off from its store, says come back and not that a queue is not there",
-                 "[version]") {
+// Guards against "no such queue" from an entry that received no update for longer than a change may
+// take, and against work accepted by a configuration that may no longer be in effect.
+TEST_CASE_METHOD(
+    narrow_link_fixture,
+    "site, cut off from its store, answers retry later and not that a queue is unknown",
+    "[version]") {
   for (auto& entry : entries_) Start(*entry);
   REQUIRE(Eventually([this] { return Ready(0) && Ready(1) && Owner() >= 0; }));
   const auto unknown_queue_status = [this] {
--- a/test/record_mode_test.cc
+++ b/test/record_mode_test.cc
@@ -21,23 +21,24 @@
   monotonic_time now{std::chrono::seconds(100)};
 };
 
-// The store takes 300 ms an answer. With records first, a buyer's slot of two steps would lose more
-// than half a second before anything runs.
-TEST_CASE_METHOD(record_mode_fixture, "record mode, slow store, starts leave once it is declared") {
+// Guards against starts that wait for a slow store: at 300 ms per reply a job of two steps would
+// lose more than half a second before anything runs.
+TEST_CASE_METHOD(record_mode_fixture,
+                 "record mode, slow store, starts are sent once it is declared") {
   Changes(5, milliseconds{10});
   CHECK_FALSE(mode.ShouldDeclareAsync());
   Changes(1, milliseconds{300});
   CHECK(mode.ShouldDeclareAsync());
-  CHECK(mode.StartsAwaitRecords());  // a next owner would not know yet
+  CHECK(mode.StartsAwaitRecords());  // the next owner would not know yet
   mode.OnAsyncDeclared();
   CHECK_FALSE(mode.StartsAwaitRecords());
 }
 
-TEST_CASE_METHOD(record_mode_fixture, "record mode, store quick again, waits for all records") {
+TEST_CASE_METHOD(record_mode_fixture, "record mode, store fast again, waits for all records") {
   Changes(1, milliseconds{300});
   mode.OnAsyncDeclared();
   Changes(5, milliseconds{10});
-  CHECK_FALSE(mode.StartsAwaitRecords());  // not trusted yet
+  CHECK_FALSE(mode.StartsAwaitRecords());  // not fast for long enough
   Changes(30, milliseconds{10});
   CHECK(mode.StartsAwaitRecords());
   CHECK_FALSE(mode.ShouldWithdrawAsync(false));
@@ -46,9 +47,9 @@
   CHECK_FALSE(mode.ShouldWithdrawAsync(true));
 }
 
-// The store is slow again before the declaration is withdrawn: it still stands.
+// Guards against a repeated declaration: the store is slow again before the first one is withdrawn.
 TEST_CASE_METHOD(record_mode_fixture,
-                 "record mode, slow again while returning, needs no new word") {
+                 "record mode, slow again while recovering, needs no new declaration") {
   mode.OnInherited();
   CHECK(mode.StartsAwaitRecords());
   mode.OnChangePending(milliseconds{200});
@@ -56,10 +57,11 @@
   CHECK_FALSE(mode.ShouldDeclareAsync());
 }
 
-// An owner that nobody vouched for dies before it knows all that earlier ones may have started. If
-// it left no word of that, its follower would start a task that still runs out of its sight.
+// Guards against a second start of a running task: no entry confirmed the records of earlier
+// owners, and the owner dies before it knows all that they may have started. Without its
+// declaration the next owner would not wait for runs that it cannot list.
 TEST_CASE_METHOD(record_mode_fixture,
-                 "record mode, owner not vouched for, declares until it knows") {
+                 "record mode, earlier starts unconfirmed, declares until they are known") {
   mode.OnUnconfirmedStarts();
   Changes(2, milliseconds{10});
   CHECK(mode.ShouldDeclareAsync());
@@ -72,7 +74,7 @@
   CHECK_FALSE(mode.ShouldDeclareAsync());
 }
 
-TEST_CASE_METHOD(record_mode_fixture, "record mode, slow once and quick after, declares nothing") {
+TEST_CASE_METHOD(record_mode_fixture, "record mode, slow once and fast after, declares nothing") {
   mode.OnChangePending(milliseconds{160});
   Changes(1, milliseconds{10});
   CHECK_FALSE(mode.ShouldDeclareAsync());
--- a/test/site_fixture.h
+++ b/test/site_fixture.h
@@ -1,4 +1,4 @@
-// A whole site of real processes against a stand-in of the platform's wire: what its tests share.
+// Fixture of tests that run a complete site of real processes against a stand-in of the platform.
 #ifndef CATKINFORD_TEST_SITE_FIXTURE_H_
 #define CATKINFORD_TEST_SITE_FIXTURE_H_
 
@@ -43,7 +43,7 @@
   child_process process;
 };
 
-// Two entries, three instances, a queue that needs a key and advice, and one that needs neither.
+// Two entries, three instances, a queue that needs a key ("keyed") and one that does not ("open").
 class site_fixture {
  protected:
   struct no_entries {};
@@ -63,7 +63,7 @@
     http_.Stop();
   }
 
-  // A queue that needs neither a key nor advice.
+  // The configuration of a queue that needs neither a key nor advice.
   static nlohmann::json OpenQueue(const std::string& name) {
     return {{"name", name},
             {"host", "h"},
@@ -107,7 +107,7 @@
     store_.Put("op/config", version.dump());
   }
 
-  // `link_mbps`: what the entry takes its link for.
+  // `link_mbps`: the entry's setting for the bandwidth of its link.
   void AddEntry(const std::string& name, const std::string& store_address,
                 double link_mbps = 1000) {
     auto entry = std::make_unique<site_process>();
@@ -173,7 +173,7 @@
     return body.is_object() ? body.value("state", std::string()) : std::string();
   }
 
-  // The entry that the store names as owner; -1: none.
+  // Index of the entry that the store names as owner; -1: none.
   int Owner() {
     const auto text = store_.Value("site/owner");
     if (!text) return -1;
--- a/test/site_fleet_test.cc
+++ b/test/site_fleet_test.cc
@@ -1,4 +1,4 @@
-// Whole sites of real processes against a stand-in of the platform's wire.
+// Complete sites of real processes against a stand-in of the platform.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <csignal>
@@ -12,7 +12,8 @@
 
 using nlohmann::json;
 
-TEST_CASE_METHOD(site_fixture, "site, job of two steps, completes and is told at any entry") {
+TEST_CASE_METHOD(site_fixture,
+                 "site, job of two steps, completes and its state is known at any entry") {
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(StateOf(0, "/keyed/" + JobId(1)) == "completed");
@@ -20,9 +21,9 @@
   CHECK(instances_.Doubles().empty());
 }
 
-// A caller that got no answer sends its job again, to whichever entry the balancer picks: the buyer
-// must not end up with two bookings.
-TEST_CASE_METHOD(site_fixture, "site, same job handed in at both entries, runs once") {
+// Guards against a job that runs twice: a caller that got no answer submits it again, and the load
+// balancer picks another entry.
+TEST_CASE_METHOD(site_fixture, "site, same job submitted at both entries, runs once") {
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   REQUIRE(Call(1, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   CHECK(Eventually([this] { return StateOf(0, "/keyed/" + JobId(1)) == "completed"; }));
@@ -30,14 +31,14 @@
   CHECK(instances_.Starts().size() == 5);
 }
 
-TEST_CASE_METHOD(site_fixture, "site, call without a good key, is refused") {
+TEST_CASE_METHOD(site_fixture, "site, call without a valid key, is rejected") {
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "other").code == 401);
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "").code == 401);
   CHECK(Call(0, "POST", "/nowhere/" + JobId(1), TwoSteps()).code == 404);
   CHECK(Call(0, "POST", "/open/" + JobId(1), TwoSteps(), "").code == 200);
 }
 
-TEST_CASE_METHOD(site_fixture, "site, malformed submission, is refused and costs nothing else") {
+TEST_CASE_METHOD(site_fixture, "site, malformed submission, is rejected and has no other effect") {
   const std::string path = "/keyed/" + JobId(1);
   CHECK(Call(0, "POST", path, "no json").code == 400);
   CHECK(Call(0, "POST", path, R"({"steps":[]})").code == 400);
@@ -52,7 +53,7 @@
   CHECK(Eventually([&] { return StateOf(0, path) == "completed"; }));
 }
 
-TEST_CASE_METHOD(site_fixture, "site, cancelled job, is told so and its tasks end") {
+TEST_CASE_METHOD(site_fixture, "site, cancelled job, is reported as cancelled and its tasks end") {
   const std::string long_running = json{
       {"task-spec", "work"},
       {"steps",
@@ -77,14 +78,14 @@
              Call(i, "GET", "/keyed/", "", "key-2").code == 200;
     }));
   }
-  // Bytes that are no version change nothing.
+  // A malformed version changes nothing.
   store_.Put("op/config", "no version");
   CHECK(Call(0, "GET", "/keyed/", "", "key-2").code == 200);
 }
 
-// The entry that owns the site is killed while work runs. Another one takes over, adopts what runs,
-// and callers only notice that a job takes a little longer.
-TEST_CASE_METHOD(site_fixture, "site, owner killed, work goes on and nothing runs twice") {
+// Guards against lost or duplicate runs when the owner is killed: another entry takes over and
+// adopts them, and callers only notice a delay.
+TEST_CASE_METHOD(site_fixture, "site, owner killed, work continues and nothing runs twice") {
   for (uint32_t i = 0; i < 8; ++i) {
     REQUIRE(Call(i % 2, "POST", "/keyed/" + JobId(i), TwoSteps()).code == 200);
   }
@@ -99,7 +100,8 @@
   CHECK(Owner() == static_cast<int>(other));
 }
 
-// The owner is told to stop: it gives its lease back, and the other entry takes over at once.
+// Guards against a late takeover after a regular stop: the owner releases its lease, and the other
+// entry takes over at once.
 TEST_CASE_METHOD(site_fixture, "site, owner told to stop, hands the site over and exits") {
   REQUIRE(Eventually([this] { return Owner() >= 0; }));
   const auto owner = static_cast<size_t>(Owner());
@@ -112,9 +114,10 @@
   CHECK(instances_.Doubles().empty());
 }
 
-// The store does a change and its answer is lost. The entry may say neither "taken" nor "refused"
-// before it knows: it asks again, and the condition of the change tells.
-TEST_CASE_METHOD(site_fixture, "site, answer of the store lost, job is taken once") {
+// Guards against a wrong answer when the store carries out a change and its reply is lost: the
+// entry may report neither success nor failure before it repeats the call, whose condition then
+// decides.
+TEST_CASE_METHOD(site_fixture, "site, reply of the store lost, job is accepted once") {
   store_.LoseAnswers(1);
   const http_result result = Call(0, "POST", "/keyed/" + JobId(1), TwoSteps());
   CHECK((result.code == 200 || result.code == 504));
@@ -122,18 +125,19 @@
   CHECK(instances_.Starts().size() == 5);
 }
 
-// Answers to starts are lost: the tasks may run. They are found in the listings or stopped before
-// they start elsewhere.
-TEST_CASE_METHOD(site_fixture, "site, answers to starts lost, no task runs twice at a time") {
+// Guards against a second run when replies to starts are lost and the tasks may run: they are found
+// in the listings, or stopped before they start elsewhere.
+TEST_CASE_METHOD(site_fixture, "site, replies to starts lost, no task has two runs at a time") {
   instances_.LoseStartAnswers(3);
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   CHECK(Eventually([this] { return StateOf(0, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(instances_.Doubles().empty());
 }
 
-// The store is away: nothing can be kept, so nothing is taken, and callers are told when to come
-// back. What was taken before runs on.
-TEST_CASE_METHOD(site_fixture, "site, store down, refuses at once and finishes what it has") {
+// Guards against jobs accepted while the store is down and they can't be stored: callers get
+// Retry-After, and jobs accepted earlier continue.
+TEST_CASE_METHOD(site_fixture,
+                 "site, store down, rejects new jobs at once and finishes accepted ones") {
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   REQUIRE(Eventually([this] { return !instances_.Starts().empty(); }));
   store_.SetDown(true);
@@ -146,8 +150,8 @@
   CHECK(instances_.Doubles().empty());
 }
 
-// Every process dies at once, also right after a job was taken: it is in the store, and the next
-// owner finds it there.
+// Guards against lost jobs when all processes die right after a job was accepted: the next owner
+// finds it in the store.
 TEST_CASE_METHOD(site_fixture, "site, all entries killed, accepted jobs complete after a restart") {
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   for (auto& entry : entries_) entry->process.Kill();
@@ -156,7 +160,7 @@
   CHECK(instances_.Doubles().empty());
 }
 
-TEST_CASE_METHOD(site_fixture, "site, finished job, its way is in the logs and the metrics") {
+TEST_CASE_METHOD(site_fixture, "site, finished job, its course is in the logs and the metrics") {
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   REQUIRE(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
   const auto logged = [this](const std::string& name) {
--- a/test/site_soak.cc
+++ b/test/site_soak.cc
@@ -21,17 +21,16 @@
 constexpr milliseconds kTaskDuration{250};
 constexpr milliseconds kJobInterval{60};
 constexpr milliseconds kFaultInterval{350};
-constexpr milliseconds kCallTimeout{3000};  // what callers wait for an answer
-constexpr seconds kRecoveryLimit{60};       // generous: leases of dead owners and runs end first
+constexpr milliseconds kCallTimeout{3000};  // how long callers wait for an answer
+constexpr seconds kRecoveryLimit{60};  // generous: leases of dead owners and runs must end first
 constexpr uint32_t kTries = 4;
 constexpr char kQueue[] = "/open/";
 constexpr char kTransientQueue[] = "going";
-constexpr milliseconds kPropagationLimit{
-    3000};  // a change is in force everywhere, by the entries' settings
+constexpr milliseconds kPropagationLimit{3000};  // the entries' setting bounds.config_limit_ms
 constexpr milliseconds kVersionInterval{1500};
 constexpr milliseconds kQueueCheckInterval{40};
-constexpr milliseconds kCheckTimeout{300};  // an entry that stands still says nothing
-constexpr uint32_t kManyQueues = 2500;      // some 570 KB on the wire
+constexpr milliseconds kCheckTimeout{300};  // a paused entry does not answer
+constexpr uint32_t kManyQueues = 2500;      // about 570 KB on the wire
 
 std::string PathOf(const std::string& id) { return kQueue + id; }
 
@@ -117,7 +116,8 @@
 
 // --- callers -------------------------------------------------------------------------------------
 
-// As callers do: after a refusal or no answer the same job is handed in again, at another entry.
+// Behaves like a caller: after a rejection or no answer it submits the same job again, at a
+// randomly picked entry.
 void site_soak::Submit() {
   const std::string text = absl::StrCat(absl::Hex(++next_job_));
   const std::string id = std::string(16 - text.size(), '0') + text;
@@ -158,19 +158,18 @@
     const http_result result = Call(Pick(kEntries), "GET", PathOf(id), {}, kCallTimeout);
     if (result.status != transfer_status::kDone) continue;
     if (result.code == 410)
-      violations_.push_back(absl::StrCat(id, ": accepted, and told to be unknown"));
+      violations_.push_back(absl::StrCat(id, ": accepted, but reported as unknown"));
     if (result.code != 200) continue;
     const json body = json::parse(result.body, nullptr, false);
     one.state = body.is_object() ? body.value("state", std::string()) : std::string();
     if (one.state == "failed") violations_.push_back(absl::StrCat(id, ": failed without a cause"));
     if (one.state == "cancelled" && !one.cancelled) {
-      violations_.push_back(absl::StrCat(id, ": cancelled, and nobody asked for it"));
+      violations_.push_back(absl::StrCat(id, ": cancelled without a request to cancel it"));
     }
   }
 }
 
-// --- the configuration
-// ----------------------------------------------------------------------------
+// --- configuration -------------------------------------------------------------------------------
 
 void site_soak::ChangeVersion() {
   const bool present = PickForVersions(2) == 0;
@@ -190,8 +189,8 @@
   queue_changes_.push_back(change);
 }
 
-// By what was in force when it was asked, or by any change since: until the time is over within
-// which a change has to be in force, both old and new may be said.
+// True if the answer agrees with the version in effect at the time of the query, or with any change
+// within the propagation limit before it or until the answer: both old and new are allowed then.
 bool site_soak::AnswerAllowed(bool present, steady_clock::time_point asked,
                               steady_clock::time_point answered) const {
   bool in_effect = false;
@@ -206,7 +205,8 @@
   return in_effect == present || changed;
 }
 
-// A body that no queue takes: refused as malformed where the queue is, as unknown where it is not.
+// Sends a body that no queue accepts: it is rejected as malformed if the queue is present (400),
+// and as an unknown queue if it is not (404).
 std::optional<bool> site_soak::QueryTransientQueue(size_t at) {
   const auto asked = steady_clock::now();
   const http_result result =
@@ -218,8 +218,8 @@
   const bool present = result.code == 400;
   if (!AnswerAllowed(present, asked, answered)) {
     violations_.push_back(
-        absl::StrCat(entries_[at]->name, ": says ", present ? "there" : "not there",
-                     " of a queue, by a version that is out of force; newest is ", version_));
+        absl::StrCat(entries_[at]->name, ": reports a queue as ", present ? "present" : "absent",
+                     ", by a version that is no longer in effect; newest is ", version_));
   }
   return present;
 }
@@ -259,7 +259,7 @@
   }
   switch (Pick(4)) {
     case 0:
-      return one.process.Signal(SIGTERM);  // it drains meanwhile, and is started again later
+      return one.process.Signal(SIGTERM);  // it drains and is started again later
     case 1:
       one.paused = true;
       return one.process.Signal(SIGSTOP);
@@ -313,10 +313,10 @@
   for (const link_index link : instance_links_) proxy_.SetRule(link, {});
 }
 
-// --- the run -------------------------------------------------------------------------------------
+// --- run -----------------------------------------------------------------------------------------
 
 bool site_soak::AllEnded() {
-  // One that was told to stop before the calm began ends, and is needed again.
+  // Entries that were told to stop before the faults were cleared exit later and must be restarted.
   for (auto& one : entries_) {
     if (!one->process.Alive()) StartEntry(*one);
   }
@@ -366,7 +366,7 @@
 }
 
 void site_soak::CheckAtEnd() {
-  if (!AllAtNewestVersion()) violations_.push_back("an entry never follows the newest version");
+  if (!AllAtNewestVersion()) violations_.push_back("an entry never applied the newest version");
   for (const std::string& task : instances_.Doubles()) {
     violations_.push_back(absl::StrCat(task, ": two runs at the same time"));
   }
@@ -379,10 +379,10 @@
   }
   for (const auto& [id, one] : jobs_) {
     if (one.accepted && !one.cancelled && one.state != "completed") {
-      violations_.push_back(absl::StrCat(id, ": accepted, and never completed: ", one.state));
+      violations_.push_back(absl::StrCat(id, ": accepted, but never completed; state ", one.state));
     }
     if (!one.accepted && !one.outcome_unknown && started.contains(id)) {
-      violations_.push_back(absl::StrCat(id, ": refused each time, and ran"));
+      violations_.push_back(absl::StrCat(id, ": rejected at each try, but ran"));
     }
   }
 }
--- a/test/site_soak.h
+++ b/test/site_soak.h
@@ -1,7 +1,7 @@
-// A soak of whole sites: real entry processes, a stand-in of the platform, a fault proxy on each
-// entry's way to the store and on the way to each instance, and random faults that come in series
-// and overlap, while the configuration changes and grows beyond what a narrow link carries in time.
-// What is checked is seen from outside: by callers and by the instances.
+// Soak test of complete sites: real entry processes, a stand-in of the platform, a fault proxy on
+// the link of each entry to the store and on the link to each instance, and random consecutive and
+// overlapping faults, while the configuration changes and grows beyond what a narrow link transfers
+// in time. All checks are made from outside: as seen by callers and by instances.
 #ifndef CATKINFORD_TEST_SITE_SOAK_H_
 #define CATKINFORD_TEST_SITE_SOAK_H_
 
@@ -23,11 +23,12 @@
 
 class site_soak {
  public:
-  // `name` goes into the names of logs and settings files, so that runs do not share them.
+  // `name` is part of the names of log and settings files, so that runs do not share them.
   site_soak(uint64_t seed, const std::string& name);
   ~site_soak();
 
-  // Faults and work for `time`, then calm until all accepted jobs have ended. Returns what broke.
+  // Runs faults and work for `time`, then clears the faults and waits until all accepted jobs have
+  // ended. Returns the violations found.
   std::vector<std::string> Run(std::chrono::milliseconds time);
 
   size_t Accepted() const;
@@ -46,11 +47,11 @@
   };
   struct job {
     bool accepted = false;
-    bool outcome_unknown = false;  // some try got neither a yes nor a no
-    bool cancelled = false;        // or may be
+    bool outcome_unknown = false;  // some try was neither accepted nor rejected
+    bool cancelled = false;        // or may have been
     std::string state;
   };
-  // A queue that comes and goes with the versions of the configuration.
+  // Presence of the transient queue in one version of the configuration.
   struct queue_change {
     bool present = false;
     std::chrono::steady_clock::time_point sent;
@@ -60,7 +61,7 @@
   void ChangeVersion();
   bool AnswerAllowed(bool present, std::chrono::steady_clock::time_point asked,
                      std::chrono::steady_clock::time_point answered) const;
-  // What the entry says of that queue; nothing: neither yes nor no.
+  // Whether the entry reports the transient queue as present; nothing if it does not say.
   std::optional<bool> QueryTransientQueue(size_t at);
   bool AllAtNewestVersion();
   uint32_t PickForVersions(uint32_t bound) {
@@ -85,7 +86,7 @@
 
   std::mt19937_64 random_;
   std::mt19937_64
-      version_random_;  // of its own: the course of the other faults does not depend on it
+      version_random_;  // separate, so that the sequence of other faults does not depend on it
   std::string name_;
   standin_metadata_store store_;
   standin_instances instances_;
--- a/test/site_soak_test.cc
+++ b/test/site_soak_test.cc
@@ -1,4 +1,4 @@
-// Random faults over whole sites of real processes. By hand, with seeds FROM to TO:
+// Random faults on complete sites of real processes. To run it by hand with seeds FROM to TO:
 //   CATKINFORD_SOAK_SEEDS=FROM:TO build/release/bin/catkinford-tests "[.soak]"
 #include "site_soak.h"
 
@@ -24,16 +24,16 @@
   CHECK(soak.Accepted() > 0);
 }
 
-// Entries are killed, paused, stopped and cut off, instances vanish, answers get lost, all of it in
-// series and overlapping: a buyer must not find a room booked twice, nor lose a slot that was
-// confirmed, nor have one booked that was refused.
-TEST_CASE("site soak, overlapping faults of first seed, keeps every promise") { RunSeed(1); }
-TEST_CASE("site soak, overlapping faults of second seed, keeps every promise") { RunSeed(2); }
+// Guards against jobs that run twice, are lost after they were accepted, or run after they were
+// rejected, while entries are killed, paused, stopped and cut off, instances become unreachable and
+// replies get lost, one after the other and overlapping.
+TEST_CASE("site soak, overlapping faults of first seed, keeps every guarantee") { RunSeed(1); }
+TEST_CASE("site soak, overlapping faults of second seed, keeps every guarantee") { RunSeed(2); }
 
-// Guards against "no such queue" by a version that is out of force.
-TEST_CASE("site soak, queue added among faults, is never said to be missing") { RunSeed(8); }
+// Guards against "no such queue" by a version that is no longer in effect.
+TEST_CASE("site soak, queue added during faults, is never reported as unknown") { RunSeed(8); }
 
-TEST_CASE("site soak, seeds given by hand, keeps every promise", "[.soak]") {
+TEST_CASE("site soak, seeds given by hand, keeps every guarantee", "[.soak]") {
   const char* range = std::getenv("CATKINFORD_SOAK_SEEDS");
   REQUIRE(range != nullptr);
   const std::vector<std::string> ends = absl::StrSplit(range, ':');
--- a/test/store_health_test.cc
+++ b/test/store_health_test.cc
@@ -21,9 +21,9 @@
   monotonic_time now{std::chrono::seconds(100)};
 };
 
-// The store goes silent and keeps every call until its timeout. A booking sent to it now would be
-// neither taken nor refused, and the buyer would be told nothing that helps.
-TEST_CASE_METHOD(store_health_fixture, "store health, store silent, is doubted and then down") {
+// Guards against submissions to a store that has stopped answering and holds every call until its
+// timeout: a job sent to it would be neither accepted nor rejected.
+TEST_CASE_METHOD(store_health_fixture, "store health, store silent, is suspect and then down") {
   AnswerAfter(milliseconds{6});
   health.Sent(now);
   Wait(milliseconds{100});
@@ -36,9 +36,8 @@
   CHECK(health.State(now) == store_state::kUp);
 }
 
-// One answer gets lost and the next calls are answered: refusing work for that would turn callers
-// away for nothing.
-TEST_CASE_METHOD(store_health_fixture, "store health, one answer lost, stays up") {
+// Guards against rejected callers after a single lost reply, while later calls are answered.
+TEST_CASE_METHOD(store_health_fixture, "store health, one reply lost, stays up") {
   const uint64_t lost = health.Sent(now);
   Wait(milliseconds{10});
   for (int i = 0; i < 30; ++i) AnswerAfter(milliseconds{30});
@@ -47,7 +46,7 @@
   CHECK(health.State(now) == store_state::kUp);
 }
 
-// The store is slow for everyone. Work goes on at its pace.
+// Guards against a store that is slow for everyone being taken for one that is down.
 TEST_CASE_METHOD(store_health_fixture, "store health, store slow, stays up") {
   for (int i = 0; i < 20; ++i) AnswerAfter(milliseconds{300});
   health.Sent(now);
@@ -55,18 +54,17 @@
   CHECK(health.State(now) == store_state::kUp);
 }
 
-// The store turns this entry away at once, call after call.
-TEST_CASE_METHOD(store_health_fixture,
-                 "store health, calls turned away, is down until one is not") {
+// Guards against sending more work to a store that rejects each call of this entry at once.
+TEST_CASE_METHOD(store_health_fixture, "store health, calls rejected, is down until one succeeds") {
   for (int i = 0; i < 2; ++i) health.Answered(health.Sent(now), false, now);
   CHECK(health.State(now) == store_state::kDown);
   AnswerAfter(milliseconds{5});
   CHECK(health.State(now) == store_state::kUp);
 }
 
-// The store is down for four seconds, and a caller has four tries. Told to come back in one second
-// each time, it has used them up just before the store is back, and its booking is lost.
-TEST_CASE_METHOD(store_health_fixture, "store health, outage of four seconds, callers outlast it") {
+// Guards against lost jobs in an outage of four seconds: a caller with four tries that is told to
+// retry after one second each time has used them up just before the store is back.
+TEST_CASE_METHOD(store_health_fixture, "store health, outage of four seconds, retries outlast it") {
   AnswerAfter(milliseconds{6});
   const monotonic_time outage = now;
   for (int tries = 0; tries < 4; ++tries) Wait(health.RetryAfter(now));
--- a/test/text_rate_limiter_test.cc
+++ b/test/text_rate_limiter_test.cc
@@ -8,8 +8,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Guards against all entries that ask the same one for the text, and a link full of texts.
-TEST_CASE("text ration, asked by many, gives one text and keeps the link free") {
+// Guards against a saturated link when many entries ask the same one for the configuration's text.
+TEST_CASE("text rate limiter, asked by many, sends one text and keeps the link free") {
   monotonic_time now{seconds(1000)};
   constexpr size_t kText = 1'000'000;
   text_rate_limiter narrow(10);
--- a/test/version_refresh_test.cc
+++ b/test/version_refresh_test.cc
@@ -18,13 +18,14 @@
 constexpr milliseconds kPropagationLimit{3000};
 constexpr milliseconds kCallTimeout{1000};
 constexpr milliseconds kPeerTimeout{400};
-constexpr milliseconds kLatency{10};  // to the store or a peer and back
+constexpr milliseconds kLatency{10};  // round trip to the store or another entry
 
-// One entry in virtual time: a store whose operators change the configuration, a link that carries
-// texts slowly, kept connections that can go silent, and another entry that holds the newest.
+// One entry in virtual time: a store in which operators change the configuration, a link that
+// transfers texts slowly, pooled connections that can die without a reset, and another entry that
+// holds the newest version.
 class version_world {
  protected:
-  // kWatchesSilent: reads are answered, watches hear of nothing and get no answer.
+  // kWatchesSilent: reads are answered; watches see no changes and get no reply.
   enum class store_mode : uint8_t { kUp, kWatchesSilent, kSilent, kRejects };
 
   version_world() : refresh(kPropagationLimit, now) { Acknowledge(); }
@@ -34,7 +35,7 @@
 
   void Acknowledge() { acks.push_back(now); }
   uint64_t Newest() const { return acks.size(); }
-  // The newest of what was acknowledged before `time`.
+  // The newest version acknowledged before `time`.
   uint64_t NewestBefore(monotonic_time time) const {
     return static_cast<uint64_t>(
         std::count_if(acks.begin(), acks.end(), [time](monotonic_time ack) { return ack < time; }));
@@ -50,20 +51,21 @@
     }
   }
 
-  // The safety of it all: what an entry still answers by misses nothing that has to be in force.
+  // Safety: a configuration by which the entry still answers includes every change that must be in
+  // effect.
   void CheckSafety() {
     if (!Confirmed() || number >= NewestBefore(now - kPropagationLimit)) return;
     FAIL("answers by version " << number << " while " << NewestBefore(now - kPropagationLimit)
-                               << " has to be in force");
+                               << " must be in effect");
   }
 
   struct pending_call {
     version_query query;
-    bool lost = false;  // never answered: its connection is silent, or the store was
-    // Set once the answer is on its way.
+    bool lost = false;  // never answered: its connection is dead, or the store did not answer
+    // Set once the reply is being transferred.
     std::optional<monotonic_time> arrives;
     version_reply reply;
-    uint64_t version = 0;  // a version; 0: none
+    uint64_t version = 0;  // in the reply; 0: none
   };
   struct pending_peer_query {
     monotonic_time arrives;
@@ -104,7 +106,7 @@
     }
   }
 
-  // What the store answers a call that it holds.
+  // Lets the store reply to a pending call if it has something to say.
   void Answer(pending_call& call) {
     const bool read = call.query.call == version_call::kRead;
     const bool reply = read || Newest() > call.query.after;
@@ -158,13 +160,13 @@
     refresh.OnApplied(version);
   }
 
-  // Kept connections go silent for good, and with them what is under way on them.
+  // Pooled connections die without a reset, and calls in flight on them are lost.
   void SilencePooledConnections() {
     pooled_silent = true;
     for (pending_call& call : calls) call.lost = call.lost || !call.query.fresh_connection;
   }
   void SetStore(store_mode mode) {
-    // What deaf watches missed is no longer kept.
+    // The store no longer keeps the history that the silent watches missed.
     for (pending_call& call : calls) {
       const bool watch = call.query.call == version_call::kWatch;
       if (store != store_mode::kWatchesSilent || mode == store || call.lost || call.arrives ||
@@ -179,7 +181,7 @@
       if (call.arrives) continue;
       if (mode == store_mode::kSilent) call.lost = true;
       if (mode != store_mode::kRejects) continue;
-      call.reply.status = store_status::kUnknown;  // cut
+      call.reply.status = store_status::kUnknown;  // connection cut
       call.arrives = now;
     }
   }
@@ -187,7 +189,7 @@
   monotonic_time now{seconds(1000)};
   version_refresh refresh;
   std::vector<monotonic_time> acks;  // of version 1, 2, ...; the store's revisions are the same
-  uint64_t number = 0;               // in force at the entry
+  uint64_t number = 0;               // in effect at the entry
   store_mode store = store_mode::kUp;
   bool pooled_silent = false;
   bool peer_answers = true;
@@ -202,7 +204,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(version_world, "version plan, nothing changes, stays confirmed by few calls",
+TEST_CASE_METHOD(version_world, "version refresh, nothing changes, stays confirmed with few calls",
                  "[version]") {
   Run(seconds(1));
   Run(seconds(30), [this] { REQUIRE(IsNewest()); });
@@ -210,8 +212,9 @@
   CHECK(peer_queries_sent == 0);
 }
 
-// Guards against a watch that nobody answers: its connection went silent without a reset.
-TEST_CASE_METHOD(version_world, "version plan, kept connections silent, new version in force",
+// Guards against a watch that is never answered because its connection died without a reset.
+TEST_CASE_METHOD(version_world,
+                 "version refresh, pooled connections dead, applies a new version in time",
                  "[version]") {
   peer_answers = GENERATE(true, false);
   Run(seconds(5));
@@ -221,9 +224,9 @@
   CHECK(number == 2);
 }
 
-// Guards against a second transfer beside one that only takes long: on a narrow link both take
-// twice as long.
-TEST_CASE_METHOD(version_world, "version plan, text takes long to arrive, is carried once",
+// Guards against a second transfer beside a slow one: on a narrow link both then take twice as
+// long.
+TEST_CASE_METHOD(version_world, "version refresh, text arrives slowly, is transferred once",
                  "[version]") {
   text_duration = milliseconds{1500};
   Run(seconds(10));
@@ -235,8 +238,9 @@
   Run(seconds(10), [this] { REQUIRE(Confirmed()); });
 }
 
-// Guards against an entry that is behind by more versions the longer it receives them.
-TEST_CASE_METHOD(version_world, "version plan, versions faster than texts arrive, stays close",
+// Guards against an entry that falls behind further with each version that it receives.
+TEST_CASE_METHOD(version_world,
+                 "version refresh, versions change faster than texts arrive, stays close",
                  "[version]") {
   text_duration = milliseconds{500};
   peer_answers = false;
@@ -250,9 +254,9 @@
   CHECK(number == last);
 }
 
-// Guards against all entries turning callers away at once while the store answers everything but
+// Guards against all entries rejecting callers at once while the store answers everything but
 // watches.
-TEST_CASE_METHOD(version_world, "version plan, watches hear nothing, reads keep it confirmed",
+TEST_CASE_METHOD(version_world, "version refresh, watches unanswered, reads keep it confirmed",
                  "[version]") {
   Run(seconds(5));
   peer_answers = false;
@@ -262,9 +266,9 @@
   CHECK(number == 2);
 }
 
-// Guards against callers turned away long after an outage: the watch that the silent store held is
-// answered by nobody.
-TEST_CASE_METHOD(version_world, "version plan, store back from silence, confirms at once",
+// Guards against callers rejected long after an outage: the watch sent during the outage is never
+// answered.
+TEST_CASE_METHOD(version_world, "version refresh, store back after an outage, confirms at once",
                  "[version]") {
   Run(seconds(5));
   peer_answers = false;
@@ -278,8 +282,9 @@
   CHECK(number == 2);
 }
 
-// Guards against an entry that goes on with what it has while the store refuses it and nobody else.
-TEST_CASE_METHOD(version_world, "version plan, store refuses this entry, another one tells it",
+// Guards against an entry that keeps an old version while the store rejects only this entry.
+TEST_CASE_METHOD(version_world,
+                 "version refresh, store rejects this entry, learns from another one",
                  "[version]") {
   Run(seconds(5));
   SetStore(store_mode::kRejects);
@@ -289,8 +294,8 @@
   CHECK(number == 2);
 }
 
-// Guards against "no such queue" from an entry that knows nothing of the last seconds.
-TEST_CASE_METHOD(version_world, "version plan, cut off from all, is unconfirmed in time",
+// Guards against "no such queue" from an entry that received no update in the last seconds.
+TEST_CASE_METHOD(version_world, "version refresh, cut off from all, is unconfirmed in time",
                  "[version]") {
   Run(seconds(5));
   peer_answers = false;
@@ -301,8 +306,8 @@
   CHECK_FALSE(Confirmed());
 }
 
-// Guards against a process that wakes up and answers by what it knew before.
-TEST_CASE_METHOD(version_world, "version plan, after a pause, is unconfirmed until it hears",
+// Guards against a process that resumes after a pause and answers by an old configuration.
+TEST_CASE_METHOD(version_world, "version refresh, after a pause, is unconfirmed until a reply",
                  "[version]") {
   Run(seconds(5));
   now += seconds(6);
@@ -311,7 +316,7 @@
   CHECK(IsNewest());
 }
 
-TEST_CASE_METHOD(version_world, "version plan, another entry holds a newer one, is not newest",
+TEST_CASE_METHOD(version_world, "version refresh, another entry holds a newer one, is not newest",
                  "[version]") {
   Run(seconds(5));
   REQUIRE(IsNewest());
@@ -322,7 +327,7 @@
 
 class random_version_world : public version_world {
  public:
-  // Faults that come in series and overlap, and changes at any moment; then calm.
+  // Consecutive and overlapping faults with changes at any time; then a period without faults.
   void RunSeed(uint64_t seed) {
     std::mt19937_64 random(seed);
     const auto pick = [&random](uint64_t bound) { return static_cast<int>(random() % bound); };
@@ -355,7 +360,7 @@
           SetStore(store_mode::kUp);
       }
       Run(milliseconds{pick(1200)});
-      if (pick(10) == 0) now += milliseconds{pick(6000)};  // the process stood still
+      if (pick(10) == 0) now += milliseconds{pick(6000)};  // the process was paused
     }
     SetStore(store_mode::kUp);
     text_duration = milliseconds{300};
@@ -365,8 +370,8 @@
   }
 };
 
-// Guards against an entry that answers by an old version, whatever comes together.
-TEST_CASE("version plan, random faults, never confirms what is too old and catches up",
+// Guards against an entry that answers by an old version after any combination of faults.
+TEST_CASE("version refresh, random faults, never confirms an old version and catches up",
           "[version]") {
   for (uint64_t seed = 1; seed <= 300; ++seed) {
     INFO("seed " << seed);
