--- a/src/process/site/advice_dispatcher.cc
+++ b/src/process/site/advice_dispatcher.cc
@@ -19,8 +19,8 @@
   }
 }
 
-void advice_dispatcher::Add(advice_order order) {
-  (order.urgent ? urgent_ : slow_).push_back(std::move(order));
+void advice_dispatcher::Add(advice_order query) {
+  (query.urgent ? urgent_ : slow_).push_back(std::move(query));
 }
 
 size_t advice_dispatcher::FreeEntries() const {
--- a/src/process/site/advice_dispatcher.h
+++ b/src/process/site/advice_dispatcher.h
@@ -20,7 +20,7 @@
  public:
   // The entries that may send queries; an entry that is no longer listed gets no new ones.
   void SetEntries(const std::vector<std::string>& names);
-  void Add(advice_order order);
+  void Add(advice_order query);
   // The next query and the entry to send it; urgent queries first. Empty while no entry is free.
   std::optional<std::pair<advice_order, std::string>> Next();
   void OnAnswered(const std::string& entry);
--- a/src/process/site/store_health.cc
+++ b/src/process/site/store_health.cc
@@ -47,10 +47,10 @@
   // If a newer call has been answered, only the reply of the older one was lost: the store is up.
   const auto oldest = pending_.upper_bound(last_success_);
   if (oldest == pending_.end()) return store_state::kUp;
-  const auto silent = now - oldest->second;
+  const auto waited = now - oldest->second;
   const auto usual = std::chrono::duration_cast<milliseconds>(kLatencyFactor * latency_);
-  if (silent > std::max(kDownAfter, usual)) return store_state::kDown;
-  if (silent > std::max(kSuspectAfter, usual)) return store_state::kSuspect;
+  if (waited > std::max(kDownAfter, usual)) return store_state::kDown;
+  if (waited > std::max(kSuspectAfter, usual)) return store_state::kSuspect;
   return store_state::kUp;
 }
 
--- a/src/process/site/version_refresh.cc
+++ b/src/process/site/version_refresh.cc
@@ -96,9 +96,9 @@
   // After a long outage a watch would return every version stored meanwhile, one after the other.
   const bool behind = now - as_of_ > propagation_limit_;
   next_is_read_ = revision_ == 0 || behind || reply.status == store_status::kHistoryGone;
-  const bool silent = reply.status == store_status::kUnknown;
-  next_is_fresh_ = silent;
-  next_call_at_ = silent ? std::max(now, query.sent + kRetryInterval) : now + kRetryInterval;
+  const bool no_reply = reply.status == store_status::kUnknown;
+  next_is_fresh_ = no_reply;
+  next_call_at_ = no_reply ? std::max(now, query.sent + kRetryInterval) : now + kRetryInterval;
 }
 
 bool version_refresh::ShouldQueryPeer(monotonic_time now) {
--- a/test/site_soak.cc
+++ b/test/site_soak.cc
@@ -135,9 +135,9 @@
     const http_result result = Call(Pick(kEntries), "POST", PathOf(id), body, kCallTimeout);
     if (result.status == transfer_status::kNotSent) continue;
     if (result.status == transfer_status::kDone && result.code == 200) added.accepted = true;
-    const bool refused = result.status == transfer_status::kDone &&
-                         (result.code == 503 || result.code == 429 || result.code == 404);
-    if (!added.accepted && !refused) added.outcome_unknown = true;
+    const bool rejected = result.status == transfer_status::kDone &&
+                          (result.code == 503 || result.code == 429 || result.code == 404);
+    if (!added.accepted && !rejected) added.outcome_unknown = true;
   }
 }
 
@@ -147,9 +147,9 @@
   if (!chosen->second.accepted) return;
   const http_result result =
       Call(Pick(kEntries), "DELETE", PathOf(chosen->first), {}, kCallTimeout);
-  const bool refused = result.status == transfer_status::kNotSent ||
-                       (result.status == transfer_status::kDone && result.code == 503);
-  if (!refused) chosen->second.cancelled = true;
+  const bool rejected = result.status == transfer_status::kNotSent ||
+                        (result.status == transfer_status::kDone && result.code == 503);
+  if (!rejected) chosen->second.cancelled = true;
 }
 
 void site_soak::QueryJobStates() {
