--- a/src/process/site/site_records.h
+++ b/src/process/site/site_records.h
@@ -6,9 +6,8 @@
 //   inbox/job/ID        an accepted job, written once by the entry that accepted it
 //   inbox/cancel/ID     a job whose cancellation was accepted
 //   progress/ID         the progress of a job, written by the owner
-//   owner/commit        changes with each write of the owner: a write that is carried out late
-//   finds
-//                       it changed and does nothing
+//   owner/commit        changes with each write of the owner, so that a write that is carried out
+//                       late finds it changed and does nothing
 //   owner/fleet         the instances that may run work of the owner
 //   owner/behind        present while starts are sent before their records are stored
 #ifndef CATKINFORD_PROCESS_SITE_SITE_RECORDS_H_
--- a/src/process/site/store_health.h
+++ b/src/process/site/store_health.h
@@ -27,8 +27,8 @@
   // A call is sent. Returns its number, to be passed to Answered(). Not for calls that wait at the
   // store on purpose (watches).
   uint64_t Sent(monotonic_time now);
-  // `success`: the store carried out the call or said why it cannot. False: it turned the call away
-  // or did not reply.
+  // `success`: the store carried out the call or gave the reason why it can't. False: the store was
+  // unavailable or did not reply.
   void Answered(uint64_t call, bool success, monotonic_time now);
 
   store_state State(monotonic_time now) const;
--- a/src/process/site/version_follower.h
+++ b/src/process/site/version_follower.h
@@ -32,8 +32,7 @@
   // The store answers this entry's other calls.
   std::function<bool()> store_up;
   // Queries another entry for a version newer than `have`, with its text if `text` is set. The
-  // callback runs once, with nothing if there is no answer. `arrived` counts the bytes of the
-  // reply.
+  // callback runs once, with nothing if there is no answer. `arrived` counts bytes received.
   std::function<void(uint64_t have, bool text, byte_counter arrived,
                      std::function<void(std::optional<peer_version_reply>)>)>
       ask_peer;
--- a/test/version_refresh_test.cc
+++ b/test/version_refresh_test.cc
@@ -51,7 +51,7 @@
     }
   }
 
-  // Safety: a configuration by which the entry still answers includes every change that must be in
+  // Safety: a configuration by which the entry answers includes every change that must be in
   // effect.
   void CheckSafety() {
     if (!Confirmed() || number >= NewestBefore(now - kPropagationLimit)) return;
@@ -106,7 +106,7 @@
     }
   }
 
-  // Lets the store reply to a pending call if it has something to say.
+  // Lets the store reply to a pending call if there is a change or its wait is over.
   void Answer(pending_call& call) {
     const bool read = call.query.call == version_call::kRead;
     const bool reply = read || Newest() > call.query.after;
@@ -224,8 +224,7 @@
   CHECK(number == 2);
 }
 
-// Guards against a second transfer beside a slow one: on a narrow link both then take twice as
-// long.
+// Guards against a second transfer beside a slow one: on a narrow link both take twice as long.
 TEST_CASE_METHOD(version_world, "version refresh, text arrives slowly, is transferred once",
                  "[version]") {
   text_duration = milliseconds{1500};
