--- /dev/null
+++ b/src/process/site/advice_dispatcher.h
@@ -0,0 +1,40 @@
+// Distributes advice queries (calls to the policies of queues) over the entries of the site. The
+// advice service handles one query at a time per calling machine, and most of the latency is its
+// own, so queries from several entries run in parallel.
+#ifndef CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
+#define CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
+
+#include <cstddef>
+#include <deque>
+#include <map>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "process/scheduling/scheduler_messages.h"
+
+namespace catkinford {
+
+class advice_dispatcher {
+ public:
+  // The entries that may send queries; an entry that is no longer listed gets no new ones.
+  void SetEntries(const std::vector<std::string>& names);
+  void Add(advice_query query);
+  // The next query and the entry to send it; urgent queries first. Empty while no entry is free.
+  std::optional<std::pair<advice_query, std::string>> Next();
+  void OnAnswered(const std::string& entry);
+  size_t Waiting() const { return urgent_.size() + slow_.size(); }
+
+ private:
+  size_t FreeEntries() const;
+
+  std::map<std::string, bool> busy_;  // by entry: a query is in flight
+  std::map<std::string, bool> entries_;
+  std::deque<advice_query> urgent_;
+  std::deque<advice_query> slow_;
+};
+
+}  // namespace catkinford
+
+#endif  // CATKINFORD_PROCESS_SITE_ADVICE_DISPATCHER_H_
--- a/src/process/site/fleet_record.h
+++ b/src/process/site/fleet_record.h
@@ -1,10 +1,10 @@
-// The stored list of instances that may run work: when it is written, and what it says.
+// The stored list of instances that may run work: decides when it is written and with what content.
 //
-// The load it answers: hundreds of instances of which some fall silent and come back all the time.
-// The list is long, and written at each of these changes it takes more of the owner's processor and
-// link than all else; answers are then read late, more instances seem silent, and the list is
-// written again. An instance must be in it before it gets work, but may stay for a while after it
-// left: a next owner waits for its leases then, no more.
+// With hundreds of instances, some stop answering and return all the time. Writing the long list at
+// each such change costs the owner more CPU and bandwidth than everything else; replies are then
+// read late, more instances appear silent, and the list is written again. An instance must be
+// listed before it gets work, but may stay listed for a while after it leaves: the only cost is
+// that the next owner waits for its leases.
 #ifndef CATKINFORD_PROCESS_SITE_FLEET_RECORD_H_
 #define CATKINFORD_PROCESS_SITE_FLEET_RECORD_H_
 
@@ -22,20 +22,22 @@
 
 class fleet_record {
  public:
-  // `in_use`: the instances that may run work now. What to write, if it is time to write anything.
+  // `in_use`: the instances that may run work now. Returns the list to write, or nothing if no
+  // write is due.
   std::optional<std::vector<instance_report>> Update(std::vector<instance_report> in_use,
                                                      monotonic_time now) {
     for (instance_report& report : in_use) {
       const auto [at, added] = listed_.try_emplace(report.id);
-      changed_ = changed_ || added || !Same(at->second.report, report);
+      changed_ = changed_ || added || !SameRecord(at->second.report, report);
       at->second = {std::move(report), now};
     }
-    const auto gone = [now](const auto& item) { return now - item.second.in_use > kStays; };
-    const bool left = std::any_of(listed_.begin(), listed_.end(), gone);
-    const bool due = changed_ ? now >= written_ + kBetweenAdditions : now >= written_ + kStays;
-    if (!due || (!changed_ && !left)) return std::nullopt;
-    std::erase_if(listed_, gone);
-    written_ = now;
+    const auto expired = [now](const auto& item) { return now - item.second.in_use > kRetention; };
+    const bool any_expired = std::any_of(listed_.begin(), listed_.end(), expired);
+    const bool due =
+        changed_ ? now >= last_write_ + kMinWriteInterval : now >= last_write_ + kRetention;
+    if (!due || (!changed_ && !any_expired)) return std::nullopt;
+    std::erase_if(listed_, expired);
+    last_write_ = now;
     changed_ = false;
     std::vector<instance_report> out;
     out.reserve(listed_.size());
@@ -44,20 +46,20 @@
   }
 
  private:
-  struct entry {
+  struct listed_instance {
     instance_report report;
-    monotonic_time in_use{};  // last
+    monotonic_time in_use{};  // when it was last passed to Update()
   };
-  static bool Same(const instance_report& a, const instance_report& b) {
+  static bool SameRecord(const instance_report& a, const instance_report& b) {
     return a.incarnation == b.incarnation && a.address == b.address && a.capacity == b.capacity;
   }
 
-  static constexpr std::chrono::milliseconds kBetweenAdditions{300};
-  static constexpr std::chrono::milliseconds kStays{3000};
+  static constexpr std::chrono::milliseconds kMinWriteInterval{300};
+  static constexpr std::chrono::milliseconds kRetention{3000};
 
-  std::map<std::string, entry> listed_;
-  monotonic_time written_{};
-  bool changed_ = false;  // since it was last written
+  std::map<std::string, listed_instance> listed_;
+  monotonic_time last_write_{};
+  bool changed_ = false;  // since the last write
 };
 
 }  // namespace catkinford
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -44,7 +44,7 @@
 
 // The current content of the keys under kSitePrefix.
 struct site_view {
-  std::optional<owner_word> owner;
+  std::optional<owner_record> owner;
   uint64_t owner_revision = 0;  // 0: no such key
   uint64_t owner_changed = 0;   // store revision of its last write or removal
   uint64_t epoch = 0;           // the highest so far
@@ -334,7 +334,7 @@
   void Claim(bool early) {
     const bool claimable = early || !view_.owner || view_.owner->entry.name == self_.name;
     if (resigning_ || owns_ || !claimable || !LeaseValid(BootNow())) return;
-    const owner_word record{self_, view_.epoch + 1, early};
+    const owner_record record{self_, view_.epoch + 1, early};
     const bool earlier_owners_may_act = history_.EarlierOwnerMayAct(ttl_, BootNow());
     store_write write;
     write.expected = {{kOwnerKey, view_.owner_revision}, {kEpochKey, view_.epoch_revision}};
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -20,12 +20,12 @@
 #include "absl/strings/str_cat.h"
 #include "connection/http_client.h"
 #include "connection/http_server.h"
-#include "process/site/advice_spread.h"
+#include "process/site/advice_dispatcher.h"
 #include "process/site/caller_frontend.h"
 #include "process/site/event_loop.h"
 #include "process/site/owner_budget.h"
 #include "process/site/owner_failure_detector.h"
-#include "process/site/peer_words.h"
+#include "process/site/peer_messages.h"
 #include "process/site/site_log.h"
 #include "process/site/site_membership.h"
 #include "process/site/site_metrics.h"
@@ -36,8 +36,8 @@
 #include "process/site/start_forwarder.h"
 #include "process/site/store_health.h"
 #include "process/site/takeover_backoff.h"
-#include "process/site/text_ration.h"
-#include "process/site/version_follow.h"
+#include "process/site/text_rate_limiter.h"
+#include "process/site/version_follower.h"
 
 namespace catkinford {
 
@@ -122,9 +122,9 @@
   const site_entry* Owner() const;
   void PhaseFromOwner(const std::string& job, std::function<void(std::optional<graph_phase>)> done);
   void PendingFromOwner(const std::string& queue, std::function<void(std::optional<size_t>)> done);
-  told_version VersionForPeer(const http_request& request);
+  peer_version_reply VersionForPeer(const http_request& request);
   void VersionFromPeer(uint64_t have, bool text, byte_counter arrived,
-                       const std::function<void(std::optional<told_version>)>& done);
+                       const std::function<void(std::optional<peer_version_reply>)>& done);
   void PollPeersOnOutage(const std::function<void(outage_verdict)>& done);
   // Failure detection for the owner's process.
   void WatchOwner();
@@ -134,7 +134,7 @@
   void ReadOwnerCommit(uint64_t epoch);
   void EvaluateSuspicion(uint64_t epoch);
   void ConfirmSuspicion(uint64_t epoch);
-  owner_witness LocalOutageReport() const;
+  outage_report LocalOutageReport() const;
   void SeekConfirmation();
   void SendAdviceRequests();
   void RequestAdvice(const advice_query& order, const std::string& entry);
@@ -152,15 +152,15 @@
   event_loop loop_;
   store_health store_health_;
   site_membership<std::remove_reference_t<decltype(std::declval<Platform>().Store())>> membership_;
-  version_follow<Platform> versions_;
+  version_follower<Platform> versions_;
   caller_frontend<Platform> frontend_;
   owner_budget budget_;
   start_dispatcher<Platform> start_dispatcher_;  // for this entry's starts, while it owns the site
   start_forwarder<Platform> start_forwarder_;    // for starts of another entry that owns the site
-  advice_spread advice_;
+  advice_dispatcher advice_;
   std::shared_ptr<site_owner<Platform>> owner_;
   std::map<std::string, bool> peer_silent_;
-  text_ration text_limiter_;  // limits how often the configuration's text is sent to peers
+  text_rate_limiter text_limiter_;  // limits how often the configuration's text is sent to peers
   absl::BitGen random_;
   bool query_strong_peer_ = false;  // alternates between any and strong entries
   owner_failure_detector owner_detector_;
@@ -264,7 +264,7 @@
   hooks.changed = [this] { OnVersion(); };
   hooks.store_up = [this] { return store_health_.State(BootNow()) == store_state::kUp; };
   hooks.ask_peer = [this](uint64_t have, bool text, byte_counter arrived,
-                          const std::function<void(std::optional<told_version>)>& done) {
+                          const std::function<void(std::optional<peer_version_reply>)>& done) {
     VersionFromPeer(have, text, std::move(arrived), done);
   };
   return hooks;
@@ -411,7 +411,7 @@
 void site_node<Platform>::OnPeer(http_server::token token, http_request request) {
   if (request.path == kPeerAlivePath) {
     return peer_server_->Respond(
-        token, {.body = AliveToText({membership_.Self().nonce, overloaded_.load()})});
+        token, {.body = PeerLivenessToText({membership_.Self().nonce, overloaded_.load()})});
   }
   const bool accepted =
       loop_.TryPost([this, token, request = std::move(request)] { AnswerPeer(token, request); });
@@ -423,12 +423,12 @@
   http_response response;
   const bool owns = owner_ != nullptr && owner_->Loaded();
   if (request.path == kPeerStatePath) {
-    told_phase state{owns, std::nullopt};
+    peer_phase_reply state{owns, std::nullopt};
     if (owns) state.phase = owner_->PhaseOf(request.Query("id"));
-    response.body = ToldPhaseToText(state);
+    response.body = PeerPhaseReplyToText(state);
   } else if (request.path == kPeerPendingPath) {
     response.body =
-        ToldPendingToText({owns, owns ? owner_->Pending(request.Query("queue")) : size_t{0}});
+        PeerPendingReplyToText({owns, owns ? owner_->Pending(request.Query("queue")) : size_t{0}});
   } else if (request.path == kPeerHealthPath) {
     const monotonic_time now = BootNow();
     const auto age =
@@ -436,13 +436,13 @@
     if (age >= kMaxReachableStoreAge) outage_confirmed_at_ = now;
     response.body = PeerHealthToText({age, membership_.View().epoch});
   } else if (request.path == kPeerWitnessPath) {
-    response.body = OwnerWitnessToText(LocalOutageReport());
+    response.body = OutageReportToText(LocalOutageReport());
   } else if (request.path == kPeerLookPath) {
     return CheckOwnerAlive([this, token](liveness answer) {
-      peer_server_->Respond(token, {.body = LookToText(answer)});
+      peer_server_->Respond(token, {.body = OwnerLivenessToText(answer)});
     });
   } else if (request.path == kPeerVersionPath) {
-    response.body = ToldVersionToText(VersionForPeer(request));
+    response.body = PeerVersionReplyToText(VersionForPeer(request));
   } else if (request.path == kPeerJobPath) {
     if (owner_ != nullptr) owner_->OnJobStored(request.Query("id"), request.body);
   } else if (request.path == kPeerCancelPath) {
@@ -463,11 +463,11 @@
 
 template <site_platform Platform>
 void site_node<Platform>::AdviseForPeer(http_server::token token, const http_request& request) {
-  const auto query = PeerQuestionFromText(request.body);
+  const auto query = PeerAdviceRequestFromText(request.body);
   if (!query) return peer_server_->Respond(token, {.status = http_status::kBadRequest});
   platform_.Advisor().QueryAdvice(
       query->order, query->timeout, [this, token](const advice_answer& answer) {
-        peer_server_->Respond(token, {.body = PeerAdviceToText(answer)});
+        peer_server_->Respond(token, {.body = PeerAdviceReplyToText(answer)});
       });
 }
 
@@ -505,7 +505,7 @@
   };
   metrics_.store_age_seconds.Set(seconds(membership_.StoreAnswered()));
   metrics_.version_age_seconds.Set(seconds(versions_.AsOf()));
-  const double left_out = static_cast<double>(log_.LeftOut());
+  const double left_out = static_cast<double>(log_.DroppedLines());
   metrics_.log_lines_left_out.Increment(left_out - metrics_.log_lines_left_out.Value());
   ReportLinkUse();
 }
@@ -548,7 +548,7 @@
                     [this, done, asked, nonce = process.nonce](http_result result) {
                       loop_.Post([done, asked, nonce, result = std::move(result)] {
                         if (result.status == transfer_status::kDone) {
-                          const auto alive = AliveFromText(result.body);
+                          const auto alive = PeerLivenessFromText(result.body);
                           if (!alive || alive->nonce != nonce) return done(liveness::kOtherProcess);
                           return done(alive->busy ? liveness::kBusy : liveness::kAlive);
                         }
@@ -624,7 +624,7 @@
   for (const site_entry& other : others) {
     QueryPeer(other, kPeerLookPath,
               [this, answers, remaining, epoch](const std::optional<std::string>& text) {
-                const auto seen = text ? LookFromText(*text) : std::nullopt;
+                const auto seen = text ? OwnerLivenessFromText(*text) : std::nullopt;
                 if (seen) answers->push_back(*seen);
                 if (--*remaining > 0) return;
                 confirming_suspicion_ = false;
@@ -703,9 +703,9 @@
 }
 
 template <site_platform Platform>
-owner_witness site_node<Platform>::LocalOutageReport() const {
+outage_report site_node<Platform>::LocalOutageReport() const {
   const monotonic_time now = BootNow();
-  owner_witness out;
+  outage_report out;
   out.registered = membership_.RegisteredFor(now);
   if (outage_confirmed_at_) {
     out.confirmed_age =
@@ -718,7 +718,7 @@
 template <site_platform Platform>
 void site_node<Platform>::SeekConfirmation() {
   const std::weak_ptr<site_owner<Platform>> weak_owner = owner_;
-  const auto take = [this, weak_owner](const owner_witness& report, const std::string& from) {
+  const auto take = [this, weak_owner](const outage_report& report, const std::string& from) {
     const auto owner = weak_owner.lock();
     if (owner == nullptr || owner != owner_ || !RulesOutUnrecordedStarts(report)) return false;
     if (std::exchange(confirmed_epoch_, membership_.Epoch()) == membership_.Epoch()) return true;
@@ -732,7 +732,7 @@
   for (const auto& [name, entry] : membership_.View().entries) {
     if (name == settings_.name) continue;
     QueryPeer(entry, kPeerWitnessPath, [take, name](const std::optional<std::string>& text) {
-      const auto report = text ? OwnerWitnessFromText(*text) : std::nullopt;
+      const auto report = text ? OutageReportFromText(*text) : std::nullopt;
       if (report) take(*report, name);
     });
   }
@@ -746,7 +746,7 @@
   if (owner_ == nullptr) return;
   owner_->End();
   owner_.reset();
-  advice_ = advice_spread();
+  advice_ = advice_dispatcher();
   OnViewChanged();
 }
 
@@ -818,7 +818,7 @@
   if (owner == nullptr) return done(std::nullopt);
   QueryPeer(*owner, absl::StrCat(kPeerStatePath, "?id=", job),
             [done = std::move(done)](const std::optional<std::string>& text) {
-              const auto state = text ? ToldPhaseFromText(*text) : std::nullopt;
+              const auto state = text ? PeerPhaseReplyFromText(*text) : std::nullopt;
               done(state && state->owns ? state->phase : std::nullopt);
             });
 }
@@ -832,17 +832,17 @@
   QueryPeer(
       *owner, absl::StrCat(kPeerPendingPath, "?queue=", queue),
       [done = std::move(done)](const std::optional<std::string>& text) {
-        const auto pending = text ? ToldPendingFromText(*text) : std::nullopt;
+        const auto pending = text ? PeerPendingReplyFromText(*text) : std::nullopt;
         done(pending && pending->owns ? std::optional<size_t>(pending->pending) : std::nullopt);
       });
 }
 
 // The answer to a peer that queries this entry's configuration.
 template <site_platform Platform>
-told_version site_node<Platform>::VersionForPeer(const http_request& request) {
+peer_version_reply site_node<Platform>::VersionForPeer(const http_request& request) {
   const monotonic_time now = BootNow();
-  told_version reported;
-  reported.version = versions_.Word(now);
+  peer_version_reply reported;
+  reported.version = versions_.PeerVersion(now);
   uint64_t have = 0;
   const bool newer =
       absl::SimpleAtoi(request.Query("have"), &have) && reported.version.number > have;
@@ -850,7 +850,7 @@
   const bool granted = text_limiter_.Take(versions_.Text().size(), now);
   if (granted) {
     reported.text = versions_.Text();
-    metrics_.version_texts.Increment();
+    metrics_.version_texts_sent.Increment();
   }
   log_.Write(
       site_event::kVersionTold, now,
@@ -862,7 +862,7 @@
 template <site_platform Platform>
 void site_node<Platform>::VersionFromPeer(
     uint64_t have, bool text, byte_counter arrived,
-    const std::function<void(std::optional<told_version>)>& done) {
+    const std::function<void(std::optional<peer_version_reply>)>& done) {
   query_strong_peer_ = !query_strong_peer_;
   const auto peer = PickPeer(membership_.View(), settings_.name, query_strong_peer_,
                              absl::Uniform<uint64_t>(random_));
@@ -870,7 +870,7 @@
   QueryPeer(
       *peer, absl::StrCat(kPeerVersionPath, "?have=", have, "&text=", text, "&by=", settings_.name),
       [done](const std::optional<std::string>& answer) {
-        done(answer ? ToldVersionFromText(*answer) : std::nullopt);
+        done(answer ? PeerVersionReplyFromText(*answer) : std::nullopt);
       },
       std::move(arrived));
 }
@@ -945,12 +945,12 @@
   http_call call;
   call.method = "POST";
   call.url = absl::StrCat("http://", found->second.address, kPeerAdvisePath);
-  call.body = PeerQuestionToText({order, timeout});
+  call.body = PeerAdviceRequestToText({order, timeout});
   call.timeout = timeout + kPeerTimeout;
   peer_client_.Send(std::move(call), [this, finish](http_result result) {
     loop_.Post([finish, result = std::move(result)] {
       const bool good = result.status == transfer_status::kDone && result.code == http_status::kOk;
-      const auto answer = good ? PeerAdviceFromText(result.body) : std::nullopt;
+      const auto answer = good ? PeerAdviceReplyFromText(result.body) : std::nullopt;
       finish(answer.value_or(advice_answer{}));
     });
   });
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -265,7 +265,7 @@
               const auto text = self.Unpacked(item);
               if (text) self.loaded_fleet_ = FleetFromText(*text);
             }
-            if (item.key == kBehindKey) self.inherited_async_ = true;
+            if (item.key == kAsyncRecordsKey) self.inherited_async_ = true;
           }
         },
         [](self_type& self) { self.LoadRegistry(); });
@@ -279,7 +279,7 @@
     const monotonic_time now = BootNow();
     loaded_ = true;
     if (inherited_async_) record_mode_.OnInherited();
-    if (!records_confirmed_ && !inherited_async_ && epoch_ > 1) record_mode_.OnUnvouched();
+    if (!records_confirmed_ && !inherited_async_ && epoch_ > 1) record_mode_.OnUnconfirmedStarts();
     UpdateRecordTrust();
     scheduler_.OnInherited(loaded_fleet_, now);
     scheduler_.OnRegistry(registry_, now);
@@ -439,7 +439,7 @@
   void Decide() {
     const monotonic_time now = BootNow();
     if (now < next_decision_at_ || !hooks_.may_act(now)) return;
-    if (commit_in_flight_) record_mode_.OnWaiting(MillisSince(last_commit_sent_, now));
+    if (commit_in_flight_) record_mode_.OnChangePending(MillisSince(last_commit_sent_, now));
     ApplyRecordMode(now);
     const owner_budget& budget = hooks_.budget(now);
     scheduler_.SetStartsInFlight(budget.StartsInFlight(max_starts_in_flight_));
@@ -484,7 +484,7 @@
     hooks_.start(
         request, entry == nullptr ? std::string() : entry->job.accepted_by,
         OnAnswer([request = std::move(without_payload)](self_type& self, command_answer answer) {
-          self.metrics_.CountOrder("start", std::string(ToText(answer.result)));
+          self.metrics_.CountCommand("start", std::string(ToText(answer.result)));
           if (self.CheckFenced(answer.result, request.to)) return;
           self.scheduler_.OnStartAnswer(request, answer, BootNow());
           if (self.scheduler_.StartsPlanned()) self.SendRecordedStarts(BootNow());
@@ -495,7 +495,7 @@
   void SendStop(const stop_command& request) {
     platform_.Instances().Stop(
         request, epoch_, OnAnswer([request](self_type& self, command_answer answer) {
-          self.metrics_.CountOrder("stop", std::string(ToText(answer.result)));
+          self.metrics_.CountCommand("stop", std::string(ToText(answer.result)));
           if (self.CheckFenced(answer.result, request.to)) return;
           self.scheduler_.OnStopAnswer(request, answer, BootNow());
         }));
@@ -504,7 +504,7 @@
   void SendSpeed(const speed_command& request) {
     platform_.Instances().SetSpeed(
         request, epoch_, OnAnswer([request](self_type& self, command_answer answer) {
-          self.metrics_.CountOrder("pace", std::string(ToText(answer.result)));
+          self.metrics_.CountCommand("pace", std::string(ToText(answer.result)));
           if (self.CheckFenced(answer.result, request.to)) return;
           self.scheduler_.OnSpeedAnswer(request, answer, BootNow());
         }));
@@ -515,14 +515,14 @@
     std::function<void(self_type&, std::optional<instance_listing>, command_result)> done =
         [request, sent](self_type& self, std::optional<instance_listing> listing,
                         command_result result) {
-          self.metrics_.CountOrder("list", std::string(ToText(result)));
+          self.metrics_.CountCommand("list", std::string(ToText(result)));
           if (self.CheckFenced(result, request.to)) return;
           if (!listing) {
             self.scheduler_.OnNoListing(request, result, BootNow());
             return;
           }
           for (const ended_row& row : listing->ended) {
-            self.metrics_.CountEnd(std::string(ToText(row.how)));
+            self.metrics_.CountRunEnd(std::string(ToText(row.how)));
           }
           self.scheduler_.OnListing(request, *listing, sent, BootNow());
           self.ScheduleDecision();
@@ -553,14 +553,14 @@
     const size_t most = Platform::kMaxEntriesPerChange - kReservedEntries;
     std::vector<job_progress_write> writes =
         scheduler_.TakeUnstored(most, budget.RecordBytesPerCommit());
-    const bool declare_async = record_mode_.WantsDeclared();
+    const bool declare_async = record_mode_.ShouldDeclareAsync();
     const bool withdraw_async =
-        !declare_async && record_mode_.WantsWithdrawn(scheduler_.RecordsKnown());
+        !declare_async && record_mode_.ShouldWithdrawAsync(scheduler_.RecordsKnown());
     if (writes.empty() && !fleet_unstored_ && expired_.empty() && !declare_async && !withdraw_async)
       return;
     store_write change = GuardedWrite();
-    if (declare_async) change.puts.push_back({kBehindKey, absl::StrCat(epoch_), {}});
-    if (withdraw_async) change.deletes.push_back(kBehindKey);
+    if (declare_async) change.puts.push_back({kAsyncRecordsKey, absl::StrCat(epoch_), {}});
+    if (withdraw_async) change.deletes.push_back(kAsyncRecordsKey);
     declares_async_ = declare_async;
     withdraws_async_ = withdraw_async;
     for (const job_progress_write& write : writes) {
@@ -654,21 +654,21 @@
 
   void ApplyRecordMode(monotonic_time now) {
     const bool store_down = hooks_.store_down_for_all(now);
-    scheduler_.SetUnrecordedStarts(!record_mode_.StartsWait() || store_down);
+    scheduler_.SetUnrecordedStarts(!record_mode_.StartsAwaitRecords() || store_down);
     // While the store is down for all, no newer configuration can have been acknowledged.
     scheduler_.PauseStarts(!hooks_.version_confirmed(now) && !store_down);
   }
 
   void OnRecordModeStored(std::chrono::milliseconds took, monotonic_time now) {
-    record_mode_.OnChange(took, now);
+    record_mode_.OnChangeStored(took, now);
     ApplyRecordMode(now);
     if (std::exchange(declares_async_, false)) {
-      record_mode_.OnDeclared();
+      record_mode_.OnAsyncDeclared();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=1 ms=", took.count()));
     }
     if (std::exchange(withdraws_async_, false)) {
       inherited_async_ = false;
-      record_mode_.OnWithdrawn();
+      record_mode_.OnAsyncWithdrawn();
       log_.Write(site_event::kRecordsBehind, now, absl::StrCat("declared=0 ms=", took.count()));
     }
   }
--- a/test/owner_history_test.cc
+++ b/test/owner_history_test.cc
@@ -14,7 +14,7 @@
 class owner_history_fixture {
  protected:
   void ObserveOwner(uint64_t epoch, bool early, monotonic_time when) {
-    owner_word record;
+    owner_record record;
     record.epoch = epoch;
     record.early = early;
     history.OnOwner(record, when);
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE_METHOD(owner_history_fixture, "owner record, stored and read, keeps the early flag") {
-  owner_word record;
+  owner_record record;
   record.epoch = 7;
   record.early = true;
   const auto read = OwnerFromText(OwnerToText(record));
--- a/test/platform_codec_test.cc
+++ b/test/platform_codec_test.cc
@@ -6,8 +6,8 @@
 #include "platform/codecs.h"
 #include "platform/instance_calls.h"
 #include "process/scheduling/arrival_rate_limit.h"
-#include "process/site/advice_spread.h"
-#include "process/site/peer_words.h"
+#include "process/site/advice_dispatcher.h"
+#include "process/site/peer_messages.h"
 #include "process/site/site_membership.h"
 #include "process/site/site_records.h"
 #include "process/site/site_settings.h"
@@ -210,7 +210,7 @@
 // second behind them, and is late after some hundred milliseconds.
 TEST_CASE_METHOD(site_parts_fixture,
                  "advice spread, burst of slow queries, keeps entries for quick ones") {
-  advice_spread spread;
+  advice_dispatcher spread;
   spread.SetEntries({"a", "b", "c", "d", "e", "f"});
   for (int i = 0; i < 10; ++i) spread.Add({});
   int slow = 0;
@@ -225,7 +225,7 @@
 }
 
 TEST_CASE_METHOD(site_parts_fixture, "advice spread, entry removed, gets no new queries") {
-  advice_spread spread;
+  advice_dispatcher spread;
   spread.SetEntries({"a", "b"});
   spread.SetEntries({"b"});
   spread.Add({});
@@ -240,7 +240,7 @@
 // order: an update from before its claim arrives after it.
 TEST_CASE_METHOD(site_parts_fixture, "site view, old update after a newer one, changes nothing") {
   site_view view;
-  const owner_word mine{{"me", "1.1.1.1:1", "d", 5}, 4};
+  const owner_record mine{{"me", "1.1.1.1:1", "d", 5}, 4};
   view.Apply({kOwnerKey, OwnerToText(mine), 20});
   view.Apply({kOwnerKey, {}, 15, true});
   REQUIRE(view.owner);
@@ -302,22 +302,24 @@
 }
 
 TEST_CASE_METHOD(site_parts_fixture, "messages between entries, read back, are the same") {
-  const peer_question question{{"00000000000000ab", 1, 2, {"i-1"}, {}, false}, milliseconds(900)};
-  const auto again = PeerQuestionFromText(PeerQuestionToText(question));
+  const peer_advice_request question{{"00000000000000ab", 1, 2, {"i-1"}, {}, false},
+                                     milliseconds(900)};
+  const auto again = PeerAdviceRequestFromText(PeerAdviceRequestToText(question));
   REQUIRE(again);
   CHECK(again->order.instances == question.order.instances);
   CHECK(again->timeout == question.timeout);
-  CHECK(ToldPhaseFromText(ToldPhaseToText({true, graph_phase::kFailed}))->phase ==
+  CHECK(PeerPhaseReplyFromText(PeerPhaseReplyToText({true, graph_phase::kFailed}))->phase ==
         graph_phase::kFailed);
-  CHECK_FALSE(ToldPhaseFromText(R"({"owns":true,"phase":77})")->phase);
-  CHECK_FALSE(PeerAdviceFromText("[]"));
-  const auto decoded = ToldVersionFromText(ToldVersionToText({{7, 90, milliseconds(40)}, "{\n}"}));
+  CHECK_FALSE(PeerPhaseReplyFromText(R"({"owns":true,"phase":77})")->phase);
+  CHECK_FALSE(PeerAdviceReplyFromText("[]"));
+  const auto decoded =
+      PeerVersionReplyFromText(PeerVersionReplyToText({{7, 90, milliseconds(40)}, "{\n}"}));
   REQUIRE(decoded);
   CHECK(decoded->version.number == 7);
   CHECK(decoded->version.revision == 90);
   CHECK(decoded->version.age == milliseconds(40));
   CHECK(decoded->text == "{\n}");
-  CHECK_FALSE(ToldVersionFromText(R"({"number":7,"revision":90,"age_ms":40})"));
+  CHECK_FALSE(PeerVersionReplyFromText(R"({"number":7,"revision":90,"age_ms":40})"));
 }
 
 }  // namespace
