--- a/bench/baselines.cc
+++ b/bench/baselines.cc
@@ -22,7 +22,7 @@
 bool random_of_two::Choose(const std::vector<baseline_endpoint>& floor, const resources& need,
                            endpoint_index& chosen) {
   const auto load = [&](endpoint_index e) {
-    return DominantPart(floor[e].used, floor[e].capacity);
+    return DominantShare(floor[e].used, floor[e].capacity);
   };
   const auto size = static_cast<uint32_t>(floor.size());
   for (int draw = 0; draw < kDraws; ++draw) {
--- a/bench/simulation.h
+++ b/bench/simulation.h
@@ -258,7 +258,7 @@
     double total = 0;
     std::vector<double> parts;
     parts.reserve(team_used_.size());
-    for (const resources& used : team_used_) parts.push_back(DominantPart(used, capacity_));
+    for (const resources& used : team_used_) parts.push_back(DominantShare(used, capacity_));
     for (const double part : parts) total += part;
     double worst = 0;
     for (size_t t = 0; t < parts.size(); ++t) {
--- a/bench/slopes_process.cc
+++ b/bench/slopes_process.cc
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "bench/slope.h"
-#include "process/identity_memory.h"
+#include "process/identity_history.h"
 #include "process/metrics.h"
 #include "process/timeline.h"
 
@@ -45,7 +45,7 @@
     identity_options options;
     options.capacity = static_cast<size_t>(identities) + 1;
     options.answer_bytes = size_t{1} << 30;
-    auto memory = std::make_unique<identity_memory>(options);
+    auto memory = std::make_unique<identity_history>(options);
     outcome result;
     result.kind = outcome_kind::kCompleted;
     result.answer = std::string(200, 'x');
--- a/src/process/batch_policy.cc
+++ b/src/process/batch_policy.cc
@@ -23,17 +23,17 @@
   return scarcest;
 }
 
-bool batch_policy::Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+bool batch_policy::Choose(const shard_floor& endpoints, const job_record& job, uint32_t count,
                           std::vector<endpoint_index>& out) const {
   if (count != 1) return false;
   const resources& need = job.request.each;
-  const size_t scarcest = ScarcestAmount(need, floor.Open().TotalFree());
+  const size_t scarcest = ScarcestAmount(need, endpoints.Open().TotalFree());
   best_candidate<std::pair<bool, uint32_t>> best;
-  floor.Open().VisitTightest(need, scarcest, kProbes, [&](endpoint_index endpoint) {
-    best.Offer(endpoint, {endpoint == job.avoid, AmountOf(floor[endpoint].Free(), scarcest)});
+  endpoints.Open().VisitTightest(need, scarcest, kProbes, [&](endpoint_index endpoint) {
+    best.Offer(endpoint, {endpoint == job.avoid, AmountOf(endpoints[endpoint].Free(), scarcest)});
     return true;
   });
-  if (best.endpoint == kNoEndpoint) best.endpoint = floor.Open().FindAny(need);
+  if (best.endpoint == kNoEndpoint) best.endpoint = endpoints.Open().FindAny(need);
   if (best.endpoint == kNoEndpoint) return false;
   out.push_back(best.endpoint);
   return true;
--- a/src/process/decision_core.cc
+++ b/src/process/decision_core.cc
@@ -9,9 +9,9 @@
 namespace catkinford {
 namespace {
 
-constexpr uint64_t kMostAmount = UINT32_MAX;
+constexpr uint64_t kMaxAmount = UINT32_MAX;
 
-uint32_t Clamp(uint64_t amount) { return static_cast<uint32_t>(std::min(amount, kMostAmount)); }
+uint32_t Clamp(uint64_t amount) { return static_cast<uint32_t>(std::min(amount, kMaxAmount)); }
 
 }  // namespace
 
@@ -20,25 +20,25 @@
 
 void decision_core::SetEndpoint(endpoint_index endpoint, const endpoint_shape& shape,
                                 endpoint_state state, monotonic_time now) {
-  impl_->floor.SetEndpoint(endpoint, shape, state);
-  impl_->EndpointChanged(endpoint, state, now);
+  impl_->endpoints.SetEndpoint(endpoint, shape, state);
+  impl_->OnEndpointChanged(endpoint, state, now);
 }
 
 void decision_core::SetEndpointState(endpoint_index endpoint, endpoint_state state,
                                      monotonic_time now) {
-  if (!impl_->floor.Knows(endpoint)) return;
-  impl_->floor.SetState(endpoint, state);
-  impl_->EndpointChanged(endpoint, state, now);
+  if (!impl_->endpoints.Knows(endpoint)) return;
+  impl_->endpoints.SetState(endpoint, state);
+  impl_->OnEndpointChanged(endpoint, state, now);
 }
 
 // What follows from a new state: tasks lost or moved, limits and shares measured anew.
-void decision_core::impl::EndpointChanged(endpoint_index endpoint, endpoint_state state,
-                                          monotonic_time now) {
-  if (state == endpoint_state::kGone) EndpointGone(endpoint, now);
-  if (state == endpoint_state::kLeaving) EndpointLeaving(endpoint);
-  teams.SetShardCapacity(floor.OpenCapacity());
+void decision_core::impl::OnEndpointChanged(endpoint_index endpoint, endpoint_state state,
+                                            monotonic_time now) {
+  if (state == endpoint_state::kGone) OnEndpointLost(endpoint, now);
+  if (state == endpoint_state::kLeaving) OnEndpointLeaving(endpoint);
+  teams.SetShardCapacity(endpoints.OpenCapacity());
   for (team_index team = 0; team < teams.Size(); ++team) TeamChanged(team);
-  if (taken_unchecked && floor.UnfencedEndpoints() == 0) recheck_fits = true;
+  if (admitted_unchecked && endpoints.UnfencedEndpoints() == 0) recheck_fits = true;
 }
 
 void decision_core::SetTeam(team_index team, const team_terms& terms, monotonic_time /*now*/) {
@@ -71,7 +71,9 @@
   return impl_->SubmitPart(request, here, now);
 }
 
-void decision_core::TakeIn(const request_id& job, uint32_t index) { impl_->TakeIn(job, index); }
+void decision_core::TakeOverTask(const request_id& job, uint32_t index) {
+  impl_->TakeOverTask(job, index);
+}
 
 void decision_core::Resume(const job_request& request, const std::vector<uint32_t>& waiting,
                            monotonic_time now) {
@@ -103,15 +105,15 @@
 
 shard_summary decision_core::Summary() const {
   shard_summary summary;
-  summary.free = impl_->floor.Open().TotalFree();
-  summary.largest_free = impl_->floor.Open().LargestFree();
-  summary.largest_capacity = impl_->floor.LargestCapacity();
-  summary.open_endpoints = impl_->floor.OpenEndpoints();
+  summary.free = impl_->endpoints.Open().TotalFree();
+  summary.largest_free = impl_->endpoints.Open().LargestFree();
+  summary.largest_capacity = impl_->endpoints.LargestCapacity();
+  summary.open_endpoints = impl_->endpoints.OpenEndpoints();
   summary.queued_tasks = impl_->teams.QueuedTasks();
   summary.running_tasks = impl_->teams.RunningTasks();
   for (team_index team = 0; team < impl_->teams.Size(); ++team) {
-    const lane& l = impl_->lanes.At({lane_class::kInteractive, team});
-    const auto wait = l.meter.TimeToDrain(l.tasks + 1, impl_->last_decide);
+    const waiting_queue& queue = impl_->queues.At({queue_class::kInteractive, team});
+    const auto wait = queue.drain_rate.TimeToDrain(queue.tasks + 1, impl_->last_decide);
     if (wait) summary.queue_delay = std::max(summary.queue_delay, *wait);
   }
   return summary;
@@ -138,9 +140,9 @@
   if (!j.queued) return "its other tasks to end";
   const uint32_t count = impl_->TasksAtOnce(j);
   const resources& each = j.request.each;
-  if (!impl_->teams.WithinGrant(j.request.team, each, count, impl_->floor)) {
-    if (impl_->floor.UnfencedEndpoints() > 0) {
-      return absl::StrCat(impl_->floor.UnfencedEndpoints(), " endpoints to be listed");
+  if (!impl_->teams.WithinGrant(j.request.team, each, count, impl_->endpoints)) {
+    if (impl_->endpoints.UnfencedEndpoints() > 0) {
+      return absl::StrCat(impl_->endpoints.UnfencedEndpoints(), " endpoints to be listed");
     }
     return "room below the team's upper limit";
   }
--- a/src/process/decision_core.h
+++ b/src/process/decision_core.h
@@ -156,7 +156,7 @@
   admission SubmitPart(const job_request& request, const std::vector<uint32_t>& here,
                        monotonic_time now);
   // A task of a known job that was another shard's is this one's now, and waits.
-  void TakeIn(const request_id& job, uint32_t index);
+  void TakeOverTask(const request_id& job, uint32_t index);
   // As Submit, for a job whose record was read back: only the tasks in `waiting` wait, the others
   // are over or come by Adopt(), before or after. Never refused for a full queue.
   void Resume(const job_request& request, const std::vector<uint32_t>& waiting, monotonic_time now);
--- a/src/process/decision_impl.h
+++ b/src/process/decision_impl.h
@@ -25,7 +25,7 @@
 #include "process/service_policy.h"
 #include "process/shard_floor.h"
 #include "process/team_table.h"
-#include "process/waiting_lanes.h"
+#include "process/waiting_queues.h"
 
 namespace catkinford {
 
@@ -35,9 +35,9 @@
   kCoolingOver,    // of endpoint `subject`
   kEjectionOver,   // of endpoint `subject`
   kPauseOver,      // of lane `subject`
-  kLaneWatch,      // of lane `subject`, numbered team * kLaneClasses + class
+  kQueueWatch,     // of lane `subject`, numbered team * kQueueClasses + class
   kCheckpointDue,  // of job `subject`: what it was asked to stop has to be over
-  kRoomDue         // of reservation `subject`: its bound, or its end
+  kReservationDue  // of reservation `subject`: its bound, or its end
 };
 
 struct timer {
@@ -60,8 +60,8 @@
   uint32_t generation = 0;  // of the job
   uint32_t number = 0;      // tells it from a later one in the same place
   std::vector<part> parts;
-  monotonic_time bound{};    // from then on batch work in the way is stopped
-  monotonic_time expires{};  // given up and made anew, perhaps elsewhere
+  monotonic_time preempt_at{};  // from then on batch work in the way is stopped
+  monotonic_time expires{};     // given up and made anew, perhaps elsewhere
   bool in_use = false;
   bool urgent = false;
   bool cleared = false;  // batch work in the way was asked to stop
@@ -70,26 +70,26 @@
 // How long a task that gives way may write at its checkpoint; then it is stopped without, and its
 // work since the last one is lost. Urgent work has to start within 5.2 s also where a checkpoint is
 // never written; other work that has waited long for its room can wait for a large one.
-constexpr std::chrono::seconds kUrgentCheckpoint{3};
-constexpr std::chrono::seconds kCheckpointLimit{30};
+constexpr std::chrono::seconds kUrgentCheckpointTimeout{3};
+constexpr std::chrono::seconds kCheckpointTimeout{30};
 
 // Lanes by number, for timers.
-inline uint32_t NumberOf(const lane_ref& ref) {
-  return static_cast<uint32_t>(ref.team * kLaneClasses + static_cast<size_t>(ref.kind));
+inline uint32_t NumberOf(const queue_ref& ref) {
+  return static_cast<uint32_t>(ref.team * kQueueClasses + static_cast<size_t>(ref.kind));
 }
-inline lane_ref LaneOf(uint32_t number) {
-  return {static_cast<lane_class>(number % kLaneClasses),
-          static_cast<team_index>(number / kLaneClasses)};
+inline queue_ref QueueOf(uint32_t number) {
+  return {static_cast<queue_class>(number % kQueueClasses),
+          static_cast<team_index>(number / kQueueClasses)};
 }
 
 struct decision_core::impl {
-  explicit impl(core_options core) : options(core), random_state(core.seed), lanes(jobs) {}
+  explicit impl(core_options core) : options(core), random_state(core.seed), queues(jobs) {}
 
   // A job's life.
   admission Submit(const job_request& request, monotonic_time now);
   admission SubmitPart(const job_request& request, const std::vector<uint32_t>& here,
                        monotonic_time now);
-  void TakeIn(const request_id& id, uint32_t index);
+  void TakeOverTask(const request_id& id, uint32_t index);
   void Resume(const job_request& request, const std::vector<uint32_t>& waiting, monotonic_time now);
   bool Cancel(const request_id& id);
   void Adopt(const running_task& task, monotonic_time now);
@@ -98,29 +98,29 @@
   void Finished(const task_id& task, task_end end, std::chrono::milliseconds ran,
                 monotonic_time now);
   void EndRun(job_handle job, uint32_t index, task_end end, monotonic_time now);
-  void EndpointChanged(endpoint_index endpoint, endpoint_state state, monotonic_time now);
-  void EndpointGone(endpoint_index endpoint, monotonic_time now);
-  void EndpointLeaving(endpoint_index endpoint);
+  void OnEndpointChanged(endpoint_index endpoint, endpoint_state state, monotonic_time now);
+  void OnEndpointLost(endpoint_index endpoint, monotonic_time now);
+  void OnEndpointLeaving(endpoint_index endpoint);
 
-  std::optional<admission> Refusal(const job_request& request, monotonic_time now);
-  uint32_t HeldFor(team_index team) const;
+  std::optional<admission> RejectionFor(const job_request& request, monotonic_time now);
+  uint32_t CountUrgentReservations(team_index team) const;
   std::optional<admission> Shed(const job_request& request, monotonic_time now);
-  job_handle Enter(const job_request& request, monotonic_time now);
-  job_handle EnterOnly(const job_request& request, const std::vector<uint32_t>& waiting,
-                       monotonic_time now);
+  job_handle AddJob(const job_request& request, monotonic_time now);
+  job_handle AddPartialJob(const job_request& request, const std::vector<uint32_t>& waiting,
+                           monotonic_time now);
   bool FindLive(const task_id& task, job_handle& job, uint32_t& index) const;
   void Attach(job_handle job, uint32_t index);
   void Detach(const job_record& job, const task_slot& slot);
-  void PassDeadline(job_handle job);
+  void OnDeadline(job_handle job);
   void Release(job_handle job, uint32_t index, task_state next);
-  void WaitAgain(job_handle job, uint32_t index);
+  void Requeue(job_handle job, uint32_t index);
   void Enqueue(job_handle job, bool front);
   void DropWaiting(job_handle job);
   void StopTask(job_handle job, uint32_t index, stop_reason why, bool checkpoint);
   void StopAll(job_handle job, stop_reason why, bool checkpoint);
   void Preempt(job_handle job, uint32_t index, monotonic_time due);
   void StopOverdue(job_handle job, monotonic_time now);
-  void Regroup(job_handle job, monotonic_time now);
+  void RestartGang(job_handle job, monotonic_time now);
   void BackOff(job_handle job, monotonic_time now);
   void EndIfOver(job_handle job, refusal_reason reason, std::string detail = {});
   void TeamChanged(team_index team);
@@ -128,44 +128,45 @@
   // A round.
   void Decide(monotonic_time now, std::vector<command>& out);
   void FireTimers(monotonic_time now);
-  void Fire(const timer& due, monotonic_time now);
+  void FireTimer(const timer& due, monotonic_time now);
   void StopCancelled();
-  void RefuseNeverFitting();
-  void RoomFreed();
-  void WakeBest();
-  void ListFreedRoom();
-  bool FreedRoomHolds(const resources& need) const;
+  void RejectNeverFitting();
+  void CapacityFreed();
+  void UnblockBest();
+  void CollectFreedCapacity();
+  bool FitsFreedCapacity(const resources& need) const;
   bool KnownNotToFit(const resources& need) const;
-  void NoteNotFitting(const resources& need);
-  lane_rank RankOf(const lane_ref& ref) const;
-  std::optional<lane_ref> Pick() const;
+  void AddNotFitting(const resources& need);
+  queue_rank RankOf(const queue_ref& ref) const;
+  std::optional<queue_ref> PickQueue() const;
   void PlaceReady(monotonic_time now, std::vector<command>& out);
-  bool TryLane(const lane_ref& ref, monotonic_time now, std::vector<command>& out);
+  bool TryQueue(const queue_ref& ref, monotonic_time now, std::vector<command>& out);
   bool TryJob(job_handle job, monotonic_time now, std::vector<command>& out);
   bool Choose(const job_record& job, uint32_t count);
   void Start(job_handle job, uint32_t index, endpoint_index endpoint, monotonic_time now,
              std::vector<command>& out);
   void StartChosen(job_handle job, monotonic_time now, std::vector<command>& out);
-  void EndSaving(job_handle job);
+  void EndGrantReservation(job_handle job);
   bool MayStart(const job_record& job, uint32_t count) const;
-  void Pause(const lane_ref& ref, monotonic_time now);
-  resources KeptRoom(lane_class kind, team_index team) const;
-  bool MayHelp(const blocked_lane& blocked, const resources& kept) const;
-  bool KeptForCallers(const job_record& job) const;
+  void PauseQueue(const queue_ref& ref, monotonic_time now);
+  resources WithheldCapacity(queue_class kind, team_index team) const;
+  bool MayUnblock(const blocked_queue& blocked, const resources& withheld) const;
+  bool IsWithheld(const job_record& job) const;
   uint32_t TasksAtOnce(const job_record& job) const;
-  void Sign(const std::vector<command>& out, size_t first);
+  void UpdateSignature(const std::vector<command>& out, size_t first);
   monotonic_time NextWake() const;
 
   // Room.
-  void WatchLane(const lane_ref& ref, monotonic_time now);
-  bool MakeRoom(job_handle job, bool urgent, monotonic_time now);
+  void WatchQueue(const queue_ref& ref, monotonic_time now);
+  bool SecureCapacity(job_handle job, bool urgent, monotonic_time now);
   bool Reserve(job_handle job, bool urgent, monotonic_time now);
   bool ChooseParts(const job_record& job, uint32_t count, std::vector<reservation::part>& parts);
-  endpoint_index CheapestToClear(const job_record& job) const;
-  bool Victims(endpoint_index endpoint, const resources& need, std::vector<task_ref>& out) const;
+  endpoint_index CheapestToPreempt(const job_record& job) const;
+  bool SelectVictims(endpoint_index endpoint, const resources& need,
+                     std::vector<task_ref>& out) const;
   void ServeReservations(monotonic_time now, std::vector<command>& out);
-  bool Serve(uint32_t number, monotonic_time now, std::vector<command>& out);
-  void Clear(reservation& room, monotonic_time now);
+  bool ServeReservation(uint32_t number, monotonic_time now, std::vector<command>& out);
+  void PreemptFor(reservation& room, monotonic_time now);
   void DropReservation(uint32_t number);
   bool Backfill(const job_record& job, monotonic_time now);
 
@@ -175,9 +176,9 @@
   uint64_t random_state;
   uint64_t signature = 0;
   job_table jobs;
-  shard_floor floor;
+  shard_floor endpoints;
   team_table teams;
-  waiting_lanes lanes;
+  waiting_queues queues;
   run_estimates estimates;
   interactive_policy interactive;
   service_policy service;
@@ -190,14 +191,14 @@
   std::vector<reservation> reservations;  // few; places are used again
   std::vector<endpoint_index> chosen;     // scratch of a placement
   std::vector<resources> not_fitting;     // needs that fit no endpoint now, the smallest ones
-  std::vector<resources> freed_room;      // scratch of a look through blocked lanes
+  std::vector<resources> freed_capacity;  // scratch of a look through blocked lanes
   size_t freed_seen = 0;                  // freed endpoints that not_fitting reflects
   uint64_t round = 0;
-  std::vector<job_handle> saving;  // by team: the job that its grant is saved for
+  std::vector<job_handle> grant_reserved_for;  // by team: the job that its grant is saved for
   monotonic_time last_decide{};
-  uint32_t stopping = 0;         // preempted tasks that have not ended yet
-  bool taken_unchecked = false;  // some work was taken in before all shapes were known
-  bool recheck_fits = false;     // they are known now: some of it may never fit
+  uint32_t stopping = 0;            // preempted tasks that have not ended yet
+  bool admitted_unchecked = false;  // some work was taken in before all shapes were known
+  bool recheck_fits = false;        // they are known now: some of it may never fit
 };
 
 }  // namespace catkinford
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -10,8 +10,8 @@
 
 constexpr milliseconds kCoolingTime{250};      // after a refusal for lack of room
 constexpr milliseconds kFirstBackoff{500};     // of a service that failed
-constexpr uint32_t kMostDoublings = 7;         // 64 s
-constexpr std::chrono::minutes kSteadyRun{1};  // a run of that length ends a row of failures
+constexpr uint32_t kMaxDoublings = 7;          // 64 s
+constexpr std::chrono::minutes kStableRun{1};  // a run of that length ends a row of failures
 constexpr uint32_t kStartsBeforeBackoff = 3;   // failed starts before a job waits
 
 job_end EndOf(const job_record& job) {
@@ -27,17 +27,17 @@
   job_record& job = jobs[handle];
   if (job.queued || job.waiting == 0 || job.backing_off) return;
   if (job.request.kind == workload_kind::kGang && job.live > 0) return;
-  lanes.Append(handle, front, teams[job.request.team].ratio);
-  const lane_ref ref{ClassOf(job.request), job.request.team};
-  if (lanes.IsTried(handle)) lanes.Unblock(ref);
+  queues.Append(handle, front, teams[job.request.team].ratio);
+  const queue_ref ref{ClassOf(job.request), job.request.team};
+  if (queues.IsWithinDepth(handle)) queues.Unblock(ref);
 }
 
 // Takes all waiting tasks of a job out of its lane.
 void decision_core::impl::DropWaiting(job_handle handle) {
   job_record& job = jobs[handle];
-  if (job.queued) lanes.Remove(handle);
-  EndSaving(handle);
-  teams.TakeQueued(job.request.team, job.request.each, job.waiting);
+  if (job.queued) queues.Remove(handle);
+  EndGrantReservation(handle);
+  teams.RemoveQueued(job.request.team, job.request.each, job.waiting);
   job.waiting = 0;
 }
 
@@ -53,7 +53,7 @@
 }
 
 void decision_core::impl::Adopt(const running_task& task, monotonic_time now) {
-  if (!floor.Knows(task.endpoint)) return;
+  if (!endpoints.Knows(task.endpoint)) return;
   job_handle handle = jobs.Find(task.id.job);
   if (handle == kNoJob) {
     handle = jobs.Add(task.id.job);
@@ -72,8 +72,8 @@
   if (counted_as_over) {
     --job.done;
   } else if (job.known) {
-    if (job.queued) lanes.Remove(handle);
-    teams.TakeQueued(job.request.team, job.request.each, 1);
+    if (job.queued) queues.Remove(handle);
+    teams.RemoveQueued(job.request.team, job.request.each, 1);
     --job.waiting;
   }
   slot.state = task_state::kRunning;
@@ -81,7 +81,7 @@
   slot.endpoint = task.endpoint;
   slot.started = now;
   ++job.live;
-  ++job.unproved_starts;
+  ++job.possible_runs;
   Attach(handle, task.id.index);
   Enqueue(handle, true);
 }
@@ -110,15 +110,15 @@
 void decision_core::impl::Attach(job_handle handle, uint32_t index) {
   job_record& job = jobs[handle];
   task_slot& slot = job.tasks[index];
-  slot.position = floor.Add(slot.endpoint, {handle, index}, job.request);
+  slot.position = endpoints.Add(slot.endpoint, {handle, index}, job.request);
   teams.AddRunning(job.request.team, job.request);
   TeamChanged(job.request.team);
 }
 
 void decision_core::impl::Detach(const job_record& job, const task_slot& slot) {
-  const task_ref moved = floor.Remove(slot.endpoint, slot.position, job.request);
+  const task_ref moved = endpoints.Remove(slot.endpoint, slot.position, job.request);
   if (moved.job != kNoJob) jobs[moved.job].tasks[moved.index].position = slot.position;
-  teams.TakeRunning(job.request.team, job.request);
+  teams.RemoveRunning(job.request.team, job.request);
   TeamChanged(job.request.team);
 }
 
@@ -134,17 +134,17 @@
 }
 
 void decision_core::impl::TeamChanged(team_index team) {
-  lanes.Rekey(team, teams[team].ratio);
-  lanes.GrantChanged(team);
+  queues.Rekey(team, teams[team].ratio);
+  queues.GrantChanged(team);
 }
 
 // A task that was placed waits once more, before those that never were.
-void decision_core::impl::WaitAgain(job_handle handle, uint32_t index) {
+void decision_core::impl::Requeue(job_handle handle, uint32_t index) {
   job_record& job = jobs[handle];
   job.tasks[index].state = task_state::kWaiting;
   job.first_waiting = std::min(job.first_waiting, index);
   teams.AddQueued(job.request.team, job.request.each, 1);
-  if (job.queued) lanes.Remove(handle);
+  if (job.queued) queues.Remove(handle);
   ++job.waiting;
   Enqueue(handle, true);
 }
@@ -157,51 +157,52 @@
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   Release(handle, index, task_state::kFailed);
   if (endpoint_fault) {
-    if (floor.NoteRun(endpoint, true, now)) {
-      timers.push({floor[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
+    if (endpoints.NoteRun(endpoint, true, now)) {
+      timers.push(
+          {endpoints[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
     }
   } else {
     // The endpoint is fuller than our view of it. Without a pause the same start would be sent and
     // refused over and over, seen as start failures at the rate of the network.
-    floor.Cool(endpoint, true);
+    endpoints.Cool(endpoint, true);
     timers.push({now + kCoolingTime, timer_kind::kCoolingOver, endpoint, 0});
   }
   job_record& job = jobs[handle];
-  --job.unproved_starts;
+  --job.possible_runs;
   job.avoid = endpoint;
   if (job.cancelled) {
     EndIfOver(handle, refusal_reason::kCancelled);
     return;
   }
   if (++job.failures_in_a_row > kStartsBeforeBackoff) BackOff(handle, now);
-  if (job.request.kind == workload_kind::kGang) Regroup(handle, now);
+  if (job.request.kind == workload_kind::kGang) RestartGang(handle, now);
   if (job.may_have_run) {
     EndIfOver(handle, refusal_reason::kNone);
     return;
   }
-  WaitAgain(handle, index);
+  Requeue(handle, index);
 }
 
 void decision_core::impl::BackOff(job_handle handle, monotonic_time now) {
   job_record& job = jobs[handle];
   if (job.backing_off) return;
   job.backing_off = true;
-  if (job.queued) lanes.Remove(handle);
-  const uint32_t doublings = std::min(job.failures_in_a_row, kMostDoublings);
+  if (job.queued) queues.Remove(handle);
+  const uint32_t doublings = std::min(job.failures_in_a_row, kMaxDoublings);
   const milliseconds pause = kFirstBackoff * (1U << doublings);
   timers.push({now + pause, timer_kind::kBackoffOver, handle, job.generation});
 }
 
 // A gang that has lost a task runs on in part, which is of no use to anybody: the rest is stopped,
 // and all of it is placed again once nothing of it runs.
-void decision_core::impl::Regroup(job_handle handle, monotonic_time now) {
+void decision_core::impl::RestartGang(job_handle handle, monotonic_time now) {
   job_record& job = jobs[handle];
-  if (!job.request.repeatable && job.unproved_starts > 0) {
+  if (!job.request.repeatable && job.possible_runs > 0) {
     job.may_have_run = true;
     DropWaiting(handle);
   }
   const auto tasks = static_cast<uint32_t>(jobs[handle].tasks.size());
-  for (uint32_t index = 0; index < tasks; ++index) Preempt(handle, index, now + kCheckpointLimit);
+  for (uint32_t index = 0; index < tasks; ++index) Preempt(handle, index, now + kCheckpointTimeout);
 }
 
 void decision_core::impl::StopTask(job_handle handle, uint32_t index, stop_reason why,
@@ -262,14 +263,15 @@
   if (!FindLive(task, handle, index)) return;
   const job_request& request = jobs[handle].request;
   if (end == task_end::kDone) {
-    estimates.Learn(request.team, request.kind, request.declared_run_time, ran);
+    estimates.AddSample(request.team, request.kind, request.declared_run_time, ran);
   }
-  if (ran >= kSteadyRun) jobs[handle].failures_in_a_row = 0;
+  if (ran >= kStableRun) jobs[handle].failures_in_a_row = 0;
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   EndRun(handle, index, end, now);
-  const bool says_something = end == task_end::kDone || end == task_end::kFailed;
-  if (says_something && floor.NoteRun(endpoint, end == task_end::kFailed, now)) {
-    timers.push({floor[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
+  const bool counts_for_health = end == task_end::kDone || end == task_end::kFailed;
+  if (counts_for_health && endpoints.NoteRun(endpoint, end == task_end::kFailed, now)) {
+    timers.push(
+        {endpoints[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
   }
 }
 
@@ -286,14 +288,14 @@
       ++job.failures_in_a_row;
       BackOff(handle, now);
     }
-    WaitAgain(handle, index);
+    Requeue(handle, index);
     return;
   }
   const bool interrupted = end != task_end::kDone && end != task_end::kFailed;
   const bool gang_failed = is_gang && job.failed > 0;
   if (!over && interrupted && job.request.repeatable && !gang_failed) {
-    if (is_gang) Regroup(handle, now);
-    WaitAgain(handle, index);
+    if (is_gang) RestartGang(handle, now);
+    Requeue(handle, index);
     return;
   }
   if (!over && end == task_end::kLost) {
@@ -313,11 +315,11 @@
 
 // A job that was not started whole by its deadline. What had been started and was lost may have
 // run, so only a job of which nothing was started is answered as not run.
-void decision_core::impl::PassDeadline(job_handle handle) {
+void decision_core::impl::OnDeadline(job_handle handle) {
   job_record& job = jobs[handle];
   if (job.waiting == 0) return;
   const bool single = job.tasks.size() == 1;
-  if (single && job.unproved_starts > 0) job.may_have_run = true;
+  if (single && job.possible_runs > 0) job.may_have_run = true;
   job.failed += job.waiting;
   DropWaiting(handle);
   EndIfOver(handle, refusal_reason::kDeadline);
@@ -329,13 +331,14 @@
   if (job.waiting > 0 || job.live > 0) return;
   command c;
   c.task.job = job.request.id;
-  if (job.unproved_starts == 0) {
+  if (job.possible_runs == 0) {
     c.kind = command_kind::kRefuse;
     c.reason = reason;
     c.detail = std::move(detail);
     if (reason == refusal_reason::kDeadline) {
-      const lane& l = lanes.At({ClassOf(job.request), job.request.team});
-      c.retry_after = RetryAfter(l.meter.TimeToDrain(std::max(1U, l.tasks), last_decide), Random());
+      const waiting_queue& queue = queues.At({ClassOf(job.request), job.request.team});
+      c.retry_after = RetryAfter(
+          queue.drain_rate.TimeToDrain(std::max(1U, queue.tasks), last_decide), Random());
     }
   } else {
     c.kind = command_kind::kEnded;
@@ -349,16 +352,16 @@
   jobs.Remove(handle);
 }
 
-void decision_core::impl::EndpointGone(endpoint_index endpoint, monotonic_time now) {
-  while (!floor[endpoint].tasks.empty()) {
-    const task_ref task = floor[endpoint].tasks.back();
+void decision_core::impl::OnEndpointLost(endpoint_index endpoint, monotonic_time now) {
+  while (!endpoints[endpoint].tasks.empty()) {
+    const task_ref task = endpoints[endpoint].tasks.back();
     EndRun(task.job, task.index, task_end::kLost, now);
   }
 }
 
 // Interactive work ends by itself, and what may run only once is left to finish.
-void decision_core::impl::EndpointLeaving(endpoint_index endpoint) {
-  for (const task_ref& task : floor[endpoint].tasks) {
+void decision_core::impl::OnEndpointLeaving(endpoint_index endpoint) {
+  for (const task_ref& task : endpoints[endpoint].tasks) {
     const job_request& request = jobs[task.job].request;
     const bool moves = request.repeatable && request.kind != workload_kind::kInteractive;
     if (moves) StopTask(task.job, task.index, stop_reason::kLeaving, true);
--- a/src/process/decision_rounds.cc
+++ b/src/process/decision_rounds.cc
@@ -7,10 +7,10 @@
 namespace {
 
 // Bounds of one round, so that a wave of events never holds up the next placement for long.
-constexpr size_t kMostStarts = 128;
-constexpr size_t kMostCancelled = 128;
-constexpr size_t kMostPending = 256;
-constexpr size_t kMostTimers = 256;
+constexpr size_t kMaxStarts = 128;
+constexpr size_t kMaxCancelled = 128;
+constexpr size_t kMaxPending = 256;
+constexpr size_t kMaxTimers = 256;
 // Gangs of a lane that are tried. `policy`, seeds 1 to 5, wait of gangs of altynsay, mean and p99:
 // 2 2,762 ms, 11,515; 4 1,993, 9,742.
 constexpr uint32_t kGangDepth = 4;
@@ -37,18 +37,18 @@
   const size_t first = out.size();
   FireTimers(now);
   StopCancelled();
-  if (recheck_fits) RefuseNeverFitting();
+  if (recheck_fits) RejectNeverFitting();
   ServeReservations(now, out);
   ++round;
   PlaceReady(now, out);
-  for (size_t i = 0; i < kMostPending && !pending.empty(); ++i) {
+  for (size_t i = 0; i < kMaxPending && !pending.empty(); ++i) {
     out.push_back(std::move(pending.front()));
     pending.pop_front();
   }
-  Sign(out, first);
+  UpdateSignature(out, first);
 }
 
-void decision_core::impl::Sign(const std::vector<command>& out, size_t first) {
+void decision_core::impl::UpdateSignature(const std::vector<command>& out, size_t first) {
   for (size_t i = first; i < out.size(); ++i) {
     const command& c = out[i];
     const uint64_t task = c.task.job.hi ^ Mix(c.task.job.lo) ^ Mix(c.task.index + 1);
@@ -61,17 +61,17 @@
 }
 
 void decision_core::impl::FireTimers(monotonic_time now) {
-  for (size_t i = 0; i < kMostTimers && !timers.empty() && timers.top().at <= now; ++i) {
+  for (size_t i = 0; i < kMaxTimers && !timers.empty() && timers.top().at <= now; ++i) {
     const timer due = timers.top();
     timers.pop();
-    Fire(due, now);
+    FireTimer(due, now);
   }
 }
 
-void decision_core::impl::Fire(const timer& due, monotonic_time now) {
+void decision_core::impl::FireTimer(const timer& due, monotonic_time now) {
   switch (due.kind) {
     case timer_kind::kDeadline:
-      if (jobs.Holds(due.subject, due.generation)) PassDeadline(due.subject);
+      if (jobs.Holds(due.subject, due.generation)) OnDeadline(due.subject);
       break;
     case timer_kind::kBackoffOver:
       if (!jobs.Holds(due.subject, due.generation)) break;
@@ -79,29 +79,29 @@
       Enqueue(due.subject, false);
       break;
     case timer_kind::kCoolingOver:
-      floor.Cool(due.subject, false);
+      endpoints.Cool(due.subject, false);
       break;
     case timer_kind::kEjectionOver:
-      floor.EndEjection(due.subject, now);
+      endpoints.EndEjection(due.subject, now);
       break;
     case timer_kind::kPauseOver:
-      lanes.At(LaneOf(due.subject)).pausing = false;
-      lanes.Unblock(LaneOf(due.subject));
+      queues.At(QueueOf(due.subject)).pausing = false;
+      queues.Unblock(QueueOf(due.subject));
       break;
-    case timer_kind::kLaneWatch:
-      lanes.At(LaneOf(due.subject)).watched = false;
-      WatchLane(LaneOf(due.subject), now);
+    case timer_kind::kQueueWatch:
+      queues.At(QueueOf(due.subject)).watched = false;
+      WatchQueue(QueueOf(due.subject), now);
       break;
     case timer_kind::kCheckpointDue:
       if (jobs.Holds(due.subject, due.generation)) StopOverdue(due.subject, now);
       break;
-    case timer_kind::kRoomDue:
+    case timer_kind::kReservationDue:
       break;  // it wakes the round, which looks after all reservations
   }
 }
 
 void decision_core::impl::StopCancelled() {
-  for (size_t i = 0; i < kMostCancelled && !cancelled.empty(); ++i) {
+  for (size_t i = 0; i < kMaxCancelled && !cancelled.empty(); ++i) {
     const timer mark = cancelled.front();
     cancelled.pop_front();
     if (!jobs.Holds(mark.subject, mark.generation)) continue;
@@ -111,75 +111,75 @@
 }
 
 // Jobs taken in while some endpoint was not listed yet.
-void decision_core::impl::RefuseNeverFitting() {
+void decision_core::impl::RejectNeverFitting() {
   recheck_fits = false;
-  if (floor.UnfencedEndpoints() > 0 || floor.PresentEndpoints() == 0) return;
-  taken_unchecked = false;
+  if (endpoints.UnfencedEndpoints() > 0 || endpoints.PresentEndpoints() == 0) return;
+  admitted_unchecked = false;
   jobs.VisitAll([this](job_handle handle) {
     job_record& job = jobs[handle];
     const bool whole = job.request.kind == workload_kind::kGang;
     if (job.waiting == 0) return;
-    if (floor.CanEverHold(job.request.each, whole ? job.waiting : 1)) return;
+    if (endpoints.CanEverHold(job.request.each, whole ? job.waiting : 1)) return;
     job.failed += job.waiting;
     DropWaiting(handle);
-    EndIfOver(handle, refusal_reason::kNeverFits, floor.WhyNever(job.request.each));
+    EndIfOver(handle, refusal_reason::kNeverFits, endpoints.WhyNever(job.request.each));
   });
 }
 
 void decision_core::impl::PlaceReady(monotonic_time now, std::vector<command>& out) {
   const size_t first = out.size();
-  while (out.size() - first < kMostStarts) {
-    WakeBest();
-    const std::optional<lane_ref> ref = Pick();
+  while (out.size() - first < kMaxStarts) {
+    UnblockBest();
+    const std::optional<queue_ref> ref = PickQueue();
     if (!ref) {
-      floor.ClearFreed();
+      endpoints.ClearFreed();
       freed_seen = 0;
       return;
     }
-    TryLane(*ref, now, out);
+    TryQueue(*ref, now, out);
   }
 }
 
 // Starts the first of the lane's jobs that can start now, or blocks the lane.
-bool decision_core::impl::TryLane(const lane_ref& ref, monotonic_time now,
-                                  std::vector<command>& out) {
+bool decision_core::impl::TryQueue(const queue_ref& ref, monotonic_time now,
+                                   std::vector<command>& out) {
   bool no_grant = false;
-  bool no_room_for_gang = false;
-  bool kept = false;
-  lane_needs needs;
-  const uint32_t most = ref.kind == lane_class::kGang ? kGangDepth : kLaneDepth;
+  bool gang_does_not_fit = false;
+  bool withheld = false;
+  queue_needs needs;
+  const uint32_t most = ref.kind == queue_class::kGang ? kGangDepth : kQueueDepth;
   uint32_t depth = 0;
-  for (job_handle handle = lanes.At(ref).head; handle != kNoJob && depth < most; ++depth) {
+  for (job_handle handle = queues.At(ref).head; handle != kNoJob && depth < most; ++depth) {
     const job_record& job = jobs[handle];
     if (!MayStart(job, TasksAtOnce(job))) {
       no_grant = true;
-    } else if (KeptForCallers(job)) {
-      kept = true;
+    } else if (IsWithheld(job)) {
+      withheld = true;
       needs.push_back(job.request.each);
     } else if (TryJob(handle, now, out)) {
       return true;
     } else if (job.request.kind == workload_kind::kGang) {
-      no_room_for_gang = true;
+      gang_does_not_fit = true;
     } else {
       needs.push_back(job.request.each);
     }
     handle = job.next;
   }
-  lane_state why = no_room_for_gang ? lane_state::kPaused : lane_state::kNoGrant;
-  if (!needs.empty()) why = lane_state::kNoRoom;
-  lanes.Block(ref, why, needs, no_grant, round, kept);
-  if (no_room_for_gang) Pause(ref, now);
-  lanes.At(ref).meter.BacklogBegan(now);
-  WatchLane(ref, now);
+  queue_state why = gang_does_not_fit ? queue_state::kPaused : queue_state::kNoGrant;
+  if (!needs.empty()) why = queue_state::kNoCapacity;
+  queues.Block(ref, why, needs, no_grant, round, withheld);
+  if (gang_does_not_fit) PauseQueue(ref, now);
+  queues.At(ref).drain_rate.BacklogBegan(now);
+  WatchQueue(ref, now);
   return false;
 }
 
 // Room that comes free at one endpoint is seldom what a gang lacks: tried with each of them, the
 // gangs of all teams would cost more than all other work together.
-void decision_core::impl::Pause(const lane_ref& ref, monotonic_time now) {
-  lane& l = lanes.At(ref);
-  if (l.pausing) return;
-  l.pausing = true;
+void decision_core::impl::PauseQueue(const queue_ref& ref, monotonic_time now) {
+  waiting_queue& queue = queues.At(ref);
+  if (queue.pausing) return;
+  queue.pausing = true;
   timers.push({now + kGangPause, timer_kind::kPauseOver, NumberOf(ref), 0});
 }
 
@@ -192,9 +192,10 @@
 // neither would ever start.
 bool decision_core::impl::MayStart(const job_record& job, uint32_t count) const {
   const team_index team = job.request.team;
-  if (!teams.WithinGrant(team, job.request.each, count, floor)) return false;
-  const job_handle saved_for = team < saving.size() ? saving[team] : kNoJob;
-  const bool waits_behind = saved_for != kNoJob && &jobs[saved_for] != &job &&
+  if (!teams.WithinGrant(team, job.request.each, count, endpoints)) return false;
+  const job_handle reserved_for =
+      team < grant_reserved_for.size() ? grant_reserved_for[team] : kNoJob;
+  const bool waits_behind = reserved_for != kNoJob && &jobs[reserved_for] != &job &&
                             job.reservation == kNoReservation && !job.request.urgent &&
                             job.request.kind != workload_kind::kInteractive;
   return !waits_behind;
@@ -204,22 +205,22 @@
   chosen.clear();
   switch (job.request.kind) {
     case workload_kind::kInteractive:
-      return interactive.Choose(floor, job, count, chosen);
+      return interactive.Choose(endpoints, job, count, chosen);
     case workload_kind::kService:
-      return service.Choose(floor, job, count, chosen);
+      return service.Choose(endpoints, job, count, chosen);
     case workload_kind::kGang:
-      return gang.Choose(floor, job, count, chosen);
+      return gang.Choose(endpoints, job, count, chosen);
     case workload_kind::kBatch:
       break;
   }
-  return batch.Choose(floor, job, count, chosen);
+  return batch.Choose(endpoints, job, count, chosen);
 }
 
 bool decision_core::impl::TryJob(job_handle handle, monotonic_time now, std::vector<command>& out) {
   const job_record& job = jobs[handle];
   const uint32_t count = TasksAtOnce(job);
   bool found = !KnownNotToFit(job.request.each) && Choose(job, count);
-  if (!found && count == 1) NoteNotFitting(job.request.each);
+  if (!found && count == 1) AddNotFitting(job.request.each);
   if (!found) found = Backfill(job, now);
   if (found) StartChosen(handle, now, out);
   return found;
@@ -236,23 +237,23 @@
   }
   job.first_waiting = index;
   if (job.waiting > 0) return;
-  lanes.Remove(handle);
+  queues.Remove(handle);
   if (job.reservation != kNoReservation) DropReservation(job.reservation);
-  EndSaving(handle);
+  EndGrantReservation(handle);
 }
 
 // Nothing of the grant is kept back for the job any more.
-void decision_core::impl::EndSaving(job_handle handle) {
+void decision_core::impl::EndGrantReservation(job_handle handle) {
   const team_index team = jobs[handle].request.team;
-  if (team >= saving.size() || saving[team] != handle) return;
-  saving[team] = kNoJob;
-  lanes.GrantChanged(team);
+  if (team >= grant_reserved_for.size() || grant_reserved_for[team] != handle) return;
+  grant_reserved_for[team] = kNoJob;
+  queues.GrantChanged(team);
 }
 
 void decision_core::impl::Start(job_handle handle, uint32_t index, endpoint_index endpoint,
                                 monotonic_time now, std::vector<command>& out) {
   job_record& job = jobs[handle];
-  const lane_ref ref{ClassOf(job.request), job.request.team};
+  const queue_ref ref{ClassOf(job.request), job.request.team};
   task_slot& slot = job.tasks[index];
   slot.state = task_state::kStarting;
   slot.attempt = std::max(slot.attempt, options.attempt_base) + 1;
@@ -260,13 +261,13 @@
   slot.started = now;
   --job.waiting;
   ++job.live;
-  ++job.unproved_starts;
-  lanes.TaskLeft(ref);
-  lanes.At(ref).meter.Drained(1, now);
-  teams.TakeQueued(job.request.team, job.request.each, 1);
-  slot.position = floor.Add(endpoint, {handle, index}, job.request);
+  ++job.possible_runs;
+  queues.OnTaskStarted(ref);
+  queues.At(ref).drain_rate.Drained(1, now);
+  teams.RemoveQueued(job.request.team, job.request.each, 1);
+  slot.position = endpoints.Add(endpoint, {handle, index}, job.request);
   teams.AddRunning(job.request.team, job.request);
-  lanes.Rekey(job.request.team, teams[job.request.team].ratio);
+  queues.Rekey(job.request.team, teams[job.request.team].ratio);
   command start;
   start.kind = command_kind::kStart;
   start.task = {job.request.id, index, slot.attempt};
@@ -276,8 +277,8 @@
 }
 
 monotonic_time decision_core::impl::NextWake() const {
-  const bool more = !pending.empty() || !cancelled.empty() || !floor.Freed().empty() ||
-                    recheck_fits || lanes.AnyReady();
+  const bool more = !pending.empty() || !cancelled.empty() || !endpoints.Freed().empty() ||
+                    recheck_fits || queues.AnyReady();
   if (more) return last_decide;
   return timers.empty() ? monotonic_time::max() : timers.top().at;
 }
--- a/src/process/drain_meter.cc
+++ b/src/process/drain_rate_estimator.cc
@@ -1,4 +1,4 @@
-#include "process/drain_meter.h"
+#include "process/drain_rate_estimator.h"
 
 #include <algorithm>
 #include <cmath>
@@ -9,25 +9,25 @@
 using std::chrono::milliseconds;
 
 constexpr std::chrono::duration<double> kWindow{2.0};  // the past fades by 1/e in this time
-constexpr std::chrono::duration<double> kLeastMeasured{0.25};
+constexpr std::chrono::duration<double> kMinMeasured{0.25};
 // Tasks counted besides those that drained. In the first moments of a backlog two or three decide
 // what a whole queue is told, and one too few sheds work that would have started in time: `shares`
 // showed requests shed 0.3 s after the begin of a load that fits.
-constexpr double kBenefit = 1;
-constexpr double kSlowestRate = 1e-3;  // tasks a second; below it the rate says nothing
-constexpr double kLongestMs = 1e9;
-constexpr milliseconds kSoonestReturn{50};
-constexpr milliseconds kLatestReturn{30000};
-constexpr milliseconds kUnmeasuredReturn{1000};
+constexpr double kExtraCount = 1;
+constexpr double kMinRate = 1e-3;  // tasks a second; below it the rate says nothing
+constexpr double kMaxMs = 1e9;
+constexpr milliseconds kMinRetryAfter{50};
+constexpr milliseconds kMaxRetryAfter{30000};
+constexpr milliseconds kDefaultRetryAfter{1000};
 
 }  // namespace
 
-double drain_meter::DecayedCount(monotonic_time now) const {
+double drain_rate_estimator::DecayedCount(monotonic_time now) const {
   const std::chrono::duration<double> age = now - updated_;
   return count_ * std::exp(-std::max(0.0, age / kWindow));
 }
 
-void drain_meter::BacklogBegan(monotonic_time now) {
+void drain_rate_estimator::BacklogBegan(monotonic_time now) {
   if (running_) return;
   running_ = true;
   count_ = 0;
@@ -35,32 +35,34 @@
   updated_ = now;
 }
 
-void drain_meter::Drained(uint32_t count, monotonic_time now) {
+void drain_rate_estimator::Drained(uint32_t count, monotonic_time now) {
   if (!running_) return;
   count_ = DecayedCount(now) + count;
   updated_ = now;
 }
 
-std::optional<std::chrono::nanoseconds> drain_meter::TimeOfOne(monotonic_time now) const {
+std::optional<std::chrono::nanoseconds> drain_rate_estimator::TimePerTask(
+    monotonic_time now) const {
   const std::chrono::duration<double> measured = now - began_;
-  if (!running_ || measured < kLeastMeasured) return std::nullopt;
+  if (!running_ || measured < kMinMeasured) return std::nullopt;
   // Until a whole window was measured, the count stands for the part that was.
   const double part = 1.0 - std::exp(-(measured / kWindow));
-  const double per_second = (DecayedCount(now) + kBenefit) / (kWindow.count() * part);
-  if (per_second < kSlowestRate) return std::nullopt;
+  const double per_second = (DecayedCount(now) + kExtraCount) / (kWindow.count() * part);
+  if (per_second < kMinRate) return std::nullopt;
   return std::chrono::nanoseconds{static_cast<int64_t>(1e9 / per_second)};
 }
 
-std::optional<milliseconds> drain_meter::TimeToDrain(uint32_t queued, monotonic_time now) const {
-  const std::optional<std::chrono::nanoseconds> one = TimeOfOne(now);
+std::optional<milliseconds> drain_rate_estimator::TimeToDrain(uint32_t queued,
+                                                              monotonic_time now) const {
+  const std::optional<std::chrono::nanoseconds> one = TimePerTask(now);
   if (!one) return std::nullopt;
   const double ms = std::chrono::duration<double, std::milli>(*one).count() * queued;
-  return milliseconds{static_cast<int64_t>(std::min(ms, kLongestMs))};
+  return milliseconds{static_cast<int64_t>(std::min(ms, kMaxMs))};
 }
 
 milliseconds RetryAfter(std::optional<milliseconds> drain, uint64_t random) {
   const milliseconds base =
-      std::clamp(drain.value_or(kUnmeasuredReturn), kSoonestReturn, kLatestReturn);
+      std::clamp(drain.value_or(kDefaultRetryAfter), kMinRetryAfter, kMaxRetryAfter);
   return base + milliseconds{static_cast<int64_t>(random % static_cast<uint64_t>(base.count()))};
 }
 
--- a/src/process/drain_meter.h
+++ b/src/process/drain_rate_estimator.h
@@ -1,6 +1,6 @@
 // How fast a queue drains, measured, for truthful times to come back.
-#ifndef CATKINFORD_PROCESS_DRAIN_METER_H_
-#define CATKINFORD_PROCESS_DRAIN_METER_H_
+#ifndef CATKINFORD_PROCESS_DRAIN_RATE_ESTIMATOR_H_
+#define CATKINFORD_PROCESS_DRAIN_RATE_ESTIMATOR_H_
 
 #include <chrono>
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 // Measures from the time a backlog begins: in an idle time nothing drains either, and a rate that
 // counted it would turn callers away from an empty floor.
-class drain_meter {
+class drain_rate_estimator {
  public:
   void BacklogBegan(monotonic_time now);
   void BacklogEnded() { running_ = false; }
   bool Running() const { return running_; }
   // Something has waited ever since, without a break.
-  std::chrono::nanoseconds BacklogFor(monotonic_time now) const {
+  std::chrono::nanoseconds BacklogAge(monotonic_time now) const {
     return running_ ? now - began_ : std::chrono::nanoseconds{0};
   }
   // `count` tasks left the queue by being started.
   void Drained(uint32_t count, monotonic_time now);
   // From one task that drains to the next; nothing while it is not known.
-  std::optional<std::chrono::nanoseconds> TimeOfOne(monotonic_time now) const;
+  std::optional<std::chrono::nanoseconds> TimePerTask(monotonic_time now) const;
   // When `queued` tasks will have drained at the measured rate; nothing while it is not known.
   std::optional<std::chrono::milliseconds> TimeToDrain(uint32_t queued, monotonic_time now) const;
 
@@ -45,4 +45,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_DRAIN_METER_H_
+#endif  // CATKINFORD_PROCESS_DRAIN_RATE_ESTIMATOR_H_
--- a/src/process/endpoint_health.cc
+++ b/src/process/endpoint_health.cc
@@ -5,19 +5,19 @@
 namespace catkinford {
 namespace {
 
-constexpr double kKeep = 0.9;        // about the last ten runs count
-constexpr double kLeastBad = 3;      // bad runs among them before anything is said
-constexpr double kLeastRatio = 0.5;  // and the share of them
-constexpr double kTimesOfPeers = 3;  // and so many times the ratio of the peers
+constexpr double kDecay = 0.9;          // about the last ten runs count
+constexpr double kMinBad = 3;           // bad runs among them before anything is said
+constexpr double kMinRatio = 0.5;       // and the share of them
+constexpr double kPeerRatioFactor = 3;  // and so many times the ratio of the peers
 constexpr uint32_t kProbationRuns = 3;
 constexpr std::chrono::seconds kFirstEjection{10};
-constexpr uint32_t kMostDoublings = 5;
-constexpr uint32_t kOneIn = 10;  // part of a shard that may be ejected
+constexpr uint32_t kMaxDoublings = 5;
+constexpr uint32_t kEjectableDivisor = 10;  // part of a shard that may be ejected
 
 }  // namespace
 
 bool endpoint_health::Note(bool fault, const failure_ratio& peers) {
-  recent_.Add(fault, kKeep);
+  recent_.Add(fault, kDecay);
   if (state_ == health_state::kProbation) {
     if (fault) return true;
     if (++passed_ >= kProbationRuns) {
@@ -26,13 +26,13 @@
     }
     return false;
   }
-  return state_ == health_state::kGood && recent_.bad >= kLeastBad &&
-         recent_.Ratio() >= std::max(kLeastRatio, kTimesOfPeers * peers.Ratio());
+  return state_ == health_state::kGood && recent_.bad >= kMinBad &&
+         recent_.Ratio() >= std::max(kMinRatio, kPeerRatioFactor * peers.Ratio());
 }
 
 void endpoint_health::Eject(monotonic_time now) {
   state_ = health_state::kEjected;
-  until_ = now + kFirstEjection * (1U << std::min(ejections_, kMostDoublings));
+  until_ = now + kFirstEjection * (1U << std::min(ejections_, kMaxDoublings));
   ++ejections_;
 }
 
@@ -43,7 +43,7 @@
 }
 
 uint32_t EjectionLimit(uint32_t endpoints) {
-  return endpoints < 2 ? 0 : std::max(1U, endpoints / kOneIn);
+  return endpoints < 2 ? 0 : std::max(1U, endpoints / kEjectableDivisor);
 }
 
 }  // namespace catkinford
--- a/src/process/free_index.cc
+++ b/src/process/free_index.cc
@@ -13,7 +13,7 @@
   return count;
 }
 
-double DominantPart(const resources& part, const resources& whole) {
+double DominantShare(const resources& part, const resources& whole) {
   double dominant = 0;
   for (size_t amount = 0; amount < kAmounts; ++amount) {
     const uint32_t of = AmountOf(whole, amount);
@@ -77,7 +77,7 @@
 
 void free_index::PutInLists(endpoint_index endpoint) {
   const entry& e = entries_[endpoint];
-  const double load = DominantPart(SubtractOrZero(e.capacity, e.free), e.capacity);
+  const double load = DominantShare(SubtractOrZero(e.capacity, e.free), e.capacity);
   by_load_.Put(endpoint, static_cast<uint32_t>(load * (level_lists::kLevels - 1)));
   for (size_t amount = 0; amount < kAmounts; ++amount) {
     by_free_[amount].Put(endpoint, FreeLevel(AmountOf(e.free, amount), amount));
--- a/src/process/free_index.h
+++ b/src/process/free_index.h
@@ -43,7 +43,7 @@
 
 // The largest part of `whole` that `part` takes in any amount; amounts that `whole` lacks are
 // left out.
-double DominantPart(const resources& part, const resources& whole);
+double DominantShare(const resources& part, const resources& whole);
 
 // Endpoints sorted into 64 levels. Insertion, removal and the step to the next level in use cost
 // the same however many endpoints there are.
--- a/src/process/gang_policy.cc
+++ b/src/process/gang_policy.cc
@@ -10,9 +10,9 @@
 constexpr uint32_t kProbes = 256;  // candidates looked at before all are
 
 // Puts as many of the missing tasks on one endpoint as fit. False when none are missing any more.
-bool Fill(const shard_floor& floor, const resources& each, endpoint_index endpoint,
+bool Fill(const shard_floor& endpoints, const resources& each, endpoint_index endpoint,
           uint32_t& missing, std::vector<endpoint_index>& out) {
-  const uint32_t here = std::min(missing, CountFitting(each, floor[endpoint].Free()));
+  const uint32_t here = std::min(missing, CountFitting(each, endpoints[endpoint].Free()));
   out.insert(out.end(), here, endpoint);
   missing -= here;
   return missing > 0;
@@ -20,23 +20,23 @@
 
 }  // namespace
 
-bool gang_policy::Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+bool gang_policy::Choose(const shard_floor& endpoints, const job_record& job, uint32_t count,
                          std::vector<endpoint_index>& out) const {
   const resources& each = job.request.each;
-  const free_index& open = floor.Open();
+  const free_index& open = endpoints.Open();
   if (count == 0 || CountFitting(each, open.TotalFree()) < count) return false;
   const size_t first = out.size();
   uint32_t missing = count;
   const auto fill = [&](endpoint_index endpoint) {
-    return endpoint == job.avoid || Fill(floor, each, endpoint, missing, out);
+    return endpoint == job.avoid || Fill(endpoints, each, endpoint, missing, out);
   };
   open.VisitTightest(each, ScarcestAmount(each, open.TotalFree()), kProbes, fill);
   if (missing == 0) return true;
   // Not enough among the tightest: take them in order, which misses none.
   out.resize(first);
   missing = count;
-  open.VisitAll(each,
-                [&](endpoint_index endpoint) { return Fill(floor, each, endpoint, missing, out); });
+  open.VisitAll(
+      each, [&](endpoint_index endpoint) { return Fill(endpoints, each, endpoint, missing, out); });
   if (missing > 0) out.resize(first);
   return missing == 0;
 }
--- a/src/process/grant_keeper.cc
+++ b/src/process/grant_store.cc
@@ -1,4 +1,4 @@
-#include "process/grant_keeper.h"
+#include "process/grant_store.h"
 
 #include <string>
 #include <utility>
@@ -29,31 +29,31 @@
 
 bool IsSame(const grant_demand& a, const grant_demand& b) {
   return a.wanted.running == b.wanted.running && a.wanted.amount == b.wanted.amount &&
-         a.used.running == b.used.running && a.piece.running == b.piece.running;
+         a.used.running == b.used.running && a.indivisible.running == b.indivisible.running;
 }
 
 }  // namespace
 
-grant_keeper::grant_keeper(store_adapter& store, poster post)
+grant_store::grant_store(store_adapter& store, poster post)
     : store_(store), post_(std::move(post)) {}
 
-void grant_keeper::OnGained(const std::string& shard_name, uint64_t epoch) {
+void grant_store::OnGained(const std::string& shard_name, uint64_t epoch) {
   OnLost(shard_name);
   held_.emplace(shard_name, held_shard(grant_holder(shard_name, epoch)));
   watched_ = 0;  // the new holder has seen nothing yet
 }
 
-void grant_keeper::OnLost(const std::string& shard_name) {
+void grant_store::OnLost(const std::string& shard_name) {
   held_.erase(shard_name);
   ++generations_[shard_name];
 }
 
-bool grant_keeper::Ready(const std::string& shard_name) const {
+bool grant_store::Ready(const std::string& shard_name) const {
   const auto found = held_.find(shard_name);
   return found != held_.end() && found->second.read && found->second.holder.Stamped();
 }
 
-void grant_keeper::Prepare(monotonic_time now) {
+void grant_store::Prepare(monotonic_time now) {
   for (auto& [name, held] : held_) {
     if (Ready(name) || held.reading || now < held.next_prepare) continue;
     if (!held.read) {
@@ -67,7 +67,7 @@
   }
 }
 
-void grant_keeper::Read(const std::string& shard_name, held_shard& held) {
+void grant_store::Read(const std::string& shard_name, held_shard& held) {
   held.reading = true;
   const uint64_t generation = generations_[shard_name];
   store_.Range(kGrantPrefix, [this, shard_name, generation](store_reply reply) {
@@ -84,8 +84,8 @@
   });
 }
 
-void grant_keeper::Tick(const std::vector<shard*>& owned,
-                        const std::shared_ptr<const configuration>& config, monotonic_time now) {
+void grant_store::Tick(const std::vector<shard*>& owned,
+                       const std::shared_ptr<const configuration>& config, monotonic_time now) {
   if (config == nullptr) return;
   for (shard* of : owned) {
     const auto found = held_.find(of->Name());
@@ -101,32 +101,32 @@
   if (!owned.empty() && !watching_ && now >= next_watch_) Watch(now);
 }
 
-std::vector<grant_demand> grant_keeper::Changed(held_shard& held, std::vector<grant_demand> demands,
-                                                const std::shared_ptr<const configuration>& config,
-                                                bool all_listed, monotonic_time now) {
+std::vector<grant_demand> grant_store::Changed(held_shard& held, std::vector<grant_demand> demands,
+                                               const std::shared_ptr<const configuration>& config,
+                                               bool all_listed, monotonic_time now) {
   const bool all = now >= held.next_full_plan || held.config != config ||
                    held.all_listed != all_listed || demands.size() != held.planned.size();
   if (all) {
     held.next_full_plan = now + kFullPlanInterval;
-    held.news.clear();
+    held.replan_at.clear();
     return demands;
   }
   const auto is_due = [&](const std::string& team) {
-    if (held.news.empty()) return false;
-    const auto found = held.news.find(GrantKeyOf(team));
-    return found != held.news.end() && now >= found->second;
+    if (held.replan_at.empty()) return false;
+    const auto found = held.replan_at.find(GrantKeyOf(team));
+    return found != held.replan_at.end() && now >= found->second;
   };
   std::vector<grant_demand> changed;
   for (size_t i = 0; i < demands.size(); ++i) {
     if (IsSame(demands[i], held.planned[i]) && !is_due(demands[i].team)) continue;
     changed.push_back(std::move(demands[i]));
   }
-  std::erase_if(held.news, [now](const auto& news) { return now >= news.second; });
+  std::erase_if(held.replan_at, [now](const auto& replan_at) { return now >= replan_at.second; });
   return changed;
 }
 
-void grant_keeper::Plan(shard& of, held_shard& held,
-                        const std::shared_ptr<const configuration>& config, monotonic_time now) {
+void grant_store::Plan(shard& of, held_shard& held,
+                       const std::shared_ptr<const configuration>& config, monotonic_time now) {
   held.next_plan = now + kPlanInterval;
   std::vector<grant_demand> demands = of.Demands();
   const bool all_listed = of.AllListed();
@@ -141,8 +141,8 @@
   for (const grant_write& write : writes) Send(of.Name(), generations_[of.Name()], write);
 }
 
-void grant_keeper::Send(const std::string& shard_name, uint64_t generation,
-                        const grant_write& write) {
+void grant_store::Send(const std::string& shard_name, uint64_t generation,
+                       const grant_write& write) {
   ++moves_;
   store_.CompareAndSwap(
       write.key, write.expect, write.value, write.write_id, "",
@@ -153,8 +153,8 @@
           held.holder.OnReply(key, reply);
           held.changed = true;
           // Demands that changed while the write was under way were not planned.
-          held.news[key] = now + RetryAfter(reply.status);
-          held.next_prepare = held.news[key];
+          held.replan_at[key] = now + RetryAfter(reply.status);
+          held.next_prepare = held.replan_at[key];
         });
       });
 }
@@ -163,7 +163,7 @@
 // what it last saw, would change nothing and so meet no conflict. Without the watch the part lay
 // idle beside waiting work (limit_lowered_under_load, seed 2). A steady load changes nothing and
 // the watch waits.
-void grant_keeper::Watch(monotonic_time now) {
+void grant_store::Watch(monotonic_time now) {
   watching_ = true;
   next_watch_ = now + kWatchInterval;
   store_.Watch(kGrantPrefix, watched_, kWatchWait, [this](store_reply reply) {
@@ -178,7 +178,7 @@
         for (auto& [name, held] : held_) {
           held.holder.OnRead(item.key, item.revision, item.value);
           held.changed = true;
-          held.news.try_emplace(item.key, at + kPlanInterval);
+          held.replan_at.try_emplace(item.key, at + kPlanInterval);
         }
       }
     });
--- a/src/process/grant_keeper.h
+++ b/src/process/grant_store.h
@@ -1,7 +1,7 @@
 // Moves parts of the teams' limits to the shards owned here: one grant_holder for each shard, fed
 // with the shard's demands, its writes sent to the store.
-#ifndef CATKINFORD_PROCESS_GRANT_KEEPER_H_
-#define CATKINFORD_PROCESS_GRANT_KEEPER_H_
+#ifndef CATKINFORD_PROCESS_GRANT_STORE_H_
+#define CATKINFORD_PROCESS_GRANT_STORE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -18,11 +18,11 @@
 
 namespace catkinford {
 
-class grant_keeper {
+class grant_store {
  public:
   using poster = std::function<void(std::function<void(monotonic_time)>)>;
 
-  grant_keeper(store_adapter& store, poster post);
+  grant_store(store_adapter& store, poster post);
 
   void OnGained(const std::string& shard_name, uint64_t epoch);
   void OnLost(const std::string& shard_name);
@@ -44,7 +44,7 @@
     std::shared_ptr<const configuration> config;
     bool all_listed = false;  // at the last plan
     // Values of the ledger that are to be planned anew, with all their teams, and when.
-    std::map<std::string, monotonic_time> news;
+    std::map<std::string, monotonic_time> replan_at;
     monotonic_time next_plan{};
     monotonic_time next_full_plan{};
     bool changed = true;  // usable grants must be set again
@@ -75,4 +75,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_GRANT_KEEPER_H_
+#endif  // CATKINFORD_PROCESS_GRANT_STORE_H_
--- a/src/process/identity_memory.cc
+++ b/src/process/identity_history.cc
@@ -1,14 +1,14 @@
-#include "process/identity_memory.h"
+#include "process/identity_history.h"
 
 #include <algorithm>
 
 namespace catkinford {
 
-void identity_memory::OnListLost(monotonic_time now) {
+void identity_history::OnListingLost(monotonic_time now) {
   uncertain_until_ = std::max(uncertain_until_, now + options_.window);
 }
 
-identity_verdict identity_memory::Begin(const request_id& id, bool fresh, monotonic_time now) {
+identity_verdict identity_history::Begin(const request_id& id, bool fresh, monotonic_time now) {
   Expire(now);
   if (entries_.contains(id)) return identity_verdict::kKnown;
   if (!fresh && !Certain(now)) return identity_verdict::kUncertain;
@@ -18,16 +18,16 @@
   return identity_verdict::kNew;
 }
 
-void identity_memory::LearnRunning(const request_id& id, monotonic_time /*now*/) {
+void identity_history::AddRunning(const request_id& id, monotonic_time /*now*/) {
   entries_.try_emplace(id);
 }
 
-void identity_memory::LearnFinished(const request_id& id, outcome_kind kind,
-                                    const std::string& answer, monotonic_time now) {
+void identity_history::AddFinished(const request_id& id, outcome_kind kind,
+                                   const std::string& answer, monotonic_time now) {
   End(id, kind, answer, now);
 }
 
-void identity_memory::Finish(const request_id& id, const outcome& result, monotonic_time now) {
+void identity_history::Finish(const request_id& id, const outcome& result, monotonic_time now) {
   if (result.kind == outcome_kind::kRefused) {
     entries_.erase(id);
     return;
@@ -36,8 +36,8 @@
 }
 
 // The first ending counts: a caller that asks again gets the same answer as the first one.
-void identity_memory::End(const request_id& id, outcome_kind kind, const std::string& answer,
-                          monotonic_time now) {
+void identity_history::End(const request_id& id, outcome_kind kind, const std::string& answer,
+                           monotonic_time now) {
   entry& known = entries_[id];
   const bool had_ended = known.ended != monotonic_time{};
   // That it may have run is no ending; what really happened can still become known.
@@ -48,7 +48,7 @@
   if (kind == outcome_kind::kCompleted) KeepAnswer(id, answer);
 }
 
-void identity_memory::KeepAnswer(const request_id& id, const std::string& answer) {
+void identity_history::KeepAnswer(const request_id& id, const std::string& answer) {
   const auto [kept, is_new] = answers_.try_emplace(id, answer);
   if (!is_new) return;
   answer_order_.push_back(id);
@@ -62,7 +62,7 @@
   }
 }
 
-std::optional<known_identity> identity_memory::Find(const request_id& id) const {
+std::optional<known_identity> identity_history::Find(const request_id& id) const {
   const auto found = entries_.find(id);
   if (found == entries_.end()) return std::nullopt;
   known_identity known;
@@ -74,7 +74,7 @@
   return known;
 }
 
-void identity_memory::Expire(monotonic_time now) {
+void identity_history::Expire(monotonic_time now) {
   while (!endings_.empty() && now - endings_.front().ended >= options_.window) {
     const ending oldest = endings_.front();
     endings_.pop_front();
--- a/src/process/identity_memory.h
+++ b/src/process/identity_history.h
@@ -5,8 +5,8 @@
 // knows what started; what is in no list never started, and with its epoch refused never can.
 // Until then, and where an endpoint's list is lost for good, an identity that is not known here
 // may have run. docs/design/ tells what was weighed.
-#ifndef CATKINFORD_PROCESS_IDENTITY_MEMORY_H_
-#define CATKINFORD_PROCESS_IDENTITY_MEMORY_H_
+#ifndef CATKINFORD_PROCESS_IDENTITY_HISTORY_H_
+#define CATKINFORD_PROCESS_IDENTITY_HISTORY_H_
 
 #include <chrono>
 #include <cstddef>
@@ -42,23 +42,23 @@
   std::string answer;
 };
 
-class identity_memory {
+class identity_history {
  public:
-  explicit identity_memory(identity_options options) : options_(options) {}
+  explicit identity_history(identity_options options) : options_(options) {}
 
   // The endpoints of the shard whose fenced list has not come yet.
   void SetUnlisted(size_t endpoints) { unlisted_ = endpoints; }
   // An endpoint was lost before this owner had listed it, or had lost its own memory: what it ran
   // is known to nobody.
-  void OnListLost(monotonic_time now);
+  void OnListingLost(monotonic_time now);
 
   // `fresh`: the entry made the identity itself and has sent it nowhere before, so no earlier owner
   // can have seen it.
   identity_verdict Begin(const request_id& id, bool fresh, monotonic_time now);
   // From a fenced list.
-  void LearnRunning(const request_id& id, monotonic_time now);
-  void LearnFinished(const request_id& id, outcome_kind kind, const std::string& answer,
-                     monotonic_time now);
+  void AddRunning(const request_id& id, monotonic_time now);
+  void AddFinished(const request_id& id, outcome_kind kind, const std::string& answer,
+                   monotonic_time now);
   // The end of a run. A refusal means that nothing ran: the identity is free again.
   void Finish(const request_id& id, const outcome& result, monotonic_time now);
   std::optional<known_identity> Find(const request_id& id) const;
@@ -95,4 +95,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_IDENTITY_MEMORY_H_
+#endif  // CATKINFORD_PROCESS_IDENTITY_HISTORY_H_
--- a/src/process/instance_turns.cc
+++ b/src/process/instance_polling.cc
@@ -1,4 +1,4 @@
-#include "process/instance_turns.h"
+#include "process/instance_polling.h"
 
 #include <algorithm>
 #include <set>
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-instance_turns::instance_turns(std::string name, milliseconds poll)
+instance_polling::instance_polling(std::string name, milliseconds poll)
     : name_(std::move(name)), poll_(poll) {}
 
-int64_t instance_turns::Rank(const std::vector<std::string>& live_neighbours) const {
+int64_t instance_polling::Rank(const std::vector<std::string>& live_neighbours) const {
   std::set<std::string> ring(live_neighbours.begin(), live_neighbours.end());
   ring.insert(name_);
   int64_t rank = 0;
@@ -37,24 +37,24 @@
   return rank;
 }
 
-bool instance_turns::DueRead(const std::vector<std::string>& live_neighbours,
-                             monotonic_time now) const {
+bool instance_polling::ReadDue(const std::vector<std::string>& live_neighbours,
+                               monotonic_time now) const {
   if (reading_) return false;
   const bool has_tried = last_try_ != monotonic_time{};
   if (!has_list_) return !has_tried || now - last_try_ >= poll_;
   if (now - last_try_ < poll_) return false;
   const milliseconds turn = differs_ ? milliseconds{0} : poll_;
-  return now - last_news_ >= turn + Rank(live_neighbours) * poll_ / 2;
+  return now - last_update_ >= turn + Rank(live_neighbours) * poll_ / 2;
 }
 
-void instance_turns::OnReadBegun(monotonic_time now) {
+void instance_polling::OnReadBegun(monotonic_time now) {
   reading_ = true;
   last_try_ = now;
 }
 
-void instance_turns::OnReadFailed() { reading_ = false; }
+void instance_polling::OnReadFailed() { reading_ = false; }
 
-bool instance_turns::Put(const instance& one) {
+bool instance_polling::Put(const instance& one) {
   const auto [at, is_new] = list_.try_emplace(one.name);
   instance& held = at->second;
   instance next = one;
@@ -67,7 +67,7 @@
   return changed;
 }
 
-bool instance_turns::Erase(const std::string& name) {
+bool instance_polling::Erase(const std::string& name) {
   const auto found = list_.find(name);
   if (found == list_.end()) return false;
   digest_ -= HashOf(found->second);
@@ -75,7 +75,7 @@
   return true;
 }
 
-instances_message instance_turns::OnRead(const std::vector<instance>& read, monotonic_time now) {
+instances_message instance_polling::OnRead(const std::vector<instance>& read, monotonic_time now) {
   instances_message message;
   std::set<std::string> names;
   for (const instance& one : read) {
@@ -96,12 +96,12 @@
   reading_ = false;
   differs_ = false;
   last_reader_ = name_;
-  last_news_ = now;
+  last_update_ = now;
   return message;
 }
 
-bool instance_turns::OnMessage(const std::string& from, const instances_message& message,
-                               monotonic_time now) {
+bool instance_polling::OnMessage(const std::string& from, const instances_message& message,
+                                 monotonic_time now) {
   if (!has_list_) return false;
   bool changed = false;
   for (const instance& one : message.changed) {
@@ -112,11 +112,11 @@
   for (const std::string& name : message.gone) changed |= Erase(name);
   differs_ = digest_ != message.digest;
   last_reader_ = from;
-  last_news_ = now;
+  last_update_ = now;
   return changed;
 }
 
-std::vector<instance> instance_turns::List() const {
+std::vector<instance> instance_polling::List() const {
   std::vector<instance> list;
   list.reserve(list_.size());
   for (const auto& [name, one] : list_) list.push_back(one);
--- a/src/process/instance_turns.h
+++ b/src/process/instance_polling.h
@@ -4,8 +4,8 @@
 // many times what a node may spend. So one entry reads it and tells its neighbours what has
 // changed; the next one on the ring reads next. One that is dead, or cut off from the platform, is
 // passed over after half a poll. Pure: lists, messages and time in, messages out.
-#ifndef CATKINFORD_PROCESS_INSTANCE_TURNS_H_
-#define CATKINFORD_PROCESS_INSTANCE_TURNS_H_
+#ifndef CATKINFORD_PROCESS_INSTANCE_POLLING_H_
+#define CATKINFORD_PROCESS_INSTANCE_POLLING_H_
 
 #include <chrono>
 #include <cstdint>
@@ -19,12 +19,12 @@
 
 namespace catkinford {
 
-class instance_turns {
+class instance_polling {
  public:
-  instance_turns(std::string name, std::chrono::milliseconds poll);
+  instance_polling(std::string name, std::chrono::milliseconds poll);
 
   // Whether this entry should read the list now. A new entry does at once, and waits for nobody.
-  bool DueRead(const std::vector<std::string>& live_neighbours, monotonic_time now) const;
+  bool ReadDue(const std::vector<std::string>& live_neighbours, monotonic_time now) const;
   void OnReadBegun(monotonic_time now);
   void OnReadFailed();
   // What the neighbours are to be told, also when nothing has changed: that it was read.
@@ -51,10 +51,10 @@
   bool reading_ = false;
   bool differs_ = false;  // a neighbour has read something else than what we hold
   std::string last_reader_;
-  monotonic_time last_news_{};
+  monotonic_time last_update_{};
   monotonic_time last_try_{};
 };
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_INSTANCE_TURNS_H_
+#endif  // CATKINFORD_PROCESS_INSTANCE_POLLING_H_
--- a/src/process/job_table.h
+++ b/src/process/job_table.h
@@ -55,10 +55,10 @@
   uint32_t live = 0;
   uint32_t done = 0;
   uint32_t failed = 0;
-  uint32_t unproved_starts = 0;  // starts sent and not proved to have done nothing
-  uint32_t first_waiting = 0;    // no task before it waits
+  uint32_t possible_runs = 0;  // starts sent and not proved to have done nothing
+  uint32_t first_waiting = 0;  // no task before it waits
   uint32_t failures_in_a_row = 0;
-  uint32_t passed = 0;                    // younger jobs of its lane that were put before it
+  uint32_t overtaken = 0;                 // younger jobs of its lane that were put before it
   std::chrono::milliseconds expected{0};  // run time of all its tasks; zero: not known
   job_handle next = kNoJob;               // in its lane
   job_handle previous = kNoJob;
--- a/src/process/node.cc
+++ b/src/process/node.cc
@@ -82,8 +82,8 @@
   return options;
 }
 
-usage_spread_options UsageOptions(const settings& config, uint64_t incarnation) {
-  usage_spread_options options;
+usage_propagation_options UsageOptions(const settings& config, uint64_t incarnation) {
+  usage_propagation_options options;
   options.name = config.name;
   options.incarnation = incarnation;
   options.bytes_per_second = config.bounds.peer_bytes / 2;
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -29,23 +29,23 @@
 #include "process/config_keeper.h"
 #include "process/evacuation.h"
 #include "process/event_log.h"
-#include "process/gone_endpoints.h"
-#include "process/grant_keeper.h"
+#include "process/grant_store.h"
 #include "process/incarnation_keeper.h"
-#include "process/instance_turns.h"
+#include "process/instance_polling.h"
 #include "process/job_keeper.h"
 #include "process/job_status.h"
 #include "process/membership.h"
 #include "process/metrics.h"
 #include "process/ownership.h"
 #include "process/peer_mailbox.h"
+#include "process/removed_endpoints.h"
 #include "process/request_table.h"
 #include "process/router.h"
 #include "process/settings.h"
 #include "process/shard.h"
 #include "process/team_names.h"
 #include "process/timeline.h"
-#include "process/usage_spread.h"
+#include "process/usage_propagation.h"
 #include "request/caller_call.h"
 
 namespace catkinford {
@@ -301,17 +301,17 @@
   request_table table_;
   ownership ownership_;
   config_keeper versions_;
-  grant_keeper grants_;
+  grant_store grants_;
   membership members_;
-  usage_spread usage_;
-  instance_turns turns_;
+  usage_propagation usage_;
+  instance_polling turns_;
   job_keeper jobs_;
   incarnation_keeper lives_;
   std::vector<opened_log> opened_;  // of shards that wait for their parts of the limits
   std::map<uint32_t, std::unique_ptr<shard>> shards_;
   std::map<std::string, peer_notes> notes_;
   std::set<std::string> endpoint_names_;  // of the whole fleet, as last listed
-  gone_endpoints gone_;                   // drained ones that left the list
+  removed_endpoints gone_;                // drained ones that left the list
   std::vector<instance> own_endpoints_;   // of this failure domain
   resources cell_capacity_;
   std::vector<message_body> local_;  // messages to ourselves
--- a/src/process/node_calls.cc
+++ b/src/process/node_calls.cc
@@ -143,8 +143,8 @@
   place.run_time = spec.run_time;
   place.deadline_left = deadline;
   place.payload = std::move(spec.payload);
-  entry.patience = waits ? deadline : kDurablePatience;
-  if (!waits && spec.wait) entry.patience = deadline.count() > 0 ? deadline : kEndless;
+  entry.answer_timeout = waits ? deadline : kDurablePatience;
+  if (!waits && spec.wait) entry.answer_timeout = deadline.count() > 0 ? deadline : kEndless;
   log_.Emit(event_code::kRequestReceived, now, place.id, 0, holder.team);
   table_.Add(token, slot, std::move(entry), now, actions);
   TakeTable(std::move(actions), now);
--- a/src/process/node_instances.cc
+++ b/src/process/node_instances.cc
@@ -6,7 +6,7 @@
 namespace catkinford {
 
 void node::PollInstances(monotonic_time now) {
-  if (!turns_.DueRead(members_.LiveNeighbours(), now)) return;
+  if (!turns_.ReadDue(members_.LiveNeighbours(), now)) return;
   turns_.OnReadBegun(now);
   instances_.List([this](instance_reply reply) {
     Post([this, reply = std::move(reply)](monotonic_time at) { OnInstances(reply, at); });
--- a/src/process/node_peers.cc
+++ b/src/process/node_peers.cc
@@ -214,7 +214,7 @@
 
 // What each team runs elsewhere, for shares over the whole cell.
 void node::ShareUsage(monotonic_time now) {
-  team_uses own;
+  team_usage_map own;
   for (const auto& [number, held] : shards_) {
     for (const team_report& team : held->TeamReports()) own[team.team] += team.running;
   }
@@ -225,10 +225,10 @@
   for (due_usage& one : due) Send(one.to, std::move(one.message), now);
   if (shards_.empty()) return;
   // News grow from fresh to one period old.
-  const milliseconds age = usage_.NewsPeriod(view) / 2;
-  const team_uses others = usage_.Elsewhere(view);
+  const milliseconds age = usage_.PropagationPeriod(view) / 2;
+  const team_usage_map others = usage_.Elsewhere(view);
   for (auto& [number, held] : shards_) {
-    team_uses elsewhere = others;
+    team_usage_map elsewhere = others;
     for (const auto& [team, running] : own) elsewhere[team] += running;
     for (const team_report& team : held->TeamReports()) elsewhere[team.team] -= team.running;
     for (team_index team = 0; team < teams_.Size(); ++team) {
--- a/src/process/node_services.cc
+++ b/src/process/node_services.cc
@@ -22,7 +22,7 @@
   const bool is_new = to.SpecOf(place.id) == nullptr;
   const bool is_whole = place.home.empty() && place.parts.empty();
   if (is_new && is_whole && MaySpread(place)) {
-    if (now < started_ + kFirstReports && !routes_.HeardOfAllDomains()) {
+    if (now < started_ + kFirstReports && !routes_.AllDomainsReported()) {
       early_services_.push_back({from, std::move(place)});
       return;
     }
--- a/src/process/refusal_memory.h
+++ b/src/process/rejection_history.h
@@ -4,8 +4,8 @@
 // when the refusal is. Taken for a new request it would run after its caller was told that it did
 // not. A caller that asks anew is another matter: its request is tried anew. So each ask has a
 // number, the same in all its sendings.
-#ifndef CATKINFORD_PROCESS_REFUSAL_MEMORY_H_
-#define CATKINFORD_PROCESS_REFUSAL_MEMORY_H_
+#ifndef CATKINFORD_PROCESS_REJECTION_HISTORY_H_
+#define CATKINFORD_PROCESS_REJECTION_HISTORY_H_
 
 #include <chrono>
 #include <cstddef>
@@ -21,10 +21,10 @@
 
 namespace catkinford {
 
-class refusal_memory {
+class rejection_history {
  public:
   // `window`: longer than a sending can be under way. Beyond `capacity` the oldest is forgotten.
-  refusal_memory(std::chrono::milliseconds window, size_t capacity)
+  rejection_history(std::chrono::milliseconds window, size_t capacity)
       : window_(window), capacity_(capacity) {}
 
   // Ask zero is nobody's.
@@ -34,19 +34,19 @@
 
  private:
   using one_ask = std::pair<request_id, uint64_t>;
-  struct refusal {
+  struct rejection {
     refusal_reason reason = refusal_reason::kNone;
     std::chrono::milliseconds retry_after{0};
   };
 
-  void ForgetOldest();
+  void RemoveOldest();
 
   std::chrono::milliseconds window_;
   size_t capacity_;
-  absl::flat_hash_map<one_ask, refusal> refusals_;
+  absl::flat_hash_map<one_ask, rejection> rejections_;
   std::deque<std::pair<monotonic_time, one_ask>> order_;
 };
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_REFUSAL_MEMORY_H_
+#endif  // CATKINFORD_PROCESS_REJECTION_HISTORY_H_
--- a/src/process/gone_endpoints.cc
+++ b/src/process/removed_endpoints.cc
@@ -1,29 +1,29 @@
-#include "process/gone_endpoints.h"
+#include "process/removed_endpoints.h"
 
 #include <utility>
 
 namespace catkinford {
 
-std::vector<std::string> gone_endpoints::Update(const std::vector<std::string>& drained,
-                                                const std::set<std::string>& listed,
-                                                std::chrono::milliseconds wait,
-                                                monotonic_time now) {
+std::vector<std::string> removed_endpoints::Update(const std::vector<std::string>& drained,
+                                                   const std::set<std::string>& listed,
+                                                   std::chrono::milliseconds wait,
+                                                   monotonic_time now) {
   std::map<std::string, monotonic_time> missing;
-  std::vector<std::string> gone;
+  std::vector<std::string> removed;
   // A list without any endpoint is a fault of the platform's, not the end of all of them.
   if (listed.empty()) {
     missing_since_.clear();
-    return gone;
+    return removed;
   }
   for (const std::string& name : drained) {
     if (listed.contains(name)) continue;
     const auto known = missing_since_.find(name);
     const monotonic_time since = known == missing_since_.end() ? now : known->second;
     missing.emplace(name, since);
-    if (now - since >= wait) gone.push_back(name);
+    if (now - since >= wait) removed.push_back(name);
   }
   missing_since_ = std::move(missing);
-  return gone;
+  return removed;
 }
 
 }  // namespace catkinford
--- a/src/process/gone_endpoints.h
+++ b/src/process/removed_endpoints.h
@@ -1,7 +1,7 @@
 // Which drained endpoints are gone for good: off the platform's list for long enough that a list
 // which lags or comes back short is no reason to give them work again. Pure.
-#ifndef CATKINFORD_PROCESS_GONE_ENDPOINTS_H_
-#define CATKINFORD_PROCESS_GONE_ENDPOINTS_H_
+#ifndef CATKINFORD_PROCESS_REMOVED_ENDPOINTS_H_
+#define CATKINFORD_PROCESS_REMOVED_ENDPOINTS_H_
 
 #include <chrono>
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace catkinford {
 
-class gone_endpoints {
+class removed_endpoints {
  public:
   // Those of `drained` that have been missing in every list since at least `wait`.
   std::vector<std::string> Update(const std::vector<std::string>& drained,
@@ -26,4 +26,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_GONE_ENDPOINTS_H_
+#endif  // CATKINFORD_PROCESS_REMOVED_ENDPOINTS_H_
--- a/src/process/request_table.cc
+++ b/src/process/request_table.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kComeBack{500};
+constexpr milliseconds kRetryAfter{500};
 
 // Refusals of one shard that another shard may not share.
 bool MayTryElsewhere(const outcome& result) {
@@ -57,7 +57,7 @@
   pending_request& request = found->second;
   request.waiters.push_back({token, slot});
   if (!added) return;
-  request.answer_by = now + entry.patience + options_.answer_grace;
+  request.answer_by = now + entry.answer_timeout + options_.answer_grace;
   if (entry.place.deadline_left.count() > 0) request.deadline = now + entry.place.deadline_left;
   request.entry = std::move(entry);
   place_message& place = request.entry.place;
@@ -80,23 +80,23 @@
 
 void request_table::Step(const request_id& id, pending_request& request, monotonic_time now,
                          table_actions& out) {
-  const bool ownerless_too_long =
-      request.ownerless != monotonic_time{} && now - request.ownerless >= options_.owner_wait;
+  const bool ownerless_too_long = request.ownerless_since != monotonic_time{} &&
+                                  now - request.ownerless_since >= options_.owner_wait;
   if (now >= request.answer_by || (ownerless_too_long && request.sends == 0)) {
-    Resolve(id, GiveUp(request), out);
+    Resolve(id, TimeoutOutcome(request), out);
     return;
   }
   std::optional<std::string> owner = routes_.OwnerOf(request.entry.place.shard, now);
   const bool may_move = request.sends == 0 && !request.entry.keyed;
-  if (!owner && may_move && MoveOn(request, now)) {
+  if (!owner && may_move && ChooseNextShard(request, now)) {
     owner = routes_.OwnerOf(request.entry.place.shard, now);
   }
   if (!owner) {
-    if (request.ownerless == monotonic_time{}) request.ownerless = now;
+    if (request.ownerless_since == monotonic_time{}) request.ownerless_since = now;
     Schedule(id, request, now + options_.retry_send);
     return;
   }
-  request.ownerless = {};
+  request.ownerless_since = {};
   Send(request, *owner, now, out);
   Schedule(id, request, now + (request.accepted ? options_.resend_accepted : options_.resend));
 }
@@ -116,7 +116,7 @@
 }
 
 // Another shard for a request that surely runs nowhere.
-bool request_table::MoveOn(pending_request& request, monotonic_time now) {
+bool request_table::ChooseNextShard(pending_request& request, monotonic_time now) {
   place_message& place = request.entry.place;
   const uint64_t seed = place.id.hi + request.hops;
   const std::string* shard = routes_.Choose(place.each, seed, now);
@@ -127,14 +127,14 @@
   return true;
 }
 
-outcome request_table::GiveUp(const pending_request& request) const {
+outcome request_table::TimeoutOutcome(const pending_request& request) const {
   const request_id& id = request.entry.place.id;
   if (request.sends > 0) return UnknownOutcome(id, "its owner gave no outcome in time");
   // The same key may have been presented at another entry and have run there.
   if (request.entry.keyed && !request.entry.first_ask) {
     return UnknownOutcome(id, "the shard that remembers this key cannot be reached");
   }
-  return RefusedOutcome(id, refusal_reason::kOwnerUnreachable, kComeBack,
+  return RefusedOutcome(id, refusal_reason::kOwnerUnreachable, kRetryAfter,
                         "no owner of a suitable shard could be reached");
 }
 
@@ -148,11 +148,11 @@
     return;
   }
   const bool may_move = !request.entry.keyed && MayTryElsewhere(result) &&
-                        request.hops + 1 < options_.most_hops && now < request.answer_by;
+                        request.hops + 1 < options_.max_hops && now < request.answer_by;
   if (may_move) {
     request.tried.push_back(request.entry.place.shard);
     ++request.hops;
-    if (MoveOn(request, now)) {
+    if (ChooseNextShard(request, now)) {
       request.sends = 0;  // refused is proof that the last shard does not run it
       Step(result.id, request, now, out);
       return;
@@ -169,11 +169,11 @@
   for (const waiter& at : request.waiters) Settle(at.token, at.slot, result, out);
 }
 
-void request_table::OnSendFailed(const request_id& id, bool surely_not, monotonic_time now) {
+void request_table::OnSendFailed(const request_id& id, bool undelivered, monotonic_time now) {
   const auto found = pending_.find(id);
   if (found == pending_.end()) return;
   pending_request& request = found->second;
-  if (surely_not && request.sends > 0) --request.sends;
+  if (undelivered && request.sends > 0) --request.sends;
   Schedule(id, request, now + options_.retry_send);
 }
 
--- a/src/process/request_table.h
+++ b/src/process/request_table.h
@@ -24,7 +24,7 @@
   std::chrono::milliseconds retry_send{50};         // after a send that surely failed
   std::chrono::milliseconds owner_wait{5000};       // how long a shard may be without an owner
   std::chrono::milliseconds answer_grace{250};      // for the owner's word after the deadline
-  uint32_t most_hops = 3;                           // shards that one request may try
+  uint32_t max_hops = 3;                            // shards that one request may try
   uint64_t first_ask = 1;  // number of the first ask; higher than any of an earlier process
 };
 
@@ -50,7 +50,7 @@
   place_message place;  // `shard` is chosen here
   bool keyed = false;   // its caller may present the same identity at another entry
   bool first_ask = false;
-  std::chrono::milliseconds patience{0};  // when the caller is answered at the latest
+  std::chrono::milliseconds answer_timeout{0};  // when the caller is answered at the latest
 };
 
 class request_table {
@@ -66,8 +66,8 @@
   void Settle(http_server::token token, size_t slot, outcome result, table_actions& out);
 
   void OnOutcome(const outcome& result, monotonic_time now, table_actions& out);
-  // A place did not get through. `surely_not`: the owner has not seen it.
-  void OnSendFailed(const request_id& id, bool surely_not, monotonic_time now);
+  // A place did not get through. `undelivered`: the owner has not seen it.
+  void OnSendFailed(const request_id& id, bool undelivered, monotonic_time now);
   // A shard has a new owner: what waits for it is sent again at once.
   void OnNewOwner(const std::string& shard, monotonic_time now);
   void Tick(monotonic_time now, table_actions& out);
@@ -86,8 +86,9 @@
     table_entry entry;
     std::vector<waiter> waiters;
     monotonic_time answer_by{};
-    monotonic_time deadline{};   // for the owner; epoch of the clock: none
-    monotonic_time ownerless{};  // since when its shard has no owner; epoch of the clock: it has
+    monotonic_time deadline{};  // for the owner; epoch of the clock: none
+    monotonic_time
+        ownerless_since{};  // since when its shard has no owner; epoch of the clock: it has
     monotonic_time next{};
     uint32_t sends = 0;  // that the owner may have seen
     uint32_t hops = 0;
@@ -105,10 +106,10 @@
   void Step(const request_id& id, pending_request& request, monotonic_time now, table_actions& out);
   void Send(pending_request& request, const std::string& owner, monotonic_time now,
             table_actions& out);
-  bool MoveOn(pending_request& request, monotonic_time now);
+  bool ChooseNextShard(pending_request& request, monotonic_time now);
   void Schedule(const request_id& id, pending_request& request, monotonic_time when);
   void Resolve(const request_id& id, const outcome& result, table_actions& out);
-  outcome GiveUp(const pending_request& request) const;
+  outcome TimeoutOutcome(const pending_request& request) const;
 
   table_options options_;
   router& routes_;
--- a/src/process/router.cc
+++ b/src/process/router.cc
@@ -28,8 +28,8 @@
   const auto found = routes_.find(report.shard);
   if (found == routes_.end()) return;
   shard_route& route = found->second;
-  const bool is_refused = report.epoch <= route.refused_epoch && at <= route.refused;
-  if (report.epoch < route.epoch || is_refused) return;
+  const bool is_disowned = report.epoch <= route.disowned_epoch && at <= route.disowned_at;
+  if (report.epoch < route.epoch || is_disowned) return;
   route.owner = owner;
   route.epoch = report.epoch;
   route.summary = report.summary;
@@ -58,8 +58,8 @@
   const auto found = routes_.find(shard);
   if (found == routes_.end() || found->second.owner != owner) return;
   found->second.owner.clear();
-  found->second.refused_epoch = found->second.epoch;
-  found->second.refused = now;
+  found->second.disowned_epoch = found->second.epoch;
+  found->second.disowned_at = now;
 }
 
 const std::string& router::Home(const request_id& id) const {
@@ -110,7 +110,7 @@
   return best;
 }
 
-bool router::HeardOfAllDomains() const {
+bool router::AllDomainsReported() const {
   return std::all_of(options_.failure_domains.begin(), options_.failure_domains.end(),
                      [&](const std::string& domain) {
                        return std::any_of(routes_.begin(), routes_.end(), [&](const auto& route) {
--- a/src/process/router.h
+++ b/src/process/router.h
@@ -28,8 +28,8 @@
 struct shard_route {
   std::string owner;  // entry; empty: not known
   uint64_t epoch = 0;
-  uint64_t refused_epoch = 0;  // its owner said that it no longer has it
-  monotonic_time refused{};    // when
+  uint64_t disowned_epoch = 0;   // its owner said that it no longer has it
+  monotonic_time disowned_at{};  // when
   std::string failure_domain;
   shard_summary summary;
   uint32_t endpoints = 0;
@@ -63,7 +63,7 @@
   // would choose the same emptiest shard. Null when no owner is known.
   const std::string* Choose(const resources& each, uint64_t seed, monotonic_time now) const;
   // Whether an owner in every failure domain was heard of at some time.
-  bool HeardOfAllDomains() const;
+  bool AllDomainsReported() const;
   const shard_route* Route(const std::string& shard) const;
   // The owner of a shard, if it was heard of lately.
   std::optional<std::string> OwnerOf(const std::string& shard, monotonic_time now) const;
--- a/src/process/run_estimates.cc
+++ b/src/process/run_estimates.cc
@@ -8,12 +8,12 @@
 
 using std::chrono::milliseconds;
 
-constexpr double kWeightOfNew = 0.05;  // about the last twenty runs count
-constexpr uint32_t kLearnedAfter = 3;  // runs before what was learned is used
-constexpr double kLongestMs = 1e10;
+constexpr double kSmoothing = 0.05;  // about the last twenty runs count
+constexpr uint32_t kMinRuns = 3;     // runs before what was learned is used
+constexpr double kMaxMs = 1e10;
 
 milliseconds FromLog(double log_ms) {
-  return milliseconds{static_cast<int64_t>(std::min(std::exp(log_ms), kLongestMs))};
+  return milliseconds{static_cast<int64_t>(std::min(std::exp(log_ms), kMaxMs))};
 }
 
 double LogMs(milliseconds time) {
@@ -24,7 +24,7 @@
 
 void run_estimates::log_mean::Add(double value) {
   ++count;
-  const double weight = std::max(kWeightOfNew, 1.0 / count);
+  const double weight = std::max(kSmoothing, 1.0 / count);
   mean += weight * (value - mean);
   square += weight * (value * value - square);
 }
@@ -33,8 +33,8 @@
   return std::sqrt(std::max(0.0, square - mean * mean));
 }
 
-void run_estimates::Learn(team_index team, workload_kind kind, milliseconds declared,
-                          milliseconds ran) {
+void run_estimates::AddSample(team_index team, workload_kind kind, milliseconds declared,
+                              milliseconds ran) {
   if (teams_.size() <= team) teams_.resize(team + 1);
   record& r = teams_[team][static_cast<size_t>(kind)];
   r.run.Add(LogMs(ran));
@@ -45,21 +45,21 @@
   return team < teams_.size() ? &teams_[team][static_cast<size_t>(kind)] : nullptr;
 }
 
-milliseconds run_estimates::Usual(team_index team, workload_kind kind,
-                                  milliseconds declared) const {
+milliseconds run_estimates::Typical(team_index team, workload_kind kind,
+                                    milliseconds declared) const {
   const record* r = Find(team, kind);
-  if (r == nullptr || r->run.count < kLearnedAfter) return declared;
-  if (declared.count() > 0 && r->ratio.count >= kLearnedAfter) {
+  if (r == nullptr || r->run.count < kMinRuns) return declared;
+  if (declared.count() > 0 && r->ratio.count >= kMinRuns) {
     return FromLog(LogMs(declared) + r->ratio.mean);
   }
   return FromLog(r->run.mean);
 }
 
-milliseconds run_estimates::Cautious(team_index team, workload_kind kind,
-                                     milliseconds declared) const {
+milliseconds run_estimates::UpperEstimate(team_index team, workload_kind kind,
+                                          milliseconds declared) const {
   const record* r = Find(team, kind);
-  if (r == nullptr || r->run.count < kLearnedAfter) return declared;
-  if (declared.count() > 0 && r->ratio.count >= kLearnedAfter) {
+  if (r == nullptr || r->run.count < kMinRuns) return declared;
+  if (declared.count() > 0 && r->ratio.count >= kMinRuns) {
     return FromLog(LogMs(declared) + r->ratio.mean + r->ratio.Deviation());
   }
   return FromLog(r->run.mean + r->run.Deviation());
--- a/src/process/run_estimates.h
+++ b/src/process/run_estimates.h
@@ -14,15 +14,15 @@
 
 class run_estimates {
  public:
-  void Learn(team_index team, workload_kind kind, std::chrono::milliseconds declared,
-             std::chrono::milliseconds ran);
+  void AddSample(team_index team, workload_kind kind, std::chrono::milliseconds declared,
+                 std::chrono::milliseconds ran);
 
   // The usual run time; zero when nothing is known and nothing was declared.
-  std::chrono::milliseconds Usual(team_index team, workload_kind kind,
-                                  std::chrono::milliseconds declared) const;
+  std::chrono::milliseconds Typical(team_index team, workload_kind kind,
+                                    std::chrono::milliseconds declared) const;
   // A time that most runs stay below: the usual one and a standard deviation of its logarithm.
-  std::chrono::milliseconds Cautious(team_index team, workload_kind kind,
-                                     std::chrono::milliseconds declared) const;
+  std::chrono::milliseconds UpperEstimate(team_index team, workload_kind kind,
+                                          std::chrono::milliseconds declared) const;
 
  private:
   // Mean and spread of a logarithm, the recent past weighing most.
--- a/src/process/shard.cc
+++ b/src/process/shard.cc
@@ -347,7 +347,7 @@
     demand.team = teams_.NameOf(team);
     demand.used = {usage.running, usage.running_tasks};
     demand.wanted = {usage.wanted, usage.running_tasks + usage.queued_tasks};
-    if (!gangs_.empty()) demand.piece = LargestGang(demand.team);
+    if (!gangs_.empty()) demand.indivisible = LargestGang(demand.team);
     demands.push_back(std::move(demand));
   }
   return demands;
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -21,10 +21,10 @@
 #include "connection/instance_adapter.h"
 #include "process/decision_core.h"
 #include "process/events.h"
-#include "process/identity_memory.h"
+#include "process/identity_history.h"
 #include "process/message.h"
 #include "process/part_keeper.h"
-#include "process/refusal_memory.h"
+#include "process/rejection_history.h"
 #include "process/team_names.h"
 #include "request/job_state.h"
 #include "version/contract.h"
@@ -324,10 +324,10 @@
   absl::flat_hash_map<request_id, job_state> jobs_;
   std::set<request_id> gangs_;     // that have not ended
   std::set<request_id> services_;  // that have not ended
-  identity_memory identities_;     // of work that a caller waits for, beyond its job_state
+  identity_history identities_;    // of work that a caller waits for, beyond its job_state
   part_keeper parts_;              // of the jobs whose home this is
   std::set<std::pair<monotonic_time, request_id>> untold_;  // when each is told accepted at last
-  refusal_memory refusals_;
+  rejection_history refusals_;
   evacuation_counts evacuated_;
   std::vector<held_place> held_;
   std::vector<request_id> restored_;  // not resumed yet: some endpoint is not listed
--- a/src/process/shard_endpoints.cc
+++ b/src/process/shard_endpoints.cc
@@ -83,7 +83,7 @@
     endpoint_record& at = endpoints_[index];
     if (at.link.BecomesGone(now)) {
       Note(event_code::kEndpointGone, {}, at.address.name);
-      if (!at.listed) identities_.OnListLost(now);
+      if (!at.listed) identities_.OnListingLost(now);
       LoseAllAt(index, now);
       Listed(at, now);
       SetCoreState(index, now);
@@ -157,7 +157,7 @@
   if (is_first && (same || no_earlier_owner || is_new)) return;
   at.forgot = now;
   // What we ourselves had started there is known, and lost.
-  if (is_first) identities_.OnListLost(now);
+  if (is_first) identities_.OnListingLost(now);
 }
 
 // Another owner has been here with a higher epoch.
@@ -232,7 +232,7 @@
     const bool well = status.result == task_result::kOk;
     const outcome_kind kind = well ? outcome_kind::kCompleted : outcome_kind::kFailed;
     const bool lapsed = status.result == task_result::kLeaseLapsed;
-    identities_.LearnFinished(id.job, lapsed ? outcome_kind::kUnknown : kind, status.answer, now);
+    identities_.AddFinished(id.job, lapsed ? outcome_kind::kUnknown : kind, status.answer, now);
     return;
   }
   auto [found, unknown] = jobs_.try_emplace(id.job);
@@ -242,7 +242,7 @@
     job.spec.kind = status.kind;
     job.spec.team = status.team;
     job.spec.each = status.amount;
-    identities_.LearnRunning(id.job, now);
+    identities_.AddRunning(id.job, now);
   }
   if (id.index >= job.tasks.size()) job.tasks.resize(id.index + 1);
   task_progress& task = job.tasks[id.index];
--- a/src/process/shard_parts.cc
+++ b/src/process/shard_parts.cc
@@ -128,7 +128,7 @@
     for (uint32_t i = part.first; i < part.first + part.tasks && i < job.tasks.size(); ++i) {
       if (job.tasks[i].phase != task_phase::kElsewhere) continue;
       job.tasks[i].phase = task_phase::kWaiting;
-      core_.TakeIn(id, i);
+      core_.TakeOverTask(id, i);
     }
   }
   if (options_.is_evacuated) OpenParts(id, job, now);
--- a/src/process/team_table.cc
+++ b/src/process/team_table.cc
@@ -5,11 +5,11 @@
 namespace catkinford {
 namespace {
 
-constexpr double kLeastWeight = 1e-6;  // a share of zero still gets what nobody else wants
+constexpr double kMinWeight = 1e-6;  // a share of zero still gets what nobody else wants
 
 bool Active(const team_record& team) { return team.running_tasks + team.queued_tasks > 0; }
 
-double Weight(const team_record& team) { return std::max(team.terms.weight, kLeastWeight); }
+double Weight(const team_record& team) { return std::max(team.terms.weight, kMinWeight); }
 
 }  // namespace
 
@@ -30,7 +30,7 @@
   team.ratio = dominant / Weight(team);
 }
 
-void team_table::SizeOthers() {
+void team_table::UpdateRelativeSizes() {
   for (size_t a = 0; a < kAmounts; ++a) {
     const double own = AmountOf(shard_, a);
     const double all = AmountOf(cell_, a);
@@ -40,7 +40,7 @@
 }
 
 // Keeps the sum of the weights of teams that run or wait.
-void team_table::NoteActive(const team_record& team, bool was_active) {
+void team_table::UpdateActive(const team_record& team, bool was_active) {
   const bool active = Active(team);
   if (active == was_active) return;
   active_weight_ += active ? Weight(team) : -Weight(team);
@@ -59,18 +59,18 @@
 
 void team_table::SetCellCapacity(const resources& capacity) {
   cell_ = capacity;
-  SizeOthers();
+  UpdateRelativeSizes();
 }
 
 void team_table::SetShardCapacity(const resources& capacity) {
   shard_ = capacity;
-  SizeOthers();
+  UpdateRelativeSizes();
 }
 
 void team_table::SetElsewhere(team_index team, const resources& running,
                               std::chrono::milliseconds age, monotonic_time now) {
   team_record& t = (*this)[team];
-  t.elsewhere.Hear(running, t.running, others_, age, now);
+  t.elsewhere.Observe(running, t.running, others_, age, now);
   UpdateRatio(t);
 }
 
@@ -84,11 +84,11 @@
     t.interactive += job.each;
     ++t.interactive_tasks;
   }
-  NoteActive(t, active);
+  UpdateActive(t, active);
   UpdateRatio(t);
 }
 
-void team_table::TakeRunning(team_index team, const job_request& job) {
+void team_table::RemoveRunning(team_index team, const job_request& job) {
   team_record& t = (*this)[team];
   const bool active = Active(t);
   t.running -= job.each;
@@ -98,7 +98,7 @@
     t.interactive -= job.each;
     --t.interactive_tasks;
   }
-  NoteActive(t, active);
+  UpdateActive(t, active);
   UpdateRatio(t);
 }
 
@@ -108,23 +108,23 @@
   for (size_t a = 0; a < kAmounts; ++a) t.queued[a] += uint64_t{AmountOf(each, a)} * tasks;
   t.queued_tasks += tasks;
   queued_tasks_ += tasks;
-  NoteActive(t, active);
+  UpdateActive(t, active);
 }
 
-void team_table::TakeQueued(team_index team, const resources& each, uint32_t tasks) {
+void team_table::RemoveQueued(team_index team, const resources& each, uint32_t tasks) {
   team_record& t = (*this)[team];
   const bool active = Active(t);
   for (size_t a = 0; a < kAmounts; ++a) t.queued[a] -= uint64_t{AmountOf(each, a)} * tasks;
   t.queued_tasks -= tasks;
   queued_tasks_ -= tasks;
-  NoteActive(t, active);
+  UpdateActive(t, active);
 }
 
 bool team_table::WithinGrant(team_index team, const resources& each, uint32_t count,
-                             const shard_floor& floor) const {
+                             const shard_floor& endpoints) const {
   const team_record* t = Find(team);
-  if (t == nullptr || floor.UnfencedTasksUnbounded()) return false;
-  const resources& unfenced = floor.Unfenced();
+  if (t == nullptr || endpoints.UnfencedTasksUnbounded()) return false;
+  const resources& unfenced = endpoints.Unfenced();
   const auto within = [count](uint32_t running, uint32_t more, uint32_t hidden, uint32_t most) {
     return uint64_t{running} + uint64_t{more} * count + hidden <= most;
   };
--- a/src/process/team_table.h
+++ b/src/process/team_table.h
@@ -46,15 +46,15 @@
                     monotonic_time now);
 
   void AddRunning(team_index team, const job_request& job);
-  void TakeRunning(team_index team, const job_request& job);
+  void RemoveRunning(team_index team, const job_request& job);
   void AddQueued(team_index team, const resources& each, uint32_t tasks);
-  void TakeQueued(team_index team, const resources& each, uint32_t tasks);
+  void RemoveQueued(team_index team, const resources& each, uint32_t tasks);
 
   // Whether `count` more tasks of `each` stay within what the team was granted here. What is not
   // fenced yet counts as if the team ran all of it: a former owner may have started it for anyone,
   // and the limit would be passed without anybody seeing it.
   bool WithinGrant(team_index team, const resources& each, uint32_t count,
-                   const shard_floor& floor) const;
+                   const shard_floor& endpoints) const;
   // Whether the team is at or below the part of the cell that its weight gives it among the teams
   // that run or wait.
   bool WithinShare(team_index team) const { return !BeyondShare(team, 1.0); }
@@ -66,13 +66,13 @@
 
  private:
   void UpdateRatio(team_record& team) const;
-  void NoteActive(const team_record& team, bool was_active);
-  void SizeOthers();
+  void UpdateActive(const team_record& team, bool was_active);
+  void UpdateRelativeSizes();
 
   std::vector<team_record> teams_;
   resources cell_;
   resources shard_;
-  usage_forecast::sizes others_{};  // the rest of the cell, in sizes of this shard
+  usage_forecast::relative_sizes others_{};  // the rest of the cell, in sizes of this shard
   double active_weight_ = 0;
   uint32_t active_teams_ = 0;
   uint32_t running_tasks_ = 0;
--- a/src/process/usage_forecast.cc
+++ b/src/process/usage_forecast.cc
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using seconds = std::chrono::duration<double>;
 
-constexpr milliseconds kLeastAge{50};
+constexpr milliseconds kMinAge{50};
 // The offset follows the news this much more slowly than they grow old.
 constexpr double kOffsetAges = 4;
 
@@ -17,18 +17,18 @@
 
 }  // namespace
 
-void usage_forecast::Hear(const resources& elsewhere, const resources& own, const sizes& others,
-                          milliseconds age, monotonic_time now) {
-  const seconds lag = std::max(age, kLeastAge);
-  const double own_weight = heard_ ? WeightOf(now - last_, lag) : 1.0;
-  const double offset_weight = heard_ ? WeightOf(now - last_, lag * kOffsetAges) : 1.0;
+void usage_forecast::Observe(const resources& elsewhere, const resources& own,
+                             const relative_sizes& others, milliseconds age, monotonic_time now) {
+  const seconds lag = std::max(age, kMinAge);
+  const double own_weight = initialized_ ? WeightOf(now - last_, lag) : 1.0;
+  const double offset_weight = initialized_ ? WeightOf(now - last_, lag * kOffsetAges) : 1.0;
   for (size_t a = 0; a < kAmounts; ++a) {
     own_[a] += (AmountOf(own, a) - own_[a]) * own_weight;
-    const double offset = AmountOf(elsewhere, a) - own_[a] * others[a] * kFollow;
+    const double offset = AmountOf(elsewhere, a) - own_[a] * others[a] * kFollowFactor;
     offset_[a] += (offset - offset_[a]) * offset_weight;
   }
   last_ = now;
-  heard_ = true;
+  initialized_ = true;
 }
 
 }  // namespace catkinford
--- a/src/process/usage_forecast.h
+++ b/src/process/usage_forecast.h
@@ -24,16 +24,16 @@
 class usage_forecast {
  public:
   // The size of all other shards, in sizes of this one, by amount.
-  using sizes = std::array<double, kAmounts>;
+  using relative_sizes = std::array<double, kAmounts>;
 
   // The others ran `elsewhere`, `age` ago on average, and this shard runs `own` now.
-  void Hear(const resources& elsewhere, const resources& own, const sizes& others,
-            std::chrono::milliseconds age, monotonic_time now);
+  void Observe(const resources& elsewhere, const resources& own, const relative_sizes& others,
+               std::chrono::milliseconds age, monotonic_time now);
 
   // What they run now of an amount, while this shard runs `own` of it; nothing before any news.
-  double Elsewhere(size_t amount, uint32_t own, const sizes& others) const {
-    if (!heard_) return 0;
-    return std::max(0.0, offset_[amount] + own * others[amount] * kFollow);
+  double Elsewhere(size_t amount, uint32_t own, const relative_sizes& others) const {
+    if (!initialized_) return 0;
+    return std::max(0.0, offset_[amount] + own * others[amount] * kFollowFactor);
   }
 
  private:
@@ -41,12 +41,12 @@
   // points from share in the first and second 5 s after a large team came back, and from 10 s on:
   // 0.25 8.1, 1.0, 0.19; 0.5 6.9, 0.5, 0.63; 1 1.5, 1.1, 1.50 (what a small shard does by chance
   // counts for too much).
-  static constexpr double kFollow = 0.5;
+  static constexpr double kFollowFactor = 0.5;
 
   std::array<double, kAmounts> own_{};     // as old as the news
   std::array<double, kAmounts> offset_{};  // of the others from the forecast
   monotonic_time last_{};
-  bool heard_ = false;
+  bool initialized_ = false;
 };
 
 }  // namespace catkinford
--- a/src/process/usage_spread.cc
+++ b/src/process/usage_propagation.cc
@@ -1,4 +1,4 @@
-#include "process/usage_spread.h"
+#include "process/usage_propagation.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,7 @@
 
 // A change below this part of the cell is not told: nine domains with one each stay below half a
 // percentage point of a share.
-constexpr double kLeastChange = 1.0 / 2048;
+constexpr double kMinChange = 1.0 / 2048;
 // Bytes on the wire: a call and its reply without the teams, and one team.
 constexpr uint32_t kCallBytes = 600;
 constexpr uint32_t kTeamBytes = 30;
@@ -18,7 +18,7 @@
 
 uint32_t Difference(uint32_t a, uint32_t b) { return a > b ? a - b : b - a; }
 
-double PartOf(const resources& change, const resources& cell) {
+double FractionOf(const resources& change, const resources& cell) {
   const auto part = [](uint32_t amount, uint32_t whole) {
     return whole == 0 ? 0.0 : static_cast<double>(amount) / whole;
   };
@@ -31,7 +31,7 @@
           Difference(a.accelerators, b.accelerators), Difference(a.slots, b.slots)};
 }
 
-resources UseOf(const team_uses& uses, const std::string& team) {
+resources UsageOf(const team_usage_map& uses, const std::string& team) {
   const auto found = uses.find(team);
   return found == uses.end() ? resources{} : found->second;
 }
@@ -43,10 +43,11 @@
 
 }  // namespace
 
-usage_spread::usage_spread(usage_spread_options options) : options_(std::move(options)) {}
+usage_propagation::usage_propagation(usage_propagation_options options)
+    : options_(std::move(options)) {}
 
-void usage_spread::OnUsage(const std::string& from, const usage_message& message,
-                           monotonic_time now) {
+void usage_propagation::OnUsage(const std::string& from, const usage_message& message,
+                                monotonic_time now) {
   source& known = sources_[from];
   if (message.incarnation < known.incarnation) return;
   if (message.incarnation > known.incarnation) known = {message.incarnation, 0, now, {}};
@@ -58,29 +59,29 @@
                    [&](const auto& use) { return use.second.sequence < message.sequence; });
   }
   for (const team_report& team : message.teams) {
-    told_use& use = known.uses[team.team];
+    reported_usage& use = known.uses[team.team];
     if (message.sequence > use.sequence) use = {team.running, message.sequence};
   }
 }
 
-void usage_spread::OnLost(const std::string& to) {
+void usage_propagation::OnLost(const std::string& to) {
   const auto found = destinations_.find(to);
   if (found == destinations_.end()) return;
-  found->second.told.clear();
+  found->second.reported.clear();
   found->second.whole = true;
 }
 
-bool usage_spread::IsRelay(const usage_view& view) const {
+bool usage_propagation::IsRelay(const usage_view& view) const {
   return view.neighbours.empty() || options_.name < view.neighbours.front();
 }
 
-const std::string& usage_spread::RelayOf(const usage_view& view) const {
+const std::string& usage_propagation::RelayOf(const usage_view& view) const {
   return IsRelay(view) ? options_.name : view.neighbours.front();
 }
 
 // The one that spoke last, since its own domain may see its members otherwise than we do; the
 // lowest until one has spoken.
-const std::string& usage_spread::FarRelayOf(const std::vector<std::string>& entries) const {
+const std::string& usage_propagation::FarRelayOf(const std::vector<std::string>& entries) const {
   const std::string* best = &entries.front();
   monotonic_time heard{};
   for (const std::string& name : entries) {
@@ -92,72 +93,74 @@
   return *best;
 }
 
-void usage_spread::AddUses(const std::string& from, team_uses& sum) const {
+void usage_propagation::AddUsage(const std::string& from, team_usage_map& sum) const {
   const auto found = sources_.find(from);
   if (found == sources_.end()) return;
   for (const auto& [team, use] : found->second.uses) sum[team] += use.running;
 }
 
-team_uses usage_spread::DomainUses(const usage_view& view, const std::string& without) const {
-  team_uses sum = own_;
+team_usage_map usage_propagation::DomainUsage(const usage_view& view,
+                                              const std::string& without) const {
+  team_usage_map sum = own_;
   for (const std::string& name : view.neighbours) {
-    if (name != without) AddUses(name, sum);
+    if (name != without) AddUsage(name, sum);
   }
   return sum;
 }
 
-team_uses usage_spread::FarUses(const usage_view& view) const {
-  team_uses sum;
-  for (const auto& [domain, entries] : view.far) AddUses(FarRelayOf(entries), sum);
+team_usage_map usage_propagation::FarUsage(const usage_view& view) const {
+  team_usage_map sum;
+  for (const auto& [domain, entries] : view.far) AddUsage(FarRelayOf(entries), sum);
   return sum;
 }
 
-team_uses usage_spread::Elsewhere(const usage_view& view) const {
-  team_uses sum;
+team_usage_map usage_propagation::Elsewhere(const usage_view& view) const {
+  team_usage_map sum;
   if (!IsRelay(view)) {
     const std::string& relay = RelayOf(view);
-    AddUses(sources_.contains(relay) ? relay : last_relay_, sum);
+    AddUsage(sources_.contains(relay) ? relay : last_relay_, sum);
     return sum;
   }
-  sum = FarUses(view);
-  for (const std::string& name : view.neighbours) AddUses(name, sum);
+  sum = FarUsage(view);
+  for (const std::string& name : view.neighbours) AddUsage(name, sum);
   return sum;
 }
 
-std::vector<std::string> usage_spread::Destinations(const usage_view& view) const {
+std::vector<std::string> usage_propagation::Destinations(const usage_view& view) const {
   if (!IsRelay(view)) return {RelayOf(view)};
   std::vector<std::string> all = view.neighbours;
   for (const auto& [domain, entries] : view.far) all.push_back(FarRelayOf(entries));
   return all;
 }
 
-team_uses usage_spread::UsesFor(const usage_view& view, const std::string& to) const {
+team_usage_map usage_propagation::UsageFor(const usage_view& view, const std::string& to) const {
   if (!IsRelay(view)) return own_;
   const auto& near = view.neighbours;
   const bool is_near = std::find(near.begin(), near.end(), to) != near.end();
-  if (!is_near) return DomainUses(view, "");
-  team_uses sum = DomainUses(view, to);
-  for (const auto& [team, running] : FarUses(view)) sum[team] += running;
+  if (!is_near) return DomainUsage(view, "");
+  team_usage_map sum = DomainUsage(view, to);
+  for (const auto& [team, running] : FarUsage(view)) sum[team] += running;
   return sum;
 }
 
-std::vector<team_report> usage_spread::Changes(const destination& to, const team_uses& uses,
-                                               const resources& cell) const {
+std::vector<team_report> usage_propagation::Changes(const destination& to,
+                                                    const team_usage_map& uses,
+                                                    const resources& cell) const {
   struct change {
     double part;
     team_report report;
   };
   std::vector<change> changes;
   const auto consider = [&](const std::string& team) {
-    const resources now = UseOf(uses, team);
-    const resources told = UseOf(to.told, team);
-    const double part = PartOf(ChangeOf(now, told), cell);
+    const resources now = UsageOf(uses, team);
+    const resources reported = UsageOf(to.reported, team);
+    const double part = FractionOf(ChangeOf(now, reported), cell);
     // The end of all work is told however little it was: it would never be told otherwise.
-    const bool ended = now == resources{} && told != resources{};
-    if (part >= kLeastChange || ended) changes.push_back({part, {team, now}});
+    const bool ended = now == resources{} && reported != resources{};
+    if (part >= kMinChange || ended) changes.push_back({part, {team, now}});
   };
   for (const auto& [team, running] : uses) consider(team);
-  for (const auto& [team, running] : to.told) {
+  for (const auto& [team, running] : to.reported) {
     if (!uses.contains(team)) consider(team);
   }
   std::sort(changes.begin(), changes.end(),
@@ -170,7 +173,8 @@
 }
 
 // One message at a time, to the one that has waited longest, when the budget allows.
-void usage_spread::Due(const usage_view& view, monotonic_time now, std::vector<due_usage>& out) {
+void usage_propagation::Due(const usage_view& view, monotonic_time now,
+                            std::vector<due_usage>& out) {
   if (const std::string& relay = RelayOf(view); sources_.contains(relay)) last_relay_ = relay;
   if (now < next_send_) return;
   std::vector<std::string> order = Destinations(view);
@@ -181,14 +185,14 @@
   for (const std::string& name : order) {
     destination& to = destinations_.at(name);
     if (now < to.next) return;
-    const team_uses uses = UsesFor(view, name);
+    const team_usage_map uses = UsageFor(view, name);
     std::vector<team_report> changes = Changes(to, uses, view.cell);
     if (changes.empty() && !to.whole) continue;
     for (const team_report& team : changes) {
       if (team.running == resources{}) {
-        to.told.erase(team.team);
+        to.reported.erase(team.team);
       } else {
-        to.told[team.team] = team.running;
+        to.reported[team.team] = team.running;
       }
     }
     next_send_ = now + TimeToSend(changes.size(), options_.bytes_per_second);
@@ -199,7 +203,7 @@
   }
 }
 
-milliseconds usage_spread::NewsPeriod(const usage_view& view) const {
+milliseconds usage_propagation::PropagationPeriod(const usage_view& view) const {
   const size_t destinations = view.neighbours.size() + view.far.size();
   const size_t teams = std::min(own_.size(), options_.largest_message);
   const milliseconds round =
--- a/src/process/usage_spread.h
+++ b/src/process/usage_propagation.h
@@ -4,8 +4,8 @@
 // relays of the other domains the sum of its own, and each neighbour the sum of all the others.
 // Only changes are told, the largest first, within a budget of bytes: a fleet at rest tells
 // nothing. Pure: messages and time in, due messages out.
-#ifndef CATKINFORD_PROCESS_USAGE_SPREAD_H_
-#define CATKINFORD_PROCESS_USAGE_SPREAD_H_
+#ifndef CATKINFORD_PROCESS_USAGE_PROPAGATION_H_
+#define CATKINFORD_PROCESS_USAGE_PROPAGATION_H_
 
 #include <chrono>
 #include <cstdint>
@@ -18,9 +18,9 @@
 
 namespace catkinford {
 
-using team_uses = absl::btree_map<std::string, resources>;
+using team_usage_map = absl::btree_map<std::string, resources>;
 
-struct usage_spread_options {
+struct usage_propagation_options {
   std::string name;
   uint64_t incarnation = 0;
   std::chrono::milliseconds period{500};  // between two messages to the same entry
@@ -40,24 +40,24 @@
   usage_message message;
 };
 
-class usage_spread {
+class usage_propagation {
  public:
-  explicit usage_spread(usage_spread_options options);
+  explicit usage_propagation(usage_propagation_options options);
 
   // What runs in the shards of this entry.
-  void SetOwn(team_uses own) { own_ = std::move(own); }
+  void SetOwn(team_usage_map own) { own_ = std::move(own); }
   void OnUsage(const std::string& from, const usage_message& message, monotonic_time now);
   // A message to it may be lost: it is told everything again.
   void OnLost(const std::string& to);
 
   void Due(const usage_view& view, monotonic_time now, std::vector<due_usage>& out);
   // What runs in the shards of all other entries.
-  team_uses Elsewhere(const usage_view& view) const;
+  team_usage_map Elsewhere(const usage_view& view) const;
   // How long a change takes to be told all over the fleet, about.
-  std::chrono::milliseconds NewsPeriod(const usage_view& view) const;
+  std::chrono::milliseconds PropagationPeriod(const usage_view& view) const;
 
  private:
-  struct told_use {
+  struct reported_usage {
     resources running;  // none: told to have ended
     uint64_t sequence = 0;
   };
@@ -66,11 +66,11 @@
     uint64_t incarnation = 0;
     uint64_t whole = 0;  // the last message that told everything
     monotonic_time heard{};
-    absl::btree_map<std::string, told_use> uses;
+    absl::btree_map<std::string, reported_usage> uses;
   };
   // An entry that we tell.
   struct destination {
-    team_uses told;
+    team_usage_map reported;
     bool whole = true;  // it knows nothing of us yet
     uint64_t sequence = 0;
     monotonic_time next{};
@@ -80,16 +80,16 @@
   const std::string& RelayOf(const usage_view& view) const;
   // The one of a far domain that speaks for it.
   const std::string& FarRelayOf(const std::vector<std::string>& entries) const;
-  void AddUses(const std::string& from, team_uses& sum) const;
-  team_uses DomainUses(const usage_view& view, const std::string& without) const;
-  team_uses FarUses(const usage_view& view) const;
+  void AddUsage(const std::string& from, team_usage_map& sum) const;
+  team_usage_map DomainUsage(const usage_view& view, const std::string& without) const;
+  team_usage_map FarUsage(const usage_view& view) const;
   std::vector<std::string> Destinations(const usage_view& view) const;
-  team_uses UsesFor(const usage_view& view, const std::string& to) const;
-  std::vector<team_report> Changes(const destination& to, const team_uses& uses,
+  team_usage_map UsageFor(const usage_view& view, const std::string& to) const;
+  std::vector<team_report> Changes(const destination& to, const team_usage_map& uses,
                                    const resources& cell) const;
 
-  usage_spread_options options_;
-  team_uses own_;
+  usage_propagation_options options_;
+  team_usage_map own_;
   absl::btree_map<std::string, source> sources_;
   absl::btree_map<std::string, destination> destinations_;
   std::string last_relay_;  // whose word we go by until the present one has spoken
@@ -98,4 +98,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_USAGE_SPREAD_H_
+#endif  // CATKINFORD_PROCESS_USAGE_PROPAGATION_H_
--- a/src/process/virtual_queue.cc
+++ b/src/process/virtual_queue.cc
@@ -5,16 +5,16 @@
 namespace catkinford {
 namespace {
 
-constexpr std::chrono::seconds kLongest{30};  // from now to the last place
-constexpr std::chrono::milliseconds kEarly{20};
+constexpr std::chrono::seconds kMaxDelay{30};  // from now to the last place
+constexpr std::chrono::milliseconds kEarlyTolerance{20};
 // Retry-After counts whole seconds, and the way back takes its time.
-constexpr std::chrono::seconds kLate{3};
-constexpr size_t kMostPlaces = 16384;
+constexpr std::chrono::seconds kLateTolerance{3};
+constexpr size_t kMaxPlaces = 16384;
 
 }  // namespace
 
 void virtual_queue::Expire(monotonic_time now) {
-  while (!order_.empty() && order_.front().first + kLate < now) {
+  while (!order_.empty() && order_.front().first + kLateTolerance < now) {
     const auto [due, id] = order_.front();
     order_.pop_front();
     const auto found = due_.find(id);
@@ -29,7 +29,7 @@
   if (found != due_.end() && found->second > now) return found->second;
   const monotonic_time due =
       std::max(earliest, last_ + std::chrono::duration_cast<monotonic_time::duration>(gap));
-  if (due > now + kLongest || order_.size() >= kMostPlaces) return now + kLongest;
+  if (due > now + kMaxDelay || order_.size() >= kMaxPlaces) return now + kMaxDelay;
   last_ = due;
   due_[id] = due;
   order_.emplace_back(due, id);
@@ -39,7 +39,7 @@
 bool virtual_queue::Redeem(const request_id& id, monotonic_time now) {
   Expire(now);
   const auto found = due_.find(id);
-  if (found == due_.end() || now + kEarly < found->second) return false;
+  if (found == due_.end() || now + kEarlyTolerance < found->second) return false;
   due_.erase(found);
   return true;
 }
--- a/src/version/grant_holder.cc
+++ b/src/version/grant_holder.cc
@@ -99,7 +99,7 @@
   }
 }
 
-void grant_holder::Take(bucket& into, uint64_t revision, const std::string& value) {
+void grant_holder::ApplyValue(bucket& into, uint64_t revision, const std::string& value) {
   if (revision <= into.revision) return;
   std::optional<ledger_value> ledger = ParseLedger(value);
   into.unreadable = !ledger.has_value();
@@ -118,12 +118,12 @@
   current.in_flight = false;
   switch (reply.status) {
     case store_status::kDone:
-      Take(current, reply.revision, current.write.value);
+      ApplyValue(current, reply.revision, current.write.value);
       current.uncertain = false;
       return;
     case store_status::kConflict:
       current.uncertain = false;
-      if (!reply.items.empty()) Take(current, reply.items[0].revision, reply.items[0].value);
+      if (!reply.items.empty()) ApplyValue(current, reply.items[0].revision, reply.items[0].value);
       return;
     case store_status::kAbsent:
     case store_status::kUnavailable:
@@ -137,7 +137,7 @@
 }
 
 void grant_holder::OnRead(const std::string& key, uint64_t revision, const std::string& value) {
-  Take(buckets_[key], revision, value);
+  ApplyValue(buckets_[key], revision, value);
 }
 
 const grant_entry* grant_holder::OwnEntry(const ledger_value& ledger,
--- a/src/version/grant_holder.h
+++ b/src/version/grant_holder.h
@@ -72,7 +72,7 @@
     bool uncertain = false;
   };
 
-  void Take(bucket& into, uint64_t revision, const std::string& value);
+  void ApplyValue(bucket& into, uint64_t revision, const std::string& value);
   void Send(bucket& from, std::vector<grant_write>& out);
   bool Stamp(ledger_value& ledger) const;
   const grant_entry* OwnEntry(const ledger_value& ledger, const std::string& team) const;
--- a/src/version/grant_ledger.cc
+++ b/src/version/grant_ledger.cc
@@ -50,7 +50,7 @@
   amounts granted{};
   uint64_t holders = 0;  // shards that hold a part or want one
   bool other_starved = false;
-  const grant_entry* piece_holder = nullptr;  // the first other shard with a piece
+  const grant_entry* indivisible_holder = nullptr;  // the first other shard with a piece
 };
 
 bool ByTeamThenShard(const grant_entry& a, const grant_entry& b) {
@@ -67,7 +67,8 @@
     ++total.holders;
     if (entry.shard == shard) continue;
     if (entry.starved) total.other_starved = true;
-    if (total.piece_holder == nullptr && !IsZero(entry.piece)) total.piece_holder = &entry;
+    if (total.indivisible_holder == nullptr && !IsZero(entry.indivisible))
+      total.indivisible_holder = &entry;
   }
   return total;
 }
@@ -83,39 +84,40 @@
   uint64_t granted;  // by all shards, this one included
   uint64_t holders;
   bool other_starved;
-  uint64_t own_piece;    // zero: none, or another shard's goes first
-  uint64_t other_piece;  // zero: none that goes before ours
-  uint64_t tasks;        // that are wanted, whatever the amount
-  uint64_t most_tasks;   // the limit of running tasks
+  uint64_t own_indivisible;    // zero: none, or another shard's goes first
+  uint64_t other_indivisible;  // zero: none that goes before ours
+  uint64_t tasks;              // that are wanted, whatever the amount
+  uint64_t most_tasks;         // the limit of running tasks
 };
 
 // What a few tasks take of the amount, where that is a small part of what each shard could have. A
 // demand of a few short tasks is nothing for a moment now and then, and back at once: the grant
 // that was returned would be asked for again, and callers wait 40 ms for it on a floor that is half
 // empty.
-uint64_t FewTasks(const amount_plan& plan, const grant_policy& policy) {
+uint64_t ReserveForFewTasks(const amount_plan& plan, const grant_policy& policy) {
   const uint64_t part = plan.limit / (std::max<uint64_t>(plan.holders, 1) * policy.reserve_part);
   if (plan.most_tasks == 0) return 0;
   return std::min(plan.limit * policy.reserve_tasks / plan.most_tasks, part);
 }
 
 // What the shard should hold, before the limit is looked at.
-uint64_t AimOf(const amount_plan& plan, const grant_policy& policy) {
+uint64_t TargetOf(const amount_plan& plan, const grant_policy& policy) {
   const uint64_t wanted = std::max(plan.wanted, plan.used);
   if (plan.granted > plan.limit) return plan.used;
   if (plan.other_starved) {
     // Nothing is kept in reserve, and nothing above an equal part that is not running already.
-    const uint64_t others = plan.other_piece > 0 ? 1 : 0;
-    const uint64_t rest = plan.limit - std::min(plan.limit, plan.other_piece);
+    const uint64_t others = plan.other_indivisible > 0 ? 1 : 0;
+    const uint64_t rest = plan.limit - std::min(plan.limit, plan.other_indivisible);
     const uint64_t part =
         rest / std::max<uint64_t>(plan.holders - std::min(plan.holders, others), 1);
     // An amount of which the piece needs little is shared as ever: only the scarce one is gathered.
-    return std::max({plan.used, plan.own_piece, std::min(wanted, part)});
+    return std::max({plan.used, plan.own_indivisible, std::min(wanted, part)});
   }
   // A reserve is held also without demand, so that a first task starts without the store. Limits
   // of a few pieces have none: each piece would lie idle somewhere.
   const uint64_t step = std::max<uint64_t>(plan.limit / policy.steps_per_limit, 1);
-  const uint64_t reserve = std::max(plan.limit / policy.steps_per_limit, FewTasks(plan, policy));
+  const uint64_t reserve =
+      std::max(plan.limit / policy.steps_per_limit, ReserveForFewTasks(plan, policy));
   // A large demand swings by more than a step: the grant runs ahead by a part of it, too. A few
   // short tasks swing by the root of their number, which is more than that part: each would wait
   // for a write of the ledger, seen as callers who wait 40 ms on a floor that is half empty.
@@ -129,23 +131,24 @@
 }
 
 uint64_t PlanAmount(const amount_plan& plan, const grant_policy& policy) {
-  uint64_t aim = AimOf(plan, policy);
-  if (!policy.may_return) aim = std::max(aim, plan.held);
-  if (aim <= plan.held) return aim;
+  uint64_t target = TargetOf(plan, policy);
+  if (!policy.may_return) target = std::max(target, plan.held);
+  if (target <= plan.held) return target;
   const uint64_t free = plan.limit > plan.granted ? plan.limit - plan.granted : 0;
-  return plan.held + std::min(aim - plan.held, free);
+  return plan.held + std::min(target - plan.held, free);
 }
 
 // The demand's piece, if it does not go into an equal part of the limit but into the whole.
-team_grant PieceOf(const grant_demand& demand, const team_total& total, const amounts& limit) {
-  const amounts piece = AmountsOf(demand.piece);
+team_grant IndivisibleOf(const grant_demand& demand, const team_total& total,
+                         const amounts& limit) {
+  const amounts indivisible = AmountsOf(demand.indivisible);
   const uint64_t holders = std::max<uint64_t>(total.holders, 1);
   bool too_large_for_part = false;
   for (size_t i = 0; i < kAmounts; ++i) {
-    if (piece[i] > limit[i]) return {};
-    too_large_for_part |= piece[i] > limit[i] / holders;
+    if (indivisible[i] > limit[i]) return {};
+    too_large_for_part |= indivisible[i] > limit[i] / holders;
   }
-  return too_large_for_part ? demand.piece : team_grant{};
+  return too_large_for_part ? demand.indivisible : team_grant{};
 }
 
 grant_entry PlanTeam(const grant_entry& held, const team_total& total, const amounts& limit,
@@ -156,11 +159,14 @@
   const amounts now = AmountsOf(held.grant);
   amounts planned{};
   next.starved = false;
-  next.piece = PieceOf(demand, total, limit);
-  const bool ours_first = total.piece_holder == nullptr || held.shard < total.piece_holder->shard;
-  const amounts own_piece = ours_first ? AmountsOf(next.piece) : amounts{};
-  const bool yields = total.piece_holder != nullptr && !(ours_first && !IsZero(next.piece));
-  const amounts other_piece = yields ? AmountsOf(total.piece_holder->piece) : amounts{};
+  next.indivisible = IndivisibleOf(demand, total, limit);
+  const bool ours_first =
+      total.indivisible_holder == nullptr || held.shard < total.indivisible_holder->shard;
+  const amounts own_indivisible = ours_first ? AmountsOf(next.indivisible) : amounts{};
+  const bool yields =
+      total.indivisible_holder != nullptr && !(ours_first && !IsZero(next.indivisible));
+  const amounts other_indivisible =
+      yields ? AmountsOf(total.indivisible_holder->indivisible) : amounts{};
   for (size_t i = 0; i < kAmounts; ++i) {
     const amount_plan plan{used[i],
                            wanted[i],
@@ -169,8 +175,8 @@
                            total.granted[i],
                            total.holders,
                            total.other_starved,
-                           own_piece[i],
-                           other_piece[i],
+                           own_indivisible[i],
+                           other_indivisible[i],
                            std::max(demand.wanted.running, demand.used.running),
                            limit.back()};
     planned[i] = PlanAmount(plan, policy);
@@ -192,7 +198,7 @@
 void Put(ledger_value& ledger, grant_entry entry) {
   const auto place = PlaceOf(ledger, entry);
   const bool exists = place != ledger.entries.end() && IsSame(*place, entry);
-  const bool empty = IsZero(entry.grant) && !entry.starved && IsZero(entry.piece);
+  const bool empty = IsZero(entry.grant) && !entry.starved && IsZero(entry.indivisible);
   if (exists && empty) {
     ledger.entries.erase(place);
   } else if (exists) {
@@ -218,9 +224,9 @@
   if (!value.is_array() || value.size() < kEntryFields) return std::nullopt;
   const std::optional<amounts> parsed = ParseAmounts(value);
   if (!parsed) return std::nullopt;
-  std::optional<amounts> piece = amounts{};
-  if (value.size() > kEntryFields) piece = ParseAmounts(value[kEntryFields]);
-  if (!piece) return std::nullopt;
+  std::optional<amounts> indivisible = amounts{};
+  if (value.size() > kEntryFields) indivisible = ParseAmounts(value[kEntryFields]);
+  if (!indivisible) return std::nullopt;
   const json& epoch = value[kAmounts];
   const json& starved = value[kAmounts + 1];
   if (!epoch.is_number_unsigned() || !starved.is_boolean()) return std::nullopt;
@@ -229,7 +235,7 @@
                      GrantFrom(*parsed),
                      epoch.get<uint64_t>(),
                      starved.get<bool>(),
-                     GrantFrom(*piece)};
+                     GrantFrom(*indivisible)};
 }
 
 }  // namespace
@@ -242,7 +248,7 @@
     json value = AmountsOf(entry.grant);
     value.push_back(entry.epoch);
     value.push_back(entry.starved);
-    if (!IsZero(entry.piece)) value.push_back(AmountsOf(entry.piece));
+    if (!IsZero(entry.indivisible)) value.push_back(AmountsOf(entry.indivisible));
     teams[entry.team][entry.shard] = std::move(value);
   }
   return teams.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -316,7 +322,7 @@
   return GrantFrom(usable);
 }
 
-bool IsInForce(const ledger_value& ledger, const configuration& config, std::string_view team) {
+bool IsInEffect(const ledger_value& ledger, const configuration& config, std::string_view team) {
   const amounts limit = LimitOf(config, team);
   const amounts granted = TotalOf(ledger, team, "").granted;
   for (size_t i = 0; i < kAmounts; ++i) {
--- a/src/version/grant_ledger.h
+++ b/src/version/grant_ledger.h
@@ -27,13 +27,13 @@
   // A piece that waits here, starts only as a whole, and is larger than an equal part of the limit;
   // zero: none. Of the shards with such a piece the first by name gets it and the others share the
   // rest: with equal parts every shard could hold a little of the limit and none of them start.
-  team_grant piece;
+  team_grant indivisible;
   bool operator==(const grant_entry& other) const {
     const auto same = [](const team_grant& a, const team_grant& b) {
       return a.amount == b.amount && a.running == b.running;
     };
     return team == other.team && shard == other.shard && same(grant, other.grant) &&
-           epoch == other.epoch && starved == other.starved && same(piece, other.piece);
+           epoch == other.epoch && starved == other.starved && same(indivisible, other.indivisible);
   }
 };
 
@@ -47,9 +47,9 @@
 // What a shard uses and would like to have for a team.
 struct grant_demand {
   std::string team;
-  team_grant used;    // running now, and starts under way: cannot be given back
-  team_grant wanted;  // used and waiting
-  team_grant piece;   // the largest that waits and starts only as a whole; zero: none
+  team_grant used;         // running now, and starts under way: cannot be given back
+  team_grant wanted;       // used and waiting
+  team_grant indivisible;  // the largest that waits and starts only as a whole; zero: none
 };
 
 struct ledger_change {
@@ -85,11 +85,11 @@
 
 // What `shard` may have running of `team`: its grant, or, while a lowered limit is over-granted,
 // its part of the limit in proportion. Over all shards this never passes the limit in `config`.
-// What runs above it drains or is stopped, and the limit is in force when IsInForce() says so.
+// What runs above it drains or is stopped, and the limit is in force when IsInEffect() says so.
 team_grant UsableGrant(const ledger_value& ledger, const configuration& config,
                        std::string_view shard, std::string_view team);
 // Whether what is granted is within the limit in `config`.
-bool IsInForce(const ledger_value& ledger, const configuration& config, std::string_view team);
+bool IsInEffect(const ledger_value& ledger, const configuration& config, std::string_view team);
 
 // Grants of `shard`, which the owner may use after the compare-and-swap of a value is confirmed.
 // For a value whose reply was lost: the lower of both, until it was read back.
--- a/test/grant_piece_test.cc
+++ b/test/grant_indivisible_test.cc
@@ -8,9 +8,9 @@
 namespace {
 
 // A team of ten running tasks over three shards, in each of which a gang of four waits.
-class grant_piece_fixture {
+class grant_indivisible_fixture {
  public:
-  grant_piece_fixture() {
+  grant_indivisible_fixture() {
     config_.workspaces.resize(1);
     team_contract team;
     team.name = "audit";
@@ -24,7 +24,7 @@
     grant_demand demand;
     demand.team = "audit";
     demand.wanted.running = gangs * 4;
-    if (gangs > 0) demand.piece.running = 4;
+    if (gangs > 0) demand.indivisible.running = 4;
     return demand;
   }
 
@@ -55,8 +55,8 @@
 // A limit is lowered so far that an equal part of it is smaller than a gang. With equal parts every
 // shard holds three of ten, no gang of four ever starts, and the team waits for ever beside its own
 // unused limit (seen in limit_lowered_under_load, seed 1).
-TEST_CASE_METHOD(grant_piece_fixture, "grants, gang larger than an equal part, goes to one shard",
-                 "[grants]") {
+TEST_CASE_METHOD(grant_indivisible_fixture,
+                 "grants, gang larger than an equal part, goes to one shard", "[grants]") {
   Settle({1, 1, 1});
   CHECK(GrantOf(0) == 4);
   CHECK(GrantOf(0) + GrantOf(1) + GrantOf(2) <= 10);
@@ -67,8 +67,8 @@
 }
 
 // Shards that answer each other's plans for ever cost the store a write each time.
-TEST_CASE_METHOD(grant_piece_fixture, "grants, every shard wants more than its part, come to rest",
-                 "[grants]") {
+TEST_CASE_METHOD(grant_indivisible_fixture,
+                 "grants, every shard wants more than its part, come to rest", "[grants]") {
   const std::vector<std::vector<uint32_t>> cases = {{1, 1, 1}, {5, 5, 5}, {0, 9, 9}, {9, 0, 1}};
   for (const std::vector<uint32_t>& gangs : cases) {
     Settle(gangs);
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_CASE_METHOD(grant_piece_fixture, "grants, ledger with a piece, reads back as written",
+TEST_CASE_METHOD(grant_indivisible_fixture, "grants, ledger with a piece, reads back as written",
                  "[grants]") {
   Settle({1, 1, 1});
   const auto read = ParseLedger(ToText(ledger_));
--- a/test/grant_test.cc
+++ b/test/grant_test.cc
@@ -82,7 +82,7 @@
   ledger_value ledger = Plan({}, "a", 0, 320);
   ledger = Plan(ledger, "b", 0, 310);
   config_ = ConfigWith(200);
-  CHECK_FALSE(IsInForce(ledger, config_, "t"));
+  CHECK_FALSE(IsInEffect(ledger, config_, "t"));
   const uint32_t usable = UsableGrant(ledger, config_, "a", "t").running +
                           UsableGrant(ledger, config_, "b", "t").running;
   CHECK(usable <= 200);
@@ -90,7 +90,7 @@
   CHECK(RunningOf(ledger, "a") == 300);
   ledger = Plan(ledger, "a", 60, 400);
   ledger = Plan(ledger, "b", 90, 400);
-  CHECK(IsInForce(ledger, config_, "t"));
+  CHECK(IsInEffect(ledger, config_, "t"));
   CHECK(SumOf(ledger) <= 200);
 }
 
--- a/test/identity_memory_test.cc
+++ b/test/identity_history_test.cc
@@ -1,4 +1,4 @@
-#include "process/identity_memory.h"
+#include "process/identity_history.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -16,7 +16,7 @@
     return {id_, outcome_kind::kCompleted, refusal_reason::kNone, milliseconds{0}, answer, {}};
   }
 
-  identity_memory memory_{{seconds{30}, 3, 100}};
+  identity_history memory_{{seconds{30}, 3, 100}};
   request_id id_{1, 2};
   monotonic_time now_{std::chrono::hours{1}};
 };
@@ -41,7 +41,7 @@
                  "[identity]") {
   memory_.SetUnlisted(1);
   CHECK(memory_.Begin(id_, false, now_) == identity_verdict::kUncertain);
-  memory_.LearnFinished(id_, outcome_kind::kCompleted, "paid", now_);
+  memory_.AddFinished(id_, outcome_kind::kCompleted, "paid", now_);
   CHECK(memory_.Begin(id_, false, now_) == identity_verdict::kKnown);
   memory_.SetUnlisted(0);
   CHECK(memory_.Begin({1, 3}, false, now_) == identity_verdict::kNew);
@@ -51,7 +51,7 @@
 // hear that it may have run, for as long as one may ask again; new requests go on.
 TEST_CASE_METHOD(identity_fixture, "identity, endpoint lost unlisted, is uncertain for the window",
                  "[identity]") {
-  memory_.OnListLost(now_);
+  memory_.OnListingLost(now_);
   CHECK(memory_.Begin(id_, false, now_ + seconds{29}) == identity_verdict::kUncertain);
   CHECK(memory_.Begin({7, 7}, true, now_ + seconds{29}) == identity_verdict::kNew);
   CHECK(memory_.Begin(id_, false, now_ + seconds{30}) == identity_verdict::kNew);
--- a/test/instance_turns_test.cc
+++ b/test/instance_polling_test.cc
@@ -1,4 +1,4 @@
-#include "process/instance_turns.h"
+#include "process/instance_polling.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -20,11 +20,11 @@
 constexpr milliseconds kTick{50};
 
 // Three neighbours whose messages arrive at once, and a platform that answers at once.
-class turns_fixture {
+class polling_fixture {
  public:
-  turns_fixture() {
+  polling_fixture() {
     for (int i = 0; i < 20; ++i) List(absl::StrCat("ep-", i));
-    for (const char* name : {"a", "b", "c"}) entries_.emplace(name, instance_turns(name, kPoll));
+    for (const char* name : {"a", "b", "c"}) entries_.emplace(name, instance_polling(name, kPoll));
     Run(seconds{2});
   }
 
@@ -47,7 +47,7 @@
     return names;
   }
 
-  void Read(const std::string& name, instance_turns& entry) {
+  void Read(const std::string& name, instance_polling& entry) {
     entry.OnReadBegun(now_);
     ++reads_[name];
     if (cut_ == name) return entry.OnReadFailed();
@@ -63,7 +63,7 @@
   void Run(milliseconds duration) {
     for (const monotonic_time end = now_ + duration; now_ < end; now_ += kTick) {
       for (auto& [name, one] : entries_) {
-        if (one.DueRead(Neighbours(name), now_)) Read(name, one);
+        if (one.ReadDue(Neighbours(name), now_)) Read(name, one);
       }
     }
   }
@@ -76,7 +76,7 @@
 
   monotonic_time now_{std::chrono::hours{1}};
   std::vector<instance> list_;
-  std::map<std::string, instance_turns> entries_;
+  std::map<std::string, instance_polling> entries_;
   std::map<std::string, int> reads_;
   std::string cut_;  // an entry that the platform does not answer
   bool lose_next_ = false;
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(turns_fixture, "instance turns, at rest, one entry reads at a time",
+TEST_CASE_METHOD(polling_fixture, "instance turns, at rest, one entry reads at a time",
                  "[instance_turns]") {
   reads_.clear();
   Run(seconds{30});
@@ -94,7 +94,7 @@
   }
 }
 
-TEST_CASE_METHOD(turns_fixture, "instance turns, endpoint leaves and another is new, all hear",
+TEST_CASE_METHOD(polling_fixture, "instance turns, endpoint leaves and another is new, all hear",
                  "[instance_turns]") {
   list_[3].leaving = true;
   list_.erase(list_.begin() + 7);
@@ -109,7 +109,7 @@
 
 // An address may depend on who reads the list. What an entry has read itself goes on being used
 // where a neighbour's news tells of something else.
-TEST_CASE_METHOD(turns_fixture, "instance turns, known endpoint changes, keeps its own address",
+TEST_CASE_METHOD(polling_fixture, "instance turns, known endpoint changes, keeps its own address",
                  "[instance_turns]") {
   list_[3].leaving = true;
   Run(seconds{2});
@@ -122,7 +122,7 @@
 
 // The entry whose turn it is dies, or is cut off from the platform alone. If the others waited for
 // it, a leaving endpoint would get new work until it comes back.
-TEST_CASE_METHOD(turns_fixture, "instance turns, next reader is cut off or dies, is passed over",
+TEST_CASE_METHOD(polling_fixture, "instance turns, next reader is cut off or dies, is passed over",
                  "[instance_turns]") {
   cut_ = "b";
   list_[3].leaving = true;
@@ -137,7 +137,7 @@
 
 // The message with a change is lost. The next reader sees no change any more, and without a check
 // of the whole the others would never hear of it.
-TEST_CASE_METHOD(turns_fixture, "instance turns, message lost, list is read again",
+TEST_CASE_METHOD(polling_fixture, "instance turns, message lost, list is read again",
                  "[instance_turns]") {
   lose_next_ = true;
   list_[3].leaving = true;
@@ -145,10 +145,10 @@
   for (const char* name : {"a", "b", "c"}) CHECK(Leaves(name, "ep-3"));
 }
 
-TEST_CASE_METHOD(turns_fixture, "instance turns, new entry, reads at once and disturbs nobody",
+TEST_CASE_METHOD(polling_fixture, "instance turns, new entry, reads at once and disturbs nobody",
                  "[instance_turns]") {
   reads_.clear();
-  entries_.emplace("d", instance_turns("d", kPoll));
+  entries_.emplace("d", instance_polling("d", kPoll));
   Run(milliseconds{100});
   CHECK(entries_.at("d").HasList());
   CHECK(reads_["d"] == 1);
--- a/test/gone_endpoints_test.cc
+++ b/test/removed_endpoints_test.cc
@@ -1,4 +1,4 @@
-#include "process/gone_endpoints.h"
+#include "process/removed_endpoints.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -12,20 +12,20 @@
 using std::chrono::milliseconds;
 using names = std::vector<std::string>;
 
-class gone_endpoints_fixture {
+class removed_endpoints_fixture {
  protected:
   names After(milliseconds time, const std::set<std::string>& listed) {
     return gone_.Update({"a", "b"}, listed, milliseconds{100}, monotonic_time{} + time);
   }
 
-  gone_endpoints gone_;
+  removed_endpoints gone_;
 };
 
 }  // namespace
 
 // The platform's list comes back short for a moment. A drain that was forgotten for it would give
 // new work to an endpoint that somebody takes apart.
-TEST_CASE_METHOD(gone_endpoints_fixture, "drained endpoint, missing for a moment, is not gone",
+TEST_CASE_METHOD(removed_endpoints_fixture, "drained endpoint, missing for a moment, is not gone",
                  "[drain]") {
   CHECK(After(milliseconds{0}, {"b"}).empty());
   CHECK(After(milliseconds{99}, {"b"}).empty());
@@ -35,7 +35,8 @@
   CHECK(After(milliseconds{250}, {"b"}) == names{"a"});
 }
 
-TEST_CASE_METHOD(gone_endpoints_fixture, "drained endpoints, list empty, are not gone", "[drain]") {
+TEST_CASE_METHOD(removed_endpoints_fixture, "drained endpoints, list empty, are not gone",
+                 "[drain]") {
   CHECK(After(milliseconds{0}, {"c"}).empty());
   CHECK(After(milliseconds{100}, {}).empty());
   CHECK(After(milliseconds{150}, {"c"}).empty());
--- a/test/request_table_test.cc
+++ b/test/request_table_test.cc
@@ -42,7 +42,7 @@
     entry.place.each = {100, 100, 0, 1};
     entry.place.wait = true;
     entry.place.deadline_left = milliseconds{2000};
-    entry.patience = milliseconds{2000};
+    entry.answer_timeout = milliseconds{2000};
     entry.keyed = keyed;
     return entry;
   }
--- a/test/router_test.cc
+++ b/test/router_test.cc
@@ -47,9 +47,9 @@
   router routes_;
 };
 
-class router_news_fixture {
+class router_report_fixture {
  public:
-  router_news_fixture() : routes_({"otaru", {"otaru", "asahikawa"}}) {
+  router_report_fixture() : routes_({"otaru", {"otaru", "asahikawa"}}) {
     routes_.SetAgeLimits(seconds{3}, seconds{20});
   }
 
@@ -88,7 +88,7 @@
 
 // An owner gives its shard away and says so. Its earlier word, passed on by others, arrives after
 // that: taken as news it would send requests back to it until the next word of the heir.
-TEST_CASE_METHOD(router_news_fixture, "router, earlier word of an owner that refused, is ignored",
+TEST_CASE_METHOD(router_report_fixture, "router, earlier word of an owner that refused, is ignored",
                  "[router]") {
   routes_.OnReport("otaru-0", Report("otaru", 4), now_);
   routes_.OnNotOwner("otaru-0", "otaru/0", now_ + seconds{1});
@@ -102,7 +102,7 @@
 
 // Other domains are heard of by turns. With one limit of age for all, their shards would be without
 // an owner between two turns, and requests for them would wait.
-TEST_CASE_METHOD(router_news_fixture, "router, word of another domain, counts for its own limit",
+TEST_CASE_METHOD(router_report_fixture, "router, word of another domain, counts for its own limit",
                  "[router]") {
   routes_.OnReport("otaru-0", Report("otaru", 4), now_);
   routes_.OnReport("asahikawa-0", Report("asahikawa", 4), now_);
--- a/test/usage_forecast_test.cc
+++ b/test/usage_forecast_test.cc
@@ -12,14 +12,14 @@
 class usage_forecast_fixture {
  protected:
   // Seventeen others of the same size.
-  double Hear(uint32_t elsewhere, uint32_t own) {
+  double Observe(uint32_t elsewhere, uint32_t own) {
     now_ += milliseconds{1000};
-    forecast_.Hear({elsewhere, 0, 0, 0}, {own, 0, 0, 0}, kOthers, milliseconds{500}, now_);
+    forecast_.Observe({elsewhere, 0, 0, 0}, {own, 0, 0, 0}, kOthers, milliseconds{500}, now_);
     return Elsewhere(own);
   }
   double Elsewhere(uint32_t own) const { return forecast_.Elsewhere(0, own, kOthers); }
 
-  static constexpr usage_forecast::sizes kOthers{17, 17, 17, 17};
+  static constexpr usage_forecast::relative_sizes kOthers{17, 17, 17, 17};
   usage_forecast forecast_;
   monotonic_time now_{std::chrono::hours{1}};
 };
@@ -33,14 +33,14 @@
 
 TEST_CASE_METHOD(usage_forecast_fixture, "usage forecast, first news, takes them whole",
                  "[shares]") {
-  CHECK(Hear(9000, 1000) == Approx(9000));
+  CHECK(Observe(9000, 1000) == Approx(9000));
 }
 
 // A team comes back. Every shard sees that it lacks its share and gives it what comes free; were
 // the others thought to stand still until the next news, all together would give it far too much.
 TEST_CASE_METHOD(usage_forecast_fixture, "usage forecast, own use grows, expects others to follow",
                  "[shares]") {
-  Hear(0, 0);
+  Observe(0, 0);
   CHECK(Elsewhere(1000) > 5000);
   CHECK(Elsewhere(1000) <= 17000);
   CHECK(Elsewhere(0) == 0);
@@ -50,9 +50,9 @@
 // win in the end, or the team would be judged by a guess for ever.
 TEST_CASE_METHOD(usage_forecast_fixture, "usage forecast, others do not follow, comes to the news",
                  "[shares]") {
-  Hear(2000, 0);
+  Observe(2000, 0);
   double seen = 0;
-  for (int i = 0; i < 60; ++i) seen = Hear(2000, 1000);
+  for (int i = 0; i < 60; ++i) seen = Observe(2000, 1000);
   CHECK(seen == Approx(2000).margin(10));
 }
 
--- a/test/usage_spread_test.cc
+++ b/test/usage_propagation_test.cc
@@ -1,4 +1,4 @@
-#include "process/usage_spread.h"
+#include "process/usage_propagation.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -32,16 +32,16 @@
  protected:
   struct node {
     int domain = 0;
-    std::unique_ptr<usage_spread> usage;
+    std::unique_ptr<usage_propagation> usage;
   };
 
   static std::string Name(int domain, int entry) { return absl::StrCat("d", domain, "-e", entry); }
 
   void Add(int domain, int entry, uint64_t incarnation) {
-    usage_spread_options options;
+    usage_propagation_options options;
     options.name = Name(domain, entry);
     options.incarnation = incarnation;
-    nodes_[options.name] = {domain, std::make_unique<usage_spread>(options)};
+    nodes_[options.name] = {domain, std::make_unique<usage_propagation>(options)};
   }
 
   usage_view ViewOf(const std::string& name) const {
@@ -76,7 +76,7 @@
   }
 
   uint32_t ElsewhereOf(const std::string& name, const std::string& team) const {
-    const team_uses uses = nodes_.at(name).usage->Elsewhere(ViewOf(name));
+    const team_usage_map uses = nodes_.at(name).usage->Elsewhere(ViewOf(name));
     const auto found = uses.find(team);
     return found == uses.end() ? 0 : found->second.slots;
   }
@@ -138,7 +138,7 @@
 // under way at once the later overtakes the earlier. What the earlier one alone tells must count.
 TEST_CASE_METHOD(usage_fixture, "usage spread, old message arrives late, is ignored",
                  "[usage_spread]") {
-  usage_spread& relay = *nodes_.at("d0-e0").usage;
+  usage_propagation& relay = *nodes_.at("d0-e0").usage;
   relay.OnUsage("d0-e1", {1, 2, true, {{"desk", Slots(50)}}}, now_);
   relay.OnUsage("d0-e1", {1, 1, true, {{"desk", Slots(900)}}}, now_);
   CHECK(ElsewhereOf("d0-e0", "desk") == 50);
