--- a/src/process/rejection_history.cc
+++ b/src/process/rejection_history.cc
@@ -5,7 +5,7 @@
 void rejection_history::Add(const request_id& id, uint64_t ask, const outcome& refused,
                             monotonic_time now) {
   if (ask == 0) return;
-  const one_ask key{id, ask};
+  const ask_key key{id, ask};
   if (!rejections_.try_emplace(key, rejection{refused.reason, refused.retry_after}).second) return;
   order_.emplace_back(now, key);
   if (order_.size() > capacity_) RemoveOldest();
--- a/src/process/rejection_history.h
+++ b/src/process/rejection_history.h
@@ -33,7 +33,7 @@
   void Expire(monotonic_time now);
 
  private:
-  using one_ask = std::pair<request_id, uint64_t>;
+  using ask_key = std::pair<request_id, uint64_t>;
   struct rejection {
     refusal_reason reason = refusal_reason::kNone;
     std::chrono::milliseconds retry_after{0};
@@ -43,8 +43,8 @@
 
   std::chrono::milliseconds window_;
   size_t capacity_;
-  absl::flat_hash_map<one_ask, rejection> rejections_;
-  std::deque<std::pair<monotonic_time, one_ask>> order_;
+  absl::flat_hash_map<ask_key, rejection> rejections_;
+  std::deque<std::pair<monotonic_time, ask_key>> order_;
 };
 
 }  // namespace catkinford
--- a/test/decision_property_test.cc
+++ b/test/decision_property_test.cc
@@ -16,9 +16,9 @@
 using std::chrono::seconds;
 
 constexpr uint32_t kTeams = 3;
-constexpr uint32_t kFloor = 6;
+constexpr uint32_t kEndpoints = 6;
 constexpr uint32_t kGrant = 5;
-constexpr uint32_t kHappenings = 10;
+constexpr uint32_t kEventKinds = 10;
 
 // One drawn step: what happens, and a number from which its details follow.
 struct step {
@@ -31,17 +31,17 @@
 class checked_core : private decision_fixture {
  public:
   checked_core() {
-    AddEndpoints(kFloor);
+    AddEndpoints(kEndpoints);
     for (team_index team = 0; team < kTeams; ++team) AddTeam(team, 1.0 + team, kGrant);
-    used_.resize(kFloor);
+    used_.resize(kEndpoints);
     running_.resize(kTeams);
     grants_.resize(kTeams, kGrant);
-    states_.resize(kFloor, endpoint_state::kOpen);
+    states_.resize(kEndpoints, endpoint_state::kOpen);
   }
 
   void Apply(const step& s) {
     now_ += milliseconds{s.detail % 700};
-    switch (s.what % kHappenings) {
+    switch (s.what % kEventKinds) {
       case 0:
       case 1:
       case 2:
@@ -69,19 +69,19 @@
       default:
         ToggleEndpoint(s.detail);
     }
-    Take(Decide());
+    HandleCommands(Decide());
   }
 
   // Everything that runs ends, stops are obeyed: all waiting work has to get its turn.
   void DrainAll() {
-    for (endpoint_index e = 0; e < kFloor; ++e) SetState(e, endpoint_state::kOpen);
+    for (endpoint_index e = 0; e < kEndpoints; ++e) SetState(e, endpoint_state::kOpen);
     for (team_index team = 0; team < kTeams; ++team) SetGrant(team, kGrant);
     for (const job_request& job : jobs_) {
       if (job.kind == workload_kind::kService)
         core_.Cancel(job.id, now_);  // it never ends by itself
     }
     for (int round = 0; round < 4000 && !open_.empty(); ++round) {
-      Take(DecideFor(milliseconds{200}));
+      HandleCommands(DecideFor(milliseconds{200}));
       const std::vector<task_id> live = Live();
       for (const task_id& task : live) End(task, task_end::kDone);
     }
@@ -146,7 +146,7 @@
   }
 
   void ToggleEndpoint(uint32_t detail) {
-    const endpoint_index e = detail % kFloor;
+    const endpoint_index e = detail % kEndpoints;
     constexpr std::array kStates = {endpoint_state::kSilent, endpoint_state::kOpen,
                                     endpoint_state::kGone, endpoint_state::kOpen,
                                     endpoint_state::kLeaving};
@@ -179,14 +179,14 @@
   void Stop(const command& c) {
     const job_request& job = jobs_[c.task.job.lo];
     if (c.why == stop_reason::kPreempted) {
-      const bool gives_way = job.kind == workload_kind::kBatch && job.repeatable && !job.urgent;
-      RC_ASSERT(gives_way || job.kind == workload_kind::kGang);
+      const bool preemptible = job.kind == workload_kind::kBatch && job.repeatable && !job.urgent;
+      RC_ASSERT(preemptible || job.kind == workload_kind::kGang);
     }
     if (!runs_.contains(c.task) || (c.checkpoint && c.task.job.lo % 4 == 1)) return;
     End(c.task, c.checkpoint ? task_end::kCheckpointed : task_end::kStopped);
   }
 
-  void Take(const std::vector<command>& commands) {
+  void HandleCommands(const std::vector<command>& commands) {
     absl::flat_hash_map<uint64_t, uint32_t> started;
     for (const command& c : commands) {
       if (c.kind == command_kind::kStart) {
@@ -243,7 +243,7 @@
 
 std::vector<step> DrawSteps() {
   const auto pairs = *rc::gen::container<std::vector<std::pair<uint32_t, uint32_t>>>(rc::gen::pair(
-      rc::gen::inRange<uint32_t>(0, kHappenings), rc::gen::inRange<uint32_t>(0, 100000)));
+      rc::gen::inRange<uint32_t>(0, kEventKinds), rc::gen::inRange<uint32_t>(0, 100000)));
   std::vector<step> steps;
   steps.reserve(pairs.size());
   for (const auto& [what, detail] : pairs) steps.push_back({what, detail});
--- a/test/full_capacity_test.cc
+++ b/test/full_capacity_test.cc
@@ -62,7 +62,7 @@
     owner.OnJob(std::move(job), "", false, wall_time{}, now);
   }
 
-  bool AsksFor(uint32_t number) {
+  bool RequestsAdviceFor(uint32_t number) {
     for (const advice_order& order : owner.Decide(wall_time{}, now).advice) {
       if (order.job == JobId(number)) return true;
     }
@@ -81,7 +81,7 @@
                  "scheduler, one service full of waiting jobs, asks for jobs of the other") {
   for (uint32_t i = 0; i < kManyJobs; ++i) Submit(i, "first", "workspace", 8000);
   Submit(kManyJobs, "second", "workspace", 1000);
-  CHECK(AsksFor(kManyJobs));
+  CHECK(RequestsAdviceFor(kManyJobs));
 }
 
 // One workspace sends far more than it may have running. Its jobs can't start whatever is free, and
@@ -90,7 +90,7 @@
                  "scheduler, workspace at its limit, asks for jobs of others behind it") {
   for (uint32_t i = 0; i < kManyJobs; ++i) Submit(i, "first", "limited", 2000);
   Submit(kManyJobs, "first", "workspace", 1000);
-  CHECK(AsksFor(kManyJobs));
+  CHECK(RequestsAdviceFor(kManyJobs));
 }
 
 // Many jobs come that no instance is large enough for. They wait in case a larger instance joins,
@@ -99,7 +99,7 @@
                  "scheduler, jobs too large for any instance, asks for jobs behind them") {
   for (uint32_t i = 0; i < kManyJobs; ++i) Submit(i, "first", "workspace", 64000);
   Submit(kManyJobs, "first", "workspace", 1000);
-  CHECK(AsksFor(kManyJobs));
+  CHECK(RequestsAdviceFor(kManyJobs));
 }
 
 // An instance drains, leaves the registry and never answers again. If it is still stored as one
--- a/test/grant_indivisible_test.cc
+++ b/test/grant_indivisible_test.cc
@@ -29,7 +29,7 @@
   }
 
   // Lets each shard plan in turn, a few times over.
-  void Settle(const std::vector<uint32_t>& gangs) {
+  void PlanInTurn(const std::vector<uint32_t>& gangs) {
     for (int round = 0; round < 6; ++round) {
       for (size_t i = 0; i < gangs.size(); ++i) {
         ledger_ = PlanGrants(ledger_, config_, ShardOf(i), {Demand(gangs[i])}).next;
@@ -57,12 +57,12 @@
 // unused limit (seen in limit_lowered_under_load, seed 1).
 TEST_CASE_METHOD(grant_indivisible_fixture,
                  "grants, gang larger than an equal part, goes to one shard", "[grants]") {
-  Settle({1, 1, 1});
+  PlanInTurn({1, 1, 1});
   CHECK(GrantOf(0) == 4);
   CHECK(GrantOf(0) + GrantOf(1) + GrantOf(2) <= 10);
-  Settle({0, 1, 1});
+  PlanInTurn({0, 1, 1});
   CHECK(GrantOf(1) >= 4);
-  Settle({0, 0, 1});
+  PlanInTurn({0, 0, 1});
   CHECK(GrantOf(2) >= 4);
 }
 
@@ -71,7 +71,7 @@
                  "grants, every shard wants more than its part, come to rest", "[grants]") {
   const std::vector<std::vector<uint32_t>> cases = {{1, 1, 1}, {5, 5, 5}, {0, 9, 9}, {9, 0, 1}};
   for (const std::vector<uint32_t>& gangs : cases) {
-    Settle(gangs);
+    PlanInTurn(gangs);
     for (size_t i = 0; i < gangs.size(); ++i) {
       CHECK_FALSE(PlanGrants(ledger_, config_, ShardOf(i), {Demand(gangs[i])}).changed);
     }
@@ -80,7 +80,7 @@
 
 TEST_CASE_METHOD(grant_indivisible_fixture, "grants, ledger with a piece, reads back as written",
                  "[grants]") {
-  Settle({1, 1, 1});
+  PlanInTurn({1, 1, 1});
   const auto read = ParseLedger(ToText(ledger_));
   REQUIRE(read);
   CHECK(read->entries == ledger_.entries);
--- a/test/grant_model_test.cc
+++ b/test/grant_model_test.cc
@@ -61,12 +61,13 @@
     const uint32_t amount = value / kShards % 50;
     const std::map<std::string, uint32_t> before = Stored();
     last_limit_.reset();
-    if (what == 0) Want(own, amount);
+    if (what == 0) SetDemand(own, amount);
     if (what == 1 || what == 2) PlanOwn(own);
     if (what >= 3 && what <= 5) Deliver(value, false);
     if (what == 6) Deliver(value, true);
     if (what == 7) TakeOver(own);
-    if (what == 8 && !ghosts_.empty()) PlanGhost(ghosts_[value % ghosts_.size()]);
+    if (what == 8 && !superseded_owners_.empty())
+      PlanSuperseded(superseded_owners_[value % superseded_owners_.size()]);
     if (what == 9) limit_ = 10 + amount;
     for (model_owner& each : owners_) Run(each);
     Check(before);
@@ -90,12 +91,12 @@
 
   // Once its successor speaks to the endpoints, what the ghost believes of leases that lapse is
   // wrong: it may count anything less than what runs.
-  void PlanGhost(model_owner& ghost) {
+  void PlanSuperseded(model_owner& superseded) {
     const bool renewed = std::any_of(owners_.begin(), owners_.end(), [&](const model_owner& own) {
-      return own.shard == ghost.shard && own.open;
+      return own.shard == superseded.shard && own.open;
     });
-    if (renewed) ghost.used = ghost.wanted = 0;
-    Plan(ghost);
+    if (renewed) superseded.used = superseded.wanted = 0;
+    Plan(superseded);
   }
 
   uint32_t UsableOf(const model_owner& own) const {
@@ -106,7 +107,7 @@
   }
 
   // What is not wanted any more has ended.
-  static void Want(model_owner& own, uint32_t amount) {
+  static void SetDemand(model_owner& own, uint32_t amount) {
     own.wanted = amount;
     own.used = std::min(own.used, amount);
   }
@@ -144,7 +145,7 @@
       if (lose) reply.status = store_status::kUnknown;
     }
     // Only the first reply to a write is heard.
-    if (heard_.insert(sent.write.write_id).second) Hear(sent, reply);
+    if (replied_.insert(sent.write.write_id).second) DeliverReply(sent, reply);
   }
 
   store_reply Apply(const sent_write& sent) {
@@ -160,14 +161,15 @@
     return reply;
   }
 
-  void Hear(const sent_write& sent, const store_reply& reply) {
+  void DeliverReply(const sent_write& sent, const store_reply& reply) {
     const auto is_sender = [&sent](const model_owner& own) {
       return own.shard == sent.shard && own.epoch == sent.epoch;
     };
     const auto owner = std::find_if(owners_.begin(), owners_.end(), is_sender);
     if (owner != owners_.end()) owner->holder.OnReply(sent.write.key, reply);
-    const auto ghost = std::find_if(ghosts_.begin(), ghosts_.end(), is_sender);
-    if (ghost != ghosts_.end()) ghost->holder.OnReply(sent.write.key, reply);
+    const auto superseded =
+        std::find_if(superseded_owners_.begin(), superseded_owners_.end(), is_sender);
+    if (superseded != superseded_owners_.end()) superseded->holder.OnReply(sent.write.key, reply);
   }
 
   // What ran goes on running. The new owner knows nothing of what the old one has under way, and
@@ -176,7 +178,7 @@
     model_owner successor(own.shard, own.epoch + 1);
     successor.used = own.used;
     successor.wanted = own.wanted;
-    ghosts_.push_back(std::move(own));
+    superseded_owners_.push_back(std::move(own));
     own = std::move(successor);
   }
 
@@ -216,10 +218,10 @@
   std::optional<uint32_t> last_limit_;  // of the write that took effect in this step
   std::array<model_owner, kShards> owners_ = {model_owner("a", 1), model_owner("b", 1),
                                               model_owner("c", 1)};
-  std::vector<model_owner> ghosts_;
+  std::vector<model_owner> superseded_owners_;
   std::vector<sent_write> network_;
   std::map<std::pair<uint64_t, std::string>, uint32_t> planned_;
-  std::set<std::string> heard_;
+  std::set<std::string> replied_;
   std::string stored_;
   uint64_t revision_ = 0;
 };
--- a/test/instance_polling_test.cc
+++ b/test/instance_polling_test.cc
@@ -50,13 +50,13 @@
   void Read(const std::string& name, instance_polling& entry) {
     entry.OnReadBegun(now_);
     ++reads_[name];
-    if (cut_ == name) return entry.OnReadFailed();
+    if (disconnected_ == name) return entry.OnReadFailed();
     std::vector<instance> list = list_;
     for (instance& one : list) absl::StrAppend(&one.address, "/for-", name);
-    const instances_message news = entry.OnRead(list, now_);
+    const instances_message message = entry.OnRead(list, now_);
     if (std::exchange(lose_next_, false)) return;
     for (auto& [other, one] : entries_) {
-      if (other != name) one.OnMessage(name, news, now_);
+      if (other != name) one.OnMessage(name, message, now_);
     }
   }
 
@@ -68,7 +68,7 @@
     }
   }
 
-  bool Leaves(const std::string& entry, const std::string& endpoint) const {
+  bool IsLeaving(const std::string& entry, const std::string& endpoint) const {
     const std::vector<instance> list = entries_.at(entry).List();
     return std::any_of(list.begin(), list.end(),
                        [&](const instance& one) { return one.name == endpoint && one.leaving; });
@@ -78,7 +78,7 @@
   std::vector<instance> list_;
   std::map<std::string, instance_polling> entries_;
   std::map<std::string, int> reads_;
-  std::string cut_;  // an entry that the platform does not answer
+  std::string disconnected_;  // an entry that the platform does not answer
   bool lose_next_ = false;
 };
 
@@ -101,7 +101,7 @@
   List("ep-new");
   Run(kPoll + kPoll / 10);
   for (const auto& [name, one] : entries_) {
-    CHECK(Leaves(name, "ep-3"));
+    CHECK(IsLeaving(name, "ep-3"));
     CHECK(one.Digest() == entries_.at("a").Digest());
     CHECK(one.List().size() == 20);
   }
@@ -124,15 +124,15 @@
 // it, a leaving endpoint would get new work until it comes back.
 TEST_CASE_METHOD(polling_fixture, "instance turns, next reader is cut off or dies, is passed over",
                  "[instance_turns]") {
-  cut_ = "b";
+  disconnected_ = "b";
   list_[3].leaving = true;
   Run(2 * kPoll);
-  for (const char* name : {"a", "b", "c"}) CHECK(Leaves(name, "ep-3"));
-  cut_.clear();
+  for (const char* name : {"a", "b", "c"}) CHECK(IsLeaving(name, "ep-3"));
+  disconnected_.clear();
   entries_.erase("b");
   list_[4].leaving = true;
   Run(2 * kPoll);
-  for (const char* name : {"a", "c"}) CHECK(Leaves(name, "ep-4"));
+  for (const char* name : {"a", "c"}) CHECK(IsLeaving(name, "ep-4"));
 }
 
 // The message with a change is lost. The next reader sees no change any more, and without a check
@@ -142,7 +142,7 @@
   lose_next_ = true;
   list_[3].leaving = true;
   Run(seconds{4});
-  for (const char* name : {"a", "b", "c"}) CHECK(Leaves(name, "ep-3"));
+  for (const char* name : {"a", "b", "c"}) CHECK(IsLeaving(name, "ep-3"));
 }
 
 TEST_CASE_METHOD(polling_fixture, "instance turns, new entry, reads at once and disturbs nobody",
--- a/test/removed_endpoints_test.cc
+++ b/test/removed_endpoints_test.cc
@@ -15,10 +15,10 @@
 class removed_endpoints_fixture {
  protected:
   names After(milliseconds time, const std::set<std::string>& listed) {
-    return gone_.Update({"a", "b"}, listed, milliseconds{100}, monotonic_time{} + time);
+    return removed_.Update({"a", "b"}, listed, milliseconds{100}, monotonic_time{} + time);
   }
 
-  removed_endpoints gone_;
+  removed_endpoints removed_;
 };
 
 }  // namespace
--- a/test/router_test.cc
+++ b/test/router_test.cc
@@ -33,14 +33,14 @@
     routes_.OnReport("owner-" + domain, report, now_);
   }
   // How many of 64 requests go to the other domain.
-  int SentThere() const {
-    int there = 0;
+  int SentToRemote() const {
+    int remote = 0;
     for (uint64_t seed = 0; seed < 64; ++seed) {
       const std::string* shard = routes_.Choose(kTask, seed, now_);
       REQUIRE(shard != nullptr);
-      there += *shard == ShardName("there", 0) ? 1 : 0;
+      remote += *shard == ShardName("there", 0) ? 1 : 0;
     }
-    return there;
+    return remote;
   }
 
   const monotonic_time now_{std::chrono::hours{1}};
@@ -71,7 +71,7 @@
                  "[router]") {
   Report("here", milliseconds{30});
   Report("there", milliseconds{0});
-  CHECK(SentThere() > 0);
+  CHECK(SentToRemote() > 0);
 }
 
 // The other domain is in another region, 80 ms there and back. Work that leaves for it because of
@@ -81,9 +81,9 @@
   Report("here", milliseconds{30});
   Report("there", milliseconds{0});
   routes_.OnRoundTrip("owner-there", milliseconds{80});
-  CHECK(SentThere() == 0);
+  CHECK(SentToRemote() == 0);
   Report("here", milliseconds{200});
-  CHECK(SentThere() > 0);
+  CHECK(SentToRemote() > 0);
 }
 
 // An owner gives its shard away and says so. Its earlier word, passed on by others, arrives after
--- a/test/usage_propagation_test.cc
+++ b/test/usage_propagation_test.cc
@@ -48,7 +48,7 @@
     usage_view view;
     view.cell = kCell;
     for (const auto& [other, one] : nodes_) {
-      if (other == name || cut_ == other) continue;
+      if (other == name || disconnected_ == other) continue;
       if (one.domain == nodes_.at(name).domain) {
         view.neighbours.push_back(other);
       } else {
@@ -83,7 +83,7 @@
 
   monotonic_time now_{std::chrono::hours{1}};
   std::map<std::string, node> nodes_;
-  std::string cut_;  // an entry that nobody counts as up
+  std::string disconnected_;  // an entry that nobody counts as up
   bool lose_ = false;
   int messages_ = 0;
 };
