--- a/src/process/batch_policy.cc
+++ b/src/process/batch_policy.cc
@@ -5,7 +5,7 @@
 namespace catkinford {
 namespace {
 
-constexpr uint32_t kProbes = 32;  // candidates looked at
+constexpr uint32_t kProbes = 32;  // candidates probed
 
 }  // namespace
 
--- a/src/process/batch_policy.h
+++ b/src/process/batch_policy.h
@@ -1,4 +1,4 @@
-// Batch work: best fit by the scarcest amount, so that large work still finds room.
+// Batch jobs: best fit by the scarcest amount, so that large jobs still find capacity.
 #ifndef CATKINFORD_PROCESS_BATCH_POLICY_H_
 #define CATKINFORD_PROCESS_BATCH_POLICY_H_
 
@@ -10,7 +10,7 @@
 
 namespace catkinford {
 
-// The number of the amount of which `need` takes the largest part of what is free.
+// The index of the amount of which `need` takes the largest fraction of what is free.
 size_t ScarcestAmount(const resources& need, const resources& free);
 
 struct batch_policy {
--- a/src/process/decision_admission.cc
+++ b/src/process/decision_admission.cc
@@ -9,19 +9,19 @@
 
 using std::chrono::milliseconds;
 
-// The part of the time to its deadline that a request may wait. Measured at 3x load, goodput of a
-// peak of 1,726/s: 1.0 gave 1,078/s, 0.8 1,719, 0.5 1,719, 0.3 1,719. The middle leaves the
-// longest run time and a wrong rate the most room without refusing at lower loads.
+// The fraction of the time to its deadline that a request may wait. At 3x load, with a peak goodput
+// of 1,726/s: 1.0 gave 1,078/s, 0.8 1,719, 0.5 1,719, 0.3 1,719. The middle value tolerates the
+// longest run times and errors in the drain rate without rejecting requests at lower loads.
 constexpr double kWaitFraction = 0.5;
 
-// The same part for newcomers once something has waited without a break for kStandingAfter: a queue
-// that stands makes all wait and serves no more of them. Measured, `policy`, seeds 1 to 3: mean
-// wait at 3x load, and refusals in the mix of kitamura, where bursts make queues that do not stand:
-// without 4,411 ms, 0; 0.1 after 5 s 1,398, 0; 0.05 after 5 s 1,021, 4; 0.1 after 1 s 995, 226;
-// 0.05 after 3 s 778, 240; 0.05 after 1 s 533, 1,082. Goodput is the same in all.
+// The same fraction for new requests once the queue has been non-empty for kStandingAfter: a
+// standing queue delays every request and serves no more of them. Mean wait at 3x load in ms, and
+// rejections under a bursty load that leaves no standing queue (seeds 1 to 3): without 4,411 ms, 0;
+// 0.1 after 5 s 1,398, 0; 0.05 after 5 s 1,021, 4; 0.1 after 1 s 995, 226; 0.05 after 3 s 778, 240;
+// 0.05 after 1 s 533, 1,082. Goodput is the same in all cases.
 constexpr double kStandingFraction = 0.1;
 constexpr std::chrono::seconds kStandingAfter{5};
-constexpr uint32_t kMinStandingQueue = 4;  // shorter queues run empty, and the team loses its turn
+constexpr uint32_t kMinStandingQueue = 4;  // shorter queues run empty and the team loses its turn
 
 std::chrono::nanoseconds FractionOf(std::chrono::nanoseconds whole, double part) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(whole * part);
@@ -33,10 +33,10 @@
 
 }  // namespace
 
-// Why the job cannot be taken, if so. Nothing has been changed for it.
+// Returns the rejection if the job cannot be admitted. Changes nothing.
 std::optional<admission> decision_core::impl::RejectionFor(const job_request& request,
                                                            monotonic_time now) {
-  // While an endpoint is not listed yet, or none is known, its shape may still be the one.
+  // While an endpoint is unlisted, or none is known, a suitable shape may still appear.
   const bool floor_known = endpoints.UnfencedEndpoints() == 0 && endpoints.PresentEndpoints() > 0;
   if (!floor_known) admitted_unchecked = true;
   const uint32_t together = request.kind == workload_kind::kGang ? request.tasks : 1;
@@ -52,22 +52,22 @@
        request.each.accelerators > limit.accelerators || together > team.terms.running_limit);
   if (over) {
     return admission{false, refusal_reason::kOverLimit, milliseconds{0},
-                     "larger than the team's upper limit"};
+                     "exceeds the team's limit"};
   }
   const waiting_queue& queue = queues.At({ClassOf(request), request.team});
   if (team.queued_tasks + uint64_t{request.tasks} > team.terms.queue_limit) {
     return admission{
         false, refusal_reason::kQueueFull,
         RetryAfter(queue.drain_rate.TimeToDrain(std::max(1U, queue.tasks / 4), now), Random()),
-        absl::StrCat(team.queued_tasks, " tasks of the team wait already")};
+        absl::StrCat(team.queued_tasks, " tasks of the team are already queued")};
   }
   if (!HasDeadline(request)) return std::nullopt;
   return Shed(request, now);
 }
 
-// Urgent tasks of the team for which room is being made. They start when that is done, however
-// slowly the queue has drained: with tasks that are slow to give way, urgent work would else be
-// shed.
+// Number of the team's urgent jobs that have a reservation. They start as soon as it is served,
+// whatever the drain rate of the queue; counting them would shed urgent jobs when tasks are slow to
+// yield.
 uint32_t decision_core::impl::CountUrgentReservations(team_index team) const {
   return static_cast<uint32_t>(
       std::count_if(reservations.begin(), reservations.end(), [&](const reservation& r) {
@@ -76,8 +76,8 @@
       }));
 }
 
-// Work admitted up to its deadline would start just before it and end after it: the floor would be
-// busy with answers that nobody waits for any more.
+// Rejects a request that would start too late. Requests admitted up to their deadline would start
+// just before it and end after it, and the fleet would be busy with results that nobody waits for.
 std::optional<admission> decision_core::impl::Shed(const job_request& request, monotonic_time now) {
   waiting_queue& queue = queues.At({ClassOf(request), request.team});
   const std::optional<std::chrono::nanoseconds> one = queue.drain_rate.TimePerTask(now);
@@ -98,15 +98,15 @@
   if (wait <= budget) return std::nullopt;
   const monotonic_time back = queue.rejected.Join(request.id, now + (wait - budget), *one, now);
   return admission{false, refusal_reason::kShed, std::chrono::ceil<milliseconds>(back - now),
-                   "would start too late for its deadline"};
+                   "would start too late to meet its deadline"};
 }
 
-// Makes or completes the record; its tasks wait, but for those that were adopted before.
+// Creates or completes the job's record; its tasks wait, except those adopted before.
 job_handle decision_core::impl::AddJob(const job_request& request, monotonic_time now) {
   job_handle handle = jobs.Find(request.id);
   if (handle == kNoJob) handle = jobs.Add(request.id);
   job_record& job = jobs[handle];
-  // Tasks adopted before were counted by what their endpoint said of them.
+  // Tasks adopted before were counted with the amounts their endpoint reported.
   for (const task_slot& task : job.tasks) {
     if (task.Live()) Detach(job, task);
   }
@@ -154,11 +154,12 @@
                                  monotonic_time now) {
   const job_handle existing = jobs.Find(request.id);
   if (existing != kNoJob && jobs[existing].known) return;
-  // What ran under a former owner cannot be ruled out, so a cancel is not answered as not run.
+  // A run under a former owner cannot be ruled out, so a cancellation must not be answered as not
+  // run.
   ++jobs[AddPartialJob(request, waiting, now)].possible_runs;
 }
 
-// All tasks that do not wait count as over, until Adopt() says that they run.
+// Tasks that do not wait count as ended until Adopt() reports them as running.
 job_handle decision_core::impl::AddPartialJob(const job_request& request,
                                               const std::vector<uint32_t>& waiting,
                                               monotonic_time now) {
--- a/src/process/decision_core.cc
+++ b/src/process/decision_core.cc
@@ -31,7 +31,7 @@
   impl_->OnEndpointChanged(endpoint, state, now);
 }
 
-// What follows from a new state: tasks lost or moved, limits and shares measured anew.
+// Handles a new endpoint state: tasks are lost or moved, and limits and shares are recomputed.
 void decision_core::impl::OnEndpointChanged(endpoint_index endpoint, endpoint_state state,
                                             monotonic_time now) {
   if (state == endpoint_state::kGone) OnEndpointLost(endpoint, now);
@@ -136,7 +136,7 @@
   const job_handle handle = impl_->jobs.Find(job);
   if (handle == kNoJob || impl_->jobs[handle].waiting == 0) return {};
   const job_record& j = impl_->jobs[handle];
-  if (j.backing_off) return "a pause after repeated failures";
+  if (j.backing_off) return "a backoff after repeated failures";
   if (!j.queued) return "its other tasks to end";
   const uint32_t count = impl_->TasksAtOnce(j);
   const resources& each = j.request.each;
@@ -144,11 +144,11 @@
     if (impl_->endpoints.UnfencedEndpoints() > 0) {
       return absl::StrCat(impl_->endpoints.UnfencedEndpoints(), " endpoints to be listed");
     }
-    return "room below the team's upper limit";
+    return "capacity within the team's limit";
   }
-  if (j.reservation != kNoReservation) return "endpoints held for it to come free";
-  return absl::StrCat("room for ", count, " task(s) of cpu_milli ", each.cpu_milli, ", memory_mb ",
-                      each.memory_mb, ", accelerators ", each.accelerators);
+  if (j.reservation != kNoReservation) return "reserved endpoints to become free";
+  return absl::StrCat("free capacity for ", count, " task(s) of cpu_milli ", each.cpu_milli,
+                      ", memory_mb ", each.memory_mb, ", accelerators ", each.accelerators);
 }
 
 uint64_t decision_core::Signature() const { return impl_->signature; }
--- a/src/process/decision_impl.h
+++ b/src/process/decision_impl.h
@@ -1,11 +1,11 @@
-// The parts of the decision core, private to its sources.
+// Internals of the decision core, shared by its source files.
 //
-//   decision_core.cc      the public calls on floor, contracts and views
-//   decision_admission.cc Submit(): what is taken in, refused or shed
-//   decision_jobs.cc      a job from its lane to its end
-//   decision_rounds.cc    Decide(): timers and starts
-//   decision_order.cc     which lane is served next, and which blocked one is tried again
-//   decision_room.cc      reservations: room made for gangs, large and urgent work
+//   decision_core.cc          public calls on endpoints, teams and queries
+//   decision_admission.cc     Submit(): admission, rejection and load shedding
+//   decision_jobs.cc          life cycle of a job from its queue to its end
+//   decision_rounds.cc        Decide(): timers and starts
+//   decision_order.cc         which queue is served next, and which blocked queue is retried
+//   decision_reservations.cc  reservations and preemption for gangs, large and urgent jobs
 #ifndef CATKINFORD_PROCESS_DECISION_IMPL_H_
 #define CATKINFORD_PROCESS_DECISION_IMPL_H_
 
@@ -34,10 +34,10 @@
   kBackoffOver,    // of job `subject`
   kCoolingOver,    // of endpoint `subject`
   kEjectionOver,   // of endpoint `subject`
-  kPauseOver,      // of lane `subject`
-  kQueueWatch,     // of lane `subject`, numbered team * kQueueClasses + class
-  kCheckpointDue,  // of job `subject`: what it was asked to stop has to be over
-  kReservationDue  // of reservation `subject`: its bound, or its end
+  kPauseOver,      // of queue `subject`
+  kQueueWatch,     // of queue `subject`, numbered team * kQueueClasses + class
+  kCheckpointDue,  // of job `subject`: its tasks asked to stop must have ended
+  kReservationDue  // of reservation `subject`: its preemption time or its expiry
 };
 
 struct timer {
@@ -49,8 +49,8 @@
   bool operator>(const timer& other) const { return at > other.at; }
 };
 
-// Endpoints held for one job until all of its tasks fit at once. They are chosen so that they
-// suffice for the whole job: two gangs can never hold halves of each other.
+// Endpoints reserved for one job until all of its tasks fit at once. They are chosen so that they
+// suffice for the whole job; two gangs can never each hold half of what the other needs.
 struct reservation {
   struct part {
     endpoint_index endpoint = 0;
@@ -58,22 +58,22 @@
   };
   job_handle job = kNoJob;
   uint32_t generation = 0;  // of the job
-  uint32_t number = 0;      // tells it from a later one in the same place
+  uint32_t number = 0;      // distinguishes it from a later one in the same slot
   std::vector<part> parts;
-  monotonic_time preempt_at{};  // from then on batch work in the way is stopped
-  monotonic_time expires{};     // given up and made anew, perhaps elsewhere
+  monotonic_time preempt_at{};  // from then on batch tasks that occupy the capacity are preempted
+  monotonic_time expires{};     // then dropped and made again, possibly on other endpoints
   bool in_use = false;
   bool urgent = false;
-  bool cleared = false;  // batch work in the way was asked to stop
+  bool cleared = false;  // the batch tasks to preempt were asked to stop
 };
 
-// How long a task that gives way may write at its checkpoint; then it is stopped without, and its
-// work since the last one is lost. Urgent work has to start within 5.2 s also where a checkpoint is
-// never written; other work that has waited long for its room can wait for a large one.
+// How long a preempted task may take for its checkpoint; after that it is stopped without one and
+// loses the work since the last. Urgent jobs must start within 5.2 s even if a checkpoint is never
+// written; other jobs, which have waited long already, can wait for a large one.
 constexpr std::chrono::seconds kUrgentCheckpointTimeout{3};
 constexpr std::chrono::seconds kCheckpointTimeout{30};
 
-// Lanes by number, for timers.
+// Queue numbers, for timers.
 inline uint32_t NumberOf(const queue_ref& ref) {
   return static_cast<uint32_t>(ref.team * kQueueClasses + static_cast<size_t>(ref.kind));
 }
@@ -85,7 +85,7 @@
 struct decision_core::impl {
   explicit impl(core_options core) : options(core), random_state(core.seed), queues(jobs) {}
 
-  // A job's life.
+  // Life cycle of a job.
   admission Submit(const job_request& request, monotonic_time now);
   admission SubmitPart(const job_request& request, const std::vector<uint32_t>& here,
                        monotonic_time now);
@@ -125,7 +125,7 @@
   void EndIfOver(job_handle job, refusal_reason reason, std::string detail = {});
   void TeamChanged(team_index team);
 
-  // A round.
+  // One round.
   void Decide(monotonic_time now, std::vector<command>& out);
   void FireTimers(monotonic_time now);
   void FireTimer(const timer& due, monotonic_time now);
@@ -156,7 +156,7 @@
   void UpdateSignature(const std::vector<command>& out, size_t first);
   monotonic_time NextWake() const;
 
-  // Room.
+  // Reservations.
   void WatchQueue(const queue_ref& ref, monotonic_time now);
   bool SecureCapacity(job_handle job, bool urgent, monotonic_time now);
   bool Reserve(job_handle job, bool urgent, monotonic_time now);
@@ -186,19 +186,19 @@
   gang_policy gang;
 
   std::priority_queue<timer, std::vector<timer>, std::greater<>> timers;
-  std::deque<command> pending;            // found between rounds, given out by Decide()
-  std::deque<timer> cancelled;            // jobs to stop: `subject` and `generation`
-  std::vector<reservation> reservations;  // few; places are used again
-  std::vector<endpoint_index> chosen;     // scratch of a placement
-  std::vector<resources> not_fitting;     // needs that fit no endpoint now, the smallest ones
-  std::vector<resources> freed_capacity;  // scratch of a look through blocked lanes
-  size_t freed_seen = 0;                  // freed endpoints that not_fitting reflects
+  std::deque<command> pending;            // produced between rounds, emitted by Decide()
+  std::deque<timer> cancelled;            // jobs to stop, by `subject` and `generation`
+  std::vector<reservation> reservations;  // few; slots are reused
+  std::vector<endpoint_index> chosen;     // scratch: endpoints of one placement
+  std::vector<resources> not_fitting;  // requests that fit no endpoint now, the smallest ones only
+  std::vector<resources> freed_capacity;  // scratch: free capacity of freed endpoints
+  size_t freed_seen = 0;  // number of freed endpoints already applied to not_fitting
   uint64_t round = 0;
-  std::vector<job_handle> grant_reserved_for;  // by team: the job that its grant is saved for
+  std::vector<job_handle> grant_reserved_for;  // by team: the job for which its grant is reserved
   monotonic_time last_decide{};
   uint32_t stopping = 0;            // preempted tasks that have not ended yet
-  bool admitted_unchecked = false;  // some work was taken in before all shapes were known
-  bool recheck_fits = false;        // they are known now: some of it may never fit
+  bool admitted_unchecked = false;  // some jobs were admitted before all endpoint shapes were known
+  bool recheck_fits = false;        // all shapes are known now: some of these jobs may never fit
 };
 
 }  // namespace catkinford
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -8,11 +8,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCoolingTime{250};      // after a refusal for lack of room
-constexpr milliseconds kFirstBackoff{500};     // of a service that failed
+constexpr milliseconds kCoolingTime{250};      // after a rejection for lack of capacity
+constexpr milliseconds kFirstBackoff{500};     // after the first failure of a service
 constexpr uint32_t kMaxDoublings = 7;          // 64 s
-constexpr std::chrono::minutes kStableRun{1};  // a run of that length ends a row of failures
-constexpr uint32_t kStartsBeforeBackoff = 3;   // failed starts before a job waits
+constexpr std::chrono::minutes kStableRun{1};  // a run of this length resets the failure count
+constexpr uint32_t kStartsBeforeBackoff = 3;   // consecutive failed starts before a job backs off
 
 job_end EndOf(const job_record& job) {
   if (job.may_have_run) return job_end::kUnknown;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-// Into its lane, unless it has to wait for something else first.
+// Adds the job to its queue unless something else must happen first.
 void decision_core::impl::Enqueue(job_handle handle, bool front) {
   job_record& job = jobs[handle];
   if (job.queued || job.waiting == 0 || job.backing_off) return;
@@ -32,7 +32,7 @@
   if (queues.IsWithinDepth(handle)) queues.Unblock(ref);
 }
 
-// Takes all waiting tasks of a job out of its lane.
+// Removes all waiting tasks of a job from its queue.
 void decision_core::impl::DropWaiting(job_handle handle) {
   job_record& job = jobs[handle];
   if (job.queued) queues.Remove(handle);
@@ -62,7 +62,7 @@
     request.kind = task.kind;
     request.each = task.amount;
     request.tasks = 0;
-    request.repeatable = false;  // nothing is known of it: it is never placed again
+    request.repeatable = false;  // the job is unknown: never place it again
   }
   job_record& job = jobs[handle];
   if (job.tasks.size() <= task.id.index) job.tasks.resize(task.id.index + 1);
@@ -86,7 +86,8 @@
   Enqueue(handle, true);
 }
 
-// A live task by the identity of its present run: news of an earlier run is not news of this one.
+// Finds a live task by the identity of its current run; a message about an earlier run is not about
+// this one.
 bool decision_core::impl::FindLive(const task_id& task, job_handle& job, uint32_t& index) const {
   job = jobs.Find(task.job);
   if (job == kNoJob || task.index >= jobs[job].tasks.size()) return false;
@@ -106,7 +107,7 @@
   if (jobs[job].request.kind != workload_kind::kService) jobs[job].failures_in_a_row = 0;
 }
 
-// Counts a live task at its endpoint and team.
+// Accounts a live task to its endpoint and team.
 void decision_core::impl::Attach(job_handle handle, uint32_t index) {
   job_record& job = jobs[handle];
   task_slot& slot = job.tasks[index];
@@ -122,7 +123,7 @@
   TeamChanged(job.request.team);
 }
 
-// Gives back what a live task holds.
+// Releases the resources of a live task.
 void decision_core::impl::Release(job_handle handle, uint32_t index, task_state next) {
   job_record& job = jobs[handle];
   task_slot& slot = job.tasks[index];
@@ -138,7 +139,7 @@
   queues.GrantChanged(team);
 }
 
-// A task that was placed waits once more, before those that never were.
+// Queues a task that was placed before, ahead of tasks that never were.
 void decision_core::impl::Requeue(job_handle handle, uint32_t index) {
   job_record& job = jobs[handle];
   job.tasks[index].state = task_state::kWaiting;
@@ -162,8 +163,8 @@
           {endpoints[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
     }
   } else {
-    // The endpoint is fuller than our view of it. Without a pause the same start would be sent and
-    // refused over and over, seen as start failures at the rate of the network.
+    // The endpoint has less free capacity than we assume. Without a pause the same start would be
+    // sent and rejected repeatedly, at the rate of the network round trip.
     endpoints.Cool(endpoint, true);
     timers.push({now + kCoolingTime, timer_kind::kCoolingOver, endpoint, 0});
   }
@@ -193,8 +194,8 @@
   timers.push({now + pause, timer_kind::kBackoffOver, handle, job.generation});
 }
 
-// A gang that has lost a task runs on in part, which is of no use to anybody: the rest is stopped,
-// and all of it is placed again once nothing of it runs.
+// A gang that has lost a task runs incompletely, which is useless: the rest is stopped, and the
+// whole gang is placed again once none of its tasks runs.
 void decision_core::impl::RestartGang(job_handle handle, monotonic_time now) {
   job_record& job = jobs[handle];
   if (!job.request.repeatable && job.possible_runs > 0) {
@@ -211,7 +212,7 @@
   task_slot& slot = job.tasks[index];
   if (!slot.Live()) return;
   if (slot.state == task_state::kStopping) {
-    // Asked to write a checkpoint before: only a stop without one says more.
+    // Already asked to write a checkpoint; only a stop without one adds anything.
     if (checkpoint || !slot.checkpointing) return;
   } else {
     slot.state = task_state::kStopping;
@@ -228,7 +229,7 @@
   pending.push_back(std::move(stop));
 }
 
-// Asks the task to write a checkpoint and stop, and sees to it that it has by `due`.
+// Asks the task to write a checkpoint and stop, and sets a timer that enforces it at `due`.
 void decision_core::impl::Preempt(job_handle handle, uint32_t index, monotonic_time due) {
   task_slot& slot = jobs[handle].tasks[index];
   if (!slot.Live() || slot.state == task_state::kStopping) return;
@@ -237,9 +238,9 @@
   timers.push({due, timer_kind::kCheckpointDue, handle, jobs[handle].generation});
 }
 
-// A task may take very long over its checkpoint, or not know of the request at all. The room that
-// it was to make would never come free; one would see urgent work wait on a floor full of batch
-// work.
+// Stops tasks that exceeded their checkpoint time. A task may write a very long checkpoint or
+// ignore the request; the capacity it should yield would never be freed, and urgent jobs would wait
+// while batch tasks fill all endpoints.
 void decision_core::impl::StopOverdue(job_handle handle, monotonic_time now) {
   const auto tasks = static_cast<uint32_t>(jobs[handle].tasks.size());
   for (uint32_t index = 0; index < tasks; ++index) {
@@ -275,7 +276,7 @@
   }
 }
 
-// What the end of a run means for its task and job.
+// Applies the end of a run to its task and job.
 void decision_core::impl::EndRun(job_handle handle, uint32_t index, task_end end,
                                  monotonic_time now) {
   Release(handle, index, end == task_end::kDone ? task_state::kDone : task_state::kFailed);
@@ -299,8 +300,8 @@
     return;
   }
   if (!over && end == task_end::kLost) {
-    // It may have run to its end unseen. Placed again it could run twice, and a salary be charged
-    // twice; the owner answers that nobody knows.
+    // It may have completed unobserved. Placed again it could run twice and repeat its side
+    // effects, for example a payment; the owner answers that the outcome is unknown.
     job.may_have_run = true;
     DropWaiting(handle);
   }
@@ -313,8 +314,8 @@
   EndIfOver(handle, refusal_reason::kCancelled);
 }
 
-// A job that was not started whole by its deadline. What had been started and was lost may have
-// run, so only a job of which nothing was started is answered as not run.
+// Handles a job that was not fully started by its deadline. Tasks that were started and lost may
+// have run, so only a job of which nothing was started is answered as not run.
 void decision_core::impl::OnDeadline(job_handle handle) {
   job_record& job = jobs[handle];
   if (job.waiting == 0) return;
@@ -325,7 +326,7 @@
   EndIfOver(handle, refusal_reason::kDeadline);
 }
 
-// Tells the end of a job of which nothing runs or waits, and forgets it.
+// Reports the end of a job that has no running or waiting tasks, and removes it.
 void decision_core::impl::EndIfOver(job_handle handle, refusal_reason reason, std::string detail) {
   job_record& job = jobs[handle];
   if (job.waiting > 0 || job.live > 0) return;
@@ -359,7 +360,7 @@
   }
 }
 
-// Interactive work ends by itself, and what may run only once is left to finish.
+// Interactive tasks end soon on their own, and tasks that are not repeatable are left to finish.
 void decision_core::impl::OnEndpointLeaving(endpoint_index endpoint) {
   for (const task_ref& task : endpoints[endpoint].tasks) {
     const job_request& request = jobs[task.job].request;
--- a/src/process/decision_order.cc
+++ b/src/process/decision_order.cc
@@ -7,22 +7,24 @@
 namespace {
 
 constexpr size_t kMaxNotFitting = 32;
-// More freed endpoints than this and all blocked lanes are tried again.
+// Above this number of freed endpoints, all blocked queues are tried again.
 constexpr size_t kMaxFreedProbes = 64;
-// Room kept free of batch work, as a part of what interactive work uses. Mean interactive wait in
-// ms (kitamura, altynsay, both) and packing lost, seed 1: 0 228, 55, 85; 0.1 193, 54, 83; 0.2 178,
-// 43, 70, 0.2 points; 0.4 120, 35, 46, 0.8 points; 0.6 105, 20, 27, 1.8 points.
+// Capacity withheld from batch jobs, as a fraction of interactive usage. Mean interactive wait in
+// ms (two workload mixes and their union) and loss of packing, seed 1: 0 228, 55, 85; 0.1 193, 54,
+// 83; 0.2 178, 43, 70, 0.2 points; 0.4 120, 35, 46, 0.8 points; 0.6 105, 20, 27, 1.8 points.
 constexpr double kWithheldFraction = 0.4;
-// What interactive work uses swings by the root of its tasks, so that a large floor needs a smaller
-// part: this many roots, where that is less. `policy --mix both --scale 6 --seed 1`, packing, mean
-// and p99 wait of callers in ms: without 0.899, 0.7, 22; 8 0.917, 2.2, 48; 6 0.925, 3.9, 59; 4
-// 0.932, 7.1, 86. At the size of today kWithheldFraction is the smaller one.
+// Interactive usage fluctuates by the square root of its task count, so a large fleet needs a
+// smaller fraction: this many square roots, if that is less. At 6 times the fleet size, seed 1,
+// packing and the mean and p99 interactive wait in ms: without 0.899, 0.7, 22; 8 0.917, 2.2, 48; 6
+// 0.925, 3.9, 59; 4 0.932, 7.1, 86. At the present fleet size kWithheldFraction gives the smaller
+// value.
 constexpr double kWithheldStdDevs = 6;
-// A team beyond this many times its share leaves room to the callers of others. `policy`, seeds 1
-// to 3, p99 wait of five teams within their shares while a sixth asks for three times the floor,
-// and goodput at 1.2 times the capacity, where teams of equal shares stand at them: without 27 ms,
-// 1,722/s; 1.0 42 ms, 1,658 (those just over their share wait for room kept for the others); 1.25 3
-// ms, 1,693; 1.5 4 ms, 1,721. Twice the room: 1 ms at 1.5, for another 7 % of a floor of 136 slots.
+// A team above this multiple of its share leaves capacity for the interactive requests of others.
+// p99 wait of five teams within their shares while a sixth requests three times the total capacity,
+// and goodput at 1.2 times the capacity with teams of equal shares at their shares (seeds 1 to 3):
+// without 27 ms, 1,722/s; 1.0 42 ms, 1,658 (teams just over their share wait for capacity withheld
+// for others); 1.25 3 ms, 1,693; 1.5 4 ms, 1,721. Withholding twice as much gives 1 ms at 1.5 and
+// costs another 7 % of 136 slots.
 constexpr double kOverShareFactor = 1.5;
 
 resources FractionOf(const resources& whole, double part) {
@@ -32,9 +34,9 @@
 
 }  // namespace
 
-// What fitted nowhere may fit now, where an endpoint has more room than before. Also within a
-// round: a start may give up a reservation, and work would be told that it fits nowhere while there
-// is room.
+// Requests that fitted nowhere may fit on endpoints that gained free capacity. Also called within a
+// round: a start may drop a reservation, and jobs would be recorded as fitting nowhere although
+// capacity is free.
 void decision_core::impl::CapacityFreed() {
   const std::vector<endpoint_index>& freed = endpoints.Freed();
   if (freed.size() - freed_seen > kMaxFreedProbes) {
@@ -47,8 +49,8 @@
   }
 }
 
-// Whether the need, or a smaller one, was found to fit nowhere and nothing has come free for it. On
-// a full floor nearly all waiting work is answered here, without a search.
+// Whether this request, or a smaller one, was found to fit nowhere and no capacity has been freed
+// for it since. At full capacity this answers for nearly all waiting jobs without a search.
 bool decision_core::impl::KnownNotToFit(const resources& need) const {
   return std::any_of(not_fitting.begin(), not_fitting.end(),
                      [&need](const resources& failed) { return Fits(failed, need); });
@@ -60,8 +62,8 @@
   not_fitting.push_back(need);
 }
 
-// What the freed endpoints have now, for the look through the blocked lanes: only those that can
-// hold the least that any lane needs. Many are joined into one that has the most of each amount.
+// Collects the free capacity of the freed endpoints that can hold at least the smallest need of any
+// blocked queue. If there are many, they are merged into one entry with the maximum of each amount.
 void decision_core::impl::CollectFreedCapacity() {
   freed_capacity.clear();
   if (endpoints.Freed().empty() || queues.CapacityBlocked().empty()) return;
@@ -83,8 +85,8 @@
                      [&need](const resources& free) { return Fits(need, free); });
 }
 
-// Makes ready the first of the blocked lanes that freed room can help. One at a time: most often it
-// takes the room, and all others would be tried for nothing.
+// Unblocks the first of the blocked queues that freed capacity can help. One at a time: usually it
+// takes the capacity, and trying all others would be wasted.
 void decision_core::impl::UnblockBest() {
   CapacityFreed();
   CollectFreedCapacity();
@@ -105,8 +107,8 @@
   if (best) queues.Unblock(best->ref);
 }
 
-// A first, cheap look: whether freed room, or room that is no longer kept, holds the lane's least.
-// `kept`: of batch work, the same for all lanes.
+// Cheap pre-check: whether freed capacity, or capacity that is no longer withheld, covers the
+// queue's smallest need. `withheld`: the amount withheld from batch jobs, the same for all queues.
 bool decision_core::impl::MayUnblock(const blocked_queue& blocked,
                                      const resources& withheld) const {
   if (!blocked.withheld) return FitsFreedCapacity(blocked.min_need);
@@ -115,9 +117,9 @@
   return Fits(blocked.min_need + room, endpoints.Open().TotalFree());
 }
 
-// The lane to serve next. Urgent work first, then callers who wait for an answer and whose team is
-// within its share; all other work goes by share alone, so that a flood of one team's interactive
-// work does not take away the share of another's batch work.
+// Service order of a queue. Urgent jobs first, then interactive requests of teams within their
+// share; all other jobs by share alone, so that a burst of one team's interactive requests does not
+// take the share of another team's batch jobs.
 queue_rank decision_core::impl::RankOf(const queue_ref& ref) const {
   queue_rank rank{2, teams.Find(ref.team)->ratio, ref};
   if (ref.kind == queue_class::kUrgent) rank.first = 0;
@@ -137,11 +139,12 @@
   return best->ref;
 }
 
-// Room that is left to callers who wait for an answer: a burst of them then finds room at once, and
-// not when some task ends. Batch work leaves it, and so does interactive work of a team far beyond
-// its share: one greedy team would else fill the floor, and callers of all others wait for each
-// place. Once callers wait for room all the same, none is kept and room goes by share alone: with
-// more callers than room, batch work would get nothing.
+// Capacity withheld for interactive requests, so that a burst of them starts at once and does not
+// wait for a running task to end. It is withheld from batch jobs, and from interactive requests of
+// a team far above its share: otherwise one team would fill the fleet, and requests of all others
+// would wait for each slot. Once interactive requests wait for capacity, none is withheld and
+// capacity goes by share alone: with more interactive load than capacity, batch jobs would never
+// start.
 resources decision_core::impl::WithheldCapacity(queue_class kind, team_index team) const {
   if (queues.CapacityBlockedCount(queue_class::kInteractive) > 0) return {};
   if (kind == queue_class::kBatch) {
@@ -153,7 +156,7 @@
   const team_record& own = *teams.Find(team);
   const uint32_t others = endpoints.InteractiveTasks() - own.interactive_tasks;
   if (others == 0) return {};
-  // As many places as the number of callers usually swings by: its root.
+  // As many slots as the number of interactive tasks usually fluctuates by: its square root.
   return FractionOf(endpoints.InteractiveUse() - own.interactive, 1.0 / std::sqrt(others));
 }
 
--- a/src/process/decision_reservations.cc
+++ b/src/process/decision_reservations.cc
@@ -6,19 +6,20 @@
 namespace catkinford {
 namespace {
 
-constexpr std::chrono::seconds kReservationDelay{5};  // then the first of a lane gets a reservation
-// Batch work in the way of it is stopped then. `policy`, seeds 1 to 5, gangs of altynsay, mean and
-// p99 of their wait, preemptions in all: 30 s 2,962 ms, 16,986, 11; 15 s 2,770, 13,419, 11; 10 s
-// 2,762, 11,515, 10. With gangs looked at to a depth of four: 10 s 1,993, 9,742, 10; 5 s after a
-// wait of 2 s 1,600, 6,394, 19.
+constexpr std::chrono::seconds kReservationDelay{5};  // then the head of a queue gets a reservation
+// Delay until batch tasks on reserved endpoints are preempted. Mean and p99 wait of gangs in ms and
+// preemptions in total (seeds 1 to 5): 30 s 2,962 ms, 16,986, 11; 15 s 2,770, 13,419, 11; 10 s
+// 2,762, 11,515, 10. With gangs tried to a depth of four: 10 s 1,993, 9,742, 10; 5 s with
+// kReservationDelay 2 s 1,600, 6,394, 19.
 constexpr std::chrono::seconds kPreemptionDelay{10};
 constexpr std::chrono::seconds kReservationGrace{60};
-constexpr std::chrono::seconds kStopTimeout{1};  // for a stop without a checkpoint; then elsewhere
+// For a stop without a checkpoint; after it other endpoints are tried.
+constexpr std::chrono::seconds kStopTimeout{1};
 constexpr std::chrono::milliseconds kUrgentRetry{100};
-constexpr uint32_t kMaxUrgentReservations = 64;  // reservations for urgent work at once
-constexpr uint32_t kMaxStopping = 256;           // tasks asked to stop at once
-constexpr size_t kPreemptionProbes = 16;         // endpoints compared for urgent work
-constexpr size_t kBackfillProbes = 64;           // held endpoints looked at for one job
+constexpr uint32_t kMaxUrgentReservations = 64;  // concurrent reservations for urgent jobs
+constexpr uint32_t kMaxStopping = 256;           // tasks being stopped at the same time
+constexpr size_t kPreemptionProbes = 16;         // endpoints compared for an urgent job
+constexpr size_t kBackfillProbes = 64;           // reserved endpoints probed for one job
 
 resources Times(const resources& each, uint32_t count) {
   return {each.cpu_milli * count, each.memory_mb * count, each.accelerators * count,
@@ -27,9 +28,9 @@
 
 }  // namespace
 
-// Looks after what stands first in a blocked lane: urgent work gets room made at once, other work
-// after a long wait. Without this, small work that fits every gap would hold back large work for
-// ever; one would notice a job that waits on while younger ones start.
+// Secures capacity for the head of a blocked queue: for urgent jobs at once, for others after a
+// long wait. Otherwise small jobs that fit every gap would starve large ones: a job would keep
+// waiting while newer ones start.
 void decision_core::impl::WatchQueue(const queue_ref& ref, monotonic_time now) {
   waiting_queue& queue = queues.At(ref);
   if (queue.head == kNoJob || queue.state == queue_state::kReady) return;
@@ -52,7 +53,7 @@
   timers.push({next, timer_kind::kQueueWatch, NumberOf(ref), 0});
 }
 
-// Holds endpoints for the job, or keeps back its team's grant for it when that is what it lacks.
+// Reserves endpoints for the job or, if it lacks grant, reserves its team's grant.
 bool decision_core::impl::SecureCapacity(job_handle handle, bool urgent, monotonic_time now) {
   const job_record& job = jobs[handle];
   const team_index team = job.request.team;
@@ -98,11 +99,11 @@
   return true;
 }
 
-// The endpoints where least has to end or be stopped for the whole job to fit.
+// Selects the endpoints on which the least must end or be preempted for the whole job to fit.
 bool decision_core::impl::ChooseParts(const job_record& job, uint32_t count,
                                       std::vector<reservation::part>& parts) {
   struct candidate {
-    double in_the_way = 0;  // dominant part of the endpoint that must come free, for each task
+    double in_the_way = 0;  // dominant share of the endpoint that must be freed, per task
     reservation::part part;
   };
   const resources& each = job.request.each;
@@ -127,9 +128,8 @@
   return false;
 }
 
-// Tasks at the endpoint whose stop makes room for `need`, the least costly first: those of the
-// teams furthest over their share, then those that have run least. False when stopping does not do
-// it.
+// Selects tasks on the endpoint to preempt for `need`, cheapest first: tasks of teams above their
+// share, then those that have run least. False when preemption does not free enough.
 bool decision_core::impl::SelectVictims(endpoint_index endpoint, const resources& need,
                                         std::vector<task_ref>& out) const {
   const endpoint_record& e = endpoints[endpoint];
@@ -139,7 +139,7 @@
     const job_record& job = jobs[task.job];
     const task_slot& slot = job.tasks[task.index];
     const bool ending = slot.state == task_state::kStopping;
-    // One that does not end, though asked twice, makes no room.
+    // A task that does not end, though asked twice, frees nothing.
     const bool stuck =
         slot.stop_due != monotonic_time{} && last_decide >= slot.stop_due + kStopTimeout;
     if (ending && !stuck) room += job.request.each;
@@ -176,7 +176,8 @@
   return best.endpoint != kNoEndpoint ? best.endpoint : endpoints.Preemptible().FindAny(need);
 }
 
-// Asks batch work in the way to write a checkpoint and stop, never more than a bound at once.
+// Asks batch tasks on the reserved endpoints to write a checkpoint and stop, at most kMaxStopping
+// at the same time.
 void decision_core::impl::PreemptFor(reservation& room, monotonic_time now) {
   const resources& each = jobs[room.job].request.each;
   const monotonic_time due = now + (room.urgent ? kUrgentCheckpointTimeout : kCheckpointTimeout);
@@ -200,7 +201,7 @@
   }
 }
 
-// True when the reservation has done its work or is given up.
+// True when the reservation has been served or is dropped.
 bool decision_core::impl::ServeReservation(uint32_t number, monotonic_time now,
                                            std::vector<command>& out) {
   reservation& room = reservations[number];
@@ -237,9 +238,9 @@
   room.parts.clear();
 }
 
-// Batch work on endpoints that are held, where it should end before they are needed. An estimate
-// may be wrong, so only work that gives way is taken: at the bound it is stopped, and the job that
-// the endpoints are held for starts no later.
+// Backfill: starts batch jobs on reserved endpoints if they should end before the reservation needs
+// them. An estimate may be wrong, so only preemptible jobs are accepted: they are stopped at the
+// preemption time, and the job with the reservation starts no later.
 bool decision_core::impl::Backfill(const job_record& job, monotonic_time now) {
   if (!GivesWay(job.request)) return false;
   const std::chrono::milliseconds run =
--- a/src/process/decision_rounds.cc
+++ b/src/process/decision_rounds.cc
@@ -6,13 +6,13 @@
 namespace catkinford {
 namespace {
 
-// Bounds of one round, so that a wave of events never holds up the next placement for long.
+// Limits of one round, so that a burst of events never delays the next placement for long.
 constexpr size_t kMaxStarts = 128;
 constexpr size_t kMaxCancelled = 128;
 constexpr size_t kMaxPending = 256;
 constexpr size_t kMaxTimers = 256;
-// Gangs of a lane that are tried. `policy`, seeds 1 to 5, wait of gangs of altynsay, mean and p99:
-// 2 2,762 ms, 11,515; 4 1,993, 9,742.
+// Gangs of a queue that are tried in one round. Mean and p99 wait of gangs (seeds 1 to 5): 2 2,762
+// ms, 11,515; 4 1,993, 9,742.
 constexpr uint32_t kGangDepth = 4;
 constexpr std::chrono::milliseconds kGangPause{50};
 
@@ -96,7 +96,7 @@
       if (jobs.Holds(due.subject, due.generation)) StopOverdue(due.subject, now);
       break;
     case timer_kind::kReservationDue:
-      break;  // it wakes the round, which looks after all reservations
+      break;  // only wakes the round, which serves all reservations
   }
 }
 
@@ -110,7 +110,7 @@
   }
 }
 
-// Jobs taken in while some endpoint was not listed yet.
+// Rejects jobs that were admitted while some endpoint was unlisted and turn out never to fit.
 void decision_core::impl::RejectNeverFitting() {
   recheck_fits = false;
   if (endpoints.UnfencedEndpoints() > 0 || endpoints.PresentEndpoints() == 0) return;
@@ -140,7 +140,7 @@
   }
 }
 
-// Starts the first of the lane's jobs that can start now, or blocks the lane.
+// Starts the first of the queue's jobs that can start now, or blocks the queue.
 bool decision_core::impl::TryQueue(const queue_ref& ref, monotonic_time now,
                                    std::vector<command>& out) {
   bool no_grant = false;
@@ -174,8 +174,8 @@
   return false;
 }
 
-// Room that comes free at one endpoint is seldom what a gang lacks: tried with each of them, the
-// gangs of all teams would cost more than all other work together.
+// Capacity freed on one endpoint rarely suffices for a gang: if every freed endpoint triggered a
+// retry, the gangs of all teams would cost more than all other placements together.
 void decision_core::impl::PauseQueue(const queue_ref& ref, monotonic_time now) {
   waiting_queue& queue = queues.At(ref);
   if (queue.pausing) return;
@@ -187,9 +187,9 @@
   return job.request.kind == workload_kind::kGang ? job.waiting : 1;
 }
 
-// Within the grant, and not taking what is saved for an older job of the same team. A job for which
-// endpoints are held goes ahead: the older one may itself be waiting for these endpoints, and
-// neither would ever start.
+// Whether the job is within its team's grant and does not use what is reserved for an older job of
+// the team. A job with a reservation goes ahead: the older job may itself wait for the same
+// endpoints, and neither would ever start.
 bool decision_core::impl::MayStart(const job_record& job, uint32_t count) const {
   const team_index team = job.request.team;
   if (!teams.WithinGrant(team, job.request.each, count, endpoints)) return false;
@@ -242,7 +242,7 @@
   EndGrantReservation(handle);
 }
 
-// Nothing of the grant is kept back for the job any more.
+// Releases the part of the grant that was reserved for the job.
 void decision_core::impl::EndGrantReservation(job_handle handle) {
   const team_index team = jobs[handle].request.team;
   if (team >= grant_reserved_for.size() || grant_reserved_for[team] != handle) return;
--- a/src/process/free_index.cc
+++ b/src/process/free_index.cc
@@ -52,7 +52,7 @@
   return static_cast<uint32_t>(std::min<uint64_t>(level, level_lists::kLevels - 1));
 }
 
-// The tree doubles, so that endpoints may come one by one at constant cost on average.
+// The tree grows by doubling, so that adding endpoints one by one has amortized constant cost.
 void free_index::Grow(endpoint_index endpoint) {
   if (endpoint < entries_.size()) return;
   entries_.resize(endpoint + 1);
@@ -84,7 +84,7 @@
   }
 }
 
-// Levels are parts of the largest capacity; a larger endpoint moves all levels.
+// Levels are fractions of the largest capacity; a larger endpoint changes all levels.
 void free_index::RaiseScale(const resources& capacity) {
   const resources larger = LargestOf(scale_, capacity);
   if (larger == scale_) return;
--- a/src/process/free_index.h
+++ b/src/process/free_index.h
@@ -1,8 +1,8 @@
-// Which endpoints have room, kept so that a search does not look at every endpoint.
+// Index of the free capacity of endpoints, so that a search need not visit every endpoint.
 //
-// Two structures over the same endpoints: a tree of largest free amounts, which answers exactly
-// whether anything fits, and lists of endpoints by level of load and of free amounts, which give
-// good candidates first.
+// Two structures over the same endpoints: a tree of maximum free amounts, which answers exactly
+// whether anything fits, and lists of endpoints by level of load and of each free amount, which
+// yield good candidates first.
 #ifndef CATKINFORD_PROCESS_FREE_INDEX_H_
 #define CATKINFORD_PROCESS_FREE_INDEX_H_
 
@@ -20,40 +20,40 @@
 constexpr endpoint_index kNoEndpoint = UINT32_MAX;
 constexpr size_t kAmounts = 4;  // processors, memory, accelerators, slots
 
-// The amounts by number, for loops over all of them.
+// The amounts by index, for loops over all of them.
 inline uint32_t AmountOf(const resources& r, size_t amount) {
   const std::array<uint32_t, kAmounts> all = {r.cpu_milli, r.memory_mb, r.accelerators, r.slots};
   return all[amount];
 }
 
-// The larger of both in each amount.
+// The maximum in each amount.
 inline resources LargestOf(const resources& a, const resources& b) {
   return {std::max(a.cpu_milli, b.cpu_milli), std::max(a.memory_mb, b.memory_mb),
           std::max(a.accelerators, b.accelerators), std::max(a.slots, b.slots)};
 }
 
-// The smaller of both in each amount.
+// The minimum in each amount.
 inline resources SmallestOf(const resources& a, const resources& b) {
   return {std::min(a.cpu_milli, b.cpu_milli), std::min(a.memory_mb, b.memory_mb),
           std::min(a.accelerators, b.accelerators), std::min(a.slots, b.slots)};
 }
 
-// How many tasks of `each` go into `room` side by side.
+// How many tasks of `each` fit into `room` together.
 uint32_t CountFitting(const resources& each, const resources& room);
 
-// The largest part of `whole` that `part` takes in any amount; amounts that `whole` lacks are
-// left out.
+// The largest fraction of `whole` that `part` takes in any amount; amounts that are zero in `whole`
+// are ignored.
 double DominantShare(const resources& part, const resources& whole);
 
-// Endpoints sorted into 64 levels. Insertion, removal and the step to the next level in use cost
-// the same however many endpoints there are.
+// Endpoints sorted into 64 levels. Insertion, removal and the step to the next non-empty level take
+// constant time.
 class level_lists {
  public:
   static constexpr uint32_t kLevels = 64;
 
   void Put(endpoint_index endpoint, uint32_t level);
   void Remove(endpoint_index endpoint);
-  // The first level in use at or above `from`; kLevels when there is none.
+  // The first non-empty level at or above `from`; kLevels when there is none.
   uint32_t NextLevel(uint32_t from) const {
     if (from >= kLevels) return kLevels;
     const uint64_t rest = used_ & (~uint64_t{0} << from);
@@ -73,7 +73,7 @@
 
 class free_index {
  public:
-  // Puts the endpoint in, or changes its free amounts.
+  // Adds the endpoint or changes its free amounts.
   void Set(endpoint_index endpoint, const resources& free, const resources& capacity);
   void Remove(endpoint_index endpoint);
 
@@ -86,26 +86,26 @@
   resources LargestFree() const { return tree_.empty() ? resources{} : tree_[1]; }
   uint32_t Size() const { return size_; }
 
-  // An endpoint that fits, or kNoEndpoint when there is none: exact.
+  // An endpoint that fits, or kNoEndpoint when there is none. The answer is exact.
   endpoint_index FindAny(const resources& need) const;
 
-  // Calls visit(endpoint) for up to `probes` endpoints, those with the least load first; only
-  // those that fit. Stops when visit returns false. `salt` says where to begin among equals: always
-  // the same beginning would look at the same few racks for all work.
+  // Calls visit(endpoint) for those of up to `probes` endpoints that fit, least loaded first. Stops
+  // when visit returns false. `salt` selects where to begin among endpoints of one level: with a
+  // fixed start all work would go to the same few racks.
   template <typename visitor>
   void VisitLeastLoaded(const resources& need, uint32_t probes, uint64_t salt,
                         visitor visit) const {
     VisitFrom(by_load_, 0, need, probes, salt, visit);
   }
 
-  // The same, those first that have least of `amount` left.
+  // Like VisitLeastLoaded(), starting with the endpoints that have the least of `amount` left.
   template <typename visitor>
   void VisitTightest(const resources& need, size_t amount, uint32_t probes, visitor visit) const {
     VisitFrom(by_free_[amount], FreeLevel(AmountOf(need, amount), amount), need, probes, 0, visit);
   }
 
-  // Calls visit(endpoint) for every endpoint that fits, in order of number, until it returns
-  // false. Skips whole ranges without room.
+  // Calls visit(endpoint) for every endpoint that fits, in index order, until it returns false.
+  // Skips ranges without enough free capacity.
   template <typename visitor>
   void VisitAll(const resources& need, visitor visit) const {
     if (leaves_ != 0) VisitNode(1, need, visit);
@@ -151,11 +151,11 @@
   void RaiseScale(const resources& capacity);
 
   std::vector<entry> entries_;
-  std::vector<resources> tree_;  // node 1 is the root, leaves from leaves_
+  std::vector<resources> tree_;  // node 1 is the root, leaves start at leaves_
   size_t leaves_ = 0;
   level_lists by_load_;
   std::array<level_lists, kAmounts> by_free_;
-  resources scale_;  // the largest capacity seen: the top of the free levels
+  resources scale_;  // the largest capacity seen: upper end of the levels
   resources total_free_;
   uint32_t size_ = 0;
 };
--- a/src/process/gang_policy.cc
+++ b/src/process/gang_policy.cc
@@ -7,9 +7,9 @@
 namespace catkinford {
 namespace {
 
-constexpr uint32_t kProbes = 256;  // candidates looked at before all are
+constexpr uint32_t kProbes = 256;  // candidates probed before the full search
 
-// Puts as many of the missing tasks on one endpoint as fit. False when none are missing any more.
+// Assigns as many of the missing tasks to the endpoint as fit. False when none is missing any more.
 bool Fill(const shard_floor& endpoints, const resources& each, endpoint_index endpoint,
           uint32_t& missing, std::vector<endpoint_index>& out) {
   const uint32_t here = std::min(missing, CountFitting(each, endpoints[endpoint].Free()));
@@ -32,7 +32,7 @@
   };
   open.VisitTightest(each, ScarcestAmount(each, open.TotalFree()), kProbes, fill);
   if (missing == 0) return true;
-  // Not enough among the tightest: take them in order, which misses none.
+  // Not enough among the tightest candidates: try all endpoints in index order, which misses none.
   out.resize(first);
   missing = count;
   open.VisitAll(
--- a/src/process/gang_policy.h
+++ b/src/process/gang_policy.h
@@ -1,4 +1,4 @@
-// Gangs: all tasks at once or none.
+// Gangs: all tasks start at once or none does.
 #ifndef CATKINFORD_PROCESS_GANG_POLICY_H_
 #define CATKINFORD_PROCESS_GANG_POLICY_H_
 
--- a/src/process/interactive_policy.cc
+++ b/src/process/interactive_policy.cc
@@ -5,8 +5,8 @@
 namespace catkinford {
 namespace {
 
-constexpr uint32_t kProbes = 16;   // candidates looked at
-constexpr double kLoadSteps = 16;  // loads within one step count as the same
+constexpr uint32_t kProbes = 16;   // candidates probed
+constexpr double kLoadSteps = 16;  // loads within one step count as equal
 
 }  // namespace
 
--- a/src/process/interactive_policy.h
+++ b/src/process/interactive_policy.h
@@ -1,4 +1,4 @@
-// Interactive work: the earliest start on the least loaded endpoint, spread over racks.
+// Interactive tasks: immediate start on the least loaded endpoint, spread over racks.
 #ifndef CATKINFORD_PROCESS_INTERACTIVE_POLICY_H_
 #define CATKINFORD_PROCESS_INTERACTIVE_POLICY_H_
 
--- a/src/process/job_table.h
+++ b/src/process/job_table.h
@@ -1,4 +1,4 @@
-// Jobs of one shard and the state of each of their tasks, in a slab that is addressed by handle.
+// Jobs of one shard and the state of each task, in a slab addressed by handle.
 #ifndef CATKINFORD_PROCESS_JOB_TABLE_H_
 #define CATKINFORD_PROCESS_JOB_TABLE_H_
 
@@ -32,16 +32,16 @@
   task_state state = task_state::kWaiting;
   bool checkpointing = false;  // while kStopping: it was asked to write a checkpoint first
   monotonic_time started{};
-  monotonic_time stop_due{};  // while checkpointing: until when it may; zero: as long as it likes
+  monotonic_time stop_due{};  // while checkpointing: its time limit; zero: no limit
 
-  // Holds room at its endpoint.
+  // Whether the task occupies capacity on its endpoint.
   bool Live() const {
     return state == task_state::kStarting || state == task_state::kRunning ||
            state == task_state::kStopping;
   }
 };
 
-// A task by place, for the lists of endpoints.
+// Reference to a task by job and index, for the task lists of endpoints.
 struct task_ref {
   job_handle job = kNoJob;
   uint32_t index = 0;
@@ -50,22 +50,22 @@
 struct job_record {
   job_request request;
   absl::InlinedVector<task_slot, 1> tasks;
-  uint32_t generation = 0;  // tells a job from a later one in the same place
+  uint32_t generation = 0;  // distinguishes the job from a later one in the same slot
   uint32_t waiting = 0;
   uint32_t live = 0;
   uint32_t done = 0;
   uint32_t failed = 0;
-  uint32_t possible_runs = 0;  // starts sent and not proved to have done nothing
-  uint32_t first_waiting = 0;  // no task before it waits
+  uint32_t possible_runs = 0;  // starts sent and not known to have had no effect
+  uint32_t first_waiting = 0;  // no task with a lower index is waiting
   uint32_t failures_in_a_row = 0;
-  uint32_t overtaken = 0;                 // younger jobs of its lane that were put before it
-  std::chrono::milliseconds expected{0};  // run time of all its tasks; zero: not known
-  job_handle next = kNoJob;               // in its lane
+  uint32_t overtaken = 0;                 // newer jobs of its queue that were inserted ahead of it
+  std::chrono::milliseconds expected{0};  // expected run time of all its tasks; zero: unknown
+  job_handle next = kNoJob;               // in its queue
   job_handle previous = kNoJob;
-  endpoint_index avoid = UINT32_MAX;  // the last start there did not take
+  endpoint_index avoid = UINT32_MAX;  // the last start on this endpoint failed
   uint32_t reservation = UINT32_MAX;
   bool in_use = false;
-  bool known = false;  // submitted, not only adopted
+  bool known = false;  // submitted, not only adopted from a listing
   bool queued = false;
   bool cancelled = false;
   bool may_have_run = false;  // not repeatable, and a run was lost
@@ -76,15 +76,15 @@
 
 class job_table {
  public:
-  // The job's handle, or kNoJob.
+  // The handle of the job, or kNoJob.
   job_handle Find(const request_id& id) const;
-  // A new record; the id must not be known.
+  // Adds a record; the id must not exist yet.
   job_handle Add(const request_id& id);
   void Remove(job_handle job);
 
   job_record& operator[](job_handle job) { return slab_[job]; }
   const job_record& operator[](job_handle job) const { return slab_[job]; }
-  // Whether the handle still stands for the same job.
+  // Whether the handle still refers to the same job.
   bool Holds(job_handle job, uint32_t generation) const {
     return slab_[job].in_use && slab_[job].generation == generation;
   }
--- a/src/process/placement_policy.h
+++ b/src/process/placement_policy.h
@@ -1,4 +1,4 @@
-// What a placement policy must offer. One policy for each kind of work, a file pair each.
+// Interface of a placement policy. Each kind of job has its own policy, in its own pair of files.
 #ifndef CATKINFORD_PROCESS_PLACEMENT_POLICY_H_
 #define CATKINFORD_PROCESS_PLACEMENT_POLICY_H_
 
@@ -12,7 +12,7 @@
 namespace catkinford {
 
 // Choose() appends one endpoint for each of `count` waiting tasks of the job and returns true, or
-// appends nothing and returns false when they do not all find room now. It changes nothing.
+// appends nothing and returns false when they do not all fit now. It has no other effect.
 template <typename policy>
 concept placement_policy =
     requires(const policy& p, const shard_floor& endpoints, const job_record& job, uint32_t count,
@@ -20,7 +20,7 @@
       { p.Choose(endpoints, job, count, out) } -> std::same_as<bool>;
     };
 
-// The better of two candidates by a score, the lowest winning; the first one on a tie.
+// Keeps the candidate with the lowest score; the first one on a tie.
 template <typename score>
 struct best_candidate {
   endpoint_index endpoint = kNoEndpoint;
--- a/src/process/run_estimates.cc
+++ b/src/process/run_estimates.cc
@@ -8,8 +8,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr double kSmoothing = 0.05;  // about the last twenty runs count
-constexpr uint32_t kMinRuns = 3;     // runs before what was learned is used
+constexpr double kSmoothing = 0.05;  // about the last twenty runs have weight
+constexpr uint32_t kMinRuns = 3;     // runs before the estimate is used
 constexpr double kMaxMs = 1e10;
 
 milliseconds FromLog(double log_ms) {
--- a/src/process/run_estimates.h
+++ b/src/process/run_estimates.h
@@ -1,5 +1,5 @@
-// Learned run times for each team and kind. Declared times are often far off; what is learned here
-// orders work and allows backfill, and never lets an endpoint take more than it can hold.
+// Run time estimates by team and kind of job, from past runs. Declared times are often far off. The
+// estimates only order jobs and enable backfill; they never let an endpoint exceed its capacity.
 #ifndef CATKINFORD_PROCESS_RUN_ESTIMATES_H_
 #define CATKINFORD_PROCESS_RUN_ESTIMATES_H_
 
@@ -17,15 +17,16 @@
   void AddSample(team_index team, workload_kind kind, std::chrono::milliseconds declared,
                  std::chrono::milliseconds ran);
 
-  // The usual run time; zero when nothing is known and nothing was declared.
+  // The typical run time; zero when there is neither history nor a declared time.
   std::chrono::milliseconds Typical(team_index team, workload_kind kind,
                                     std::chrono::milliseconds declared) const;
-  // A time that most runs stay below: the usual one and a standard deviation of its logarithm.
+  // An upper estimate that most runs stay below: the typical time plus one standard deviation, both
+  // taken on the logarithm.
   std::chrono::milliseconds UpperEstimate(team_index team, workload_kind kind,
                                           std::chrono::milliseconds declared) const;
 
  private:
-  // Mean and spread of a logarithm, the recent past weighing most.
+  // Exponentially weighted mean and deviation of a logarithm.
   struct log_mean {
     double mean = 0;
     double square = 0;
--- a/src/process/service_policy.cc
+++ b/src/process/service_policy.cc
@@ -6,9 +6,10 @@
 namespace catkinford {
 namespace {
 
-constexpr uint32_t kProbes = 64;  // candidates looked at before all are
+constexpr uint32_t kProbes = 64;  // candidates probed before the full search
 
-// How many replicas of the job a candidate would share its failure domain, rack and endpoint with.
+// Number of the job's replicas in the candidate's failure domain, in its rack and on the candidate
+// itself.
 struct neighbours {
   uint32_t in_domain = 0;
   uint32_t in_rack = 0;
@@ -46,8 +47,8 @@
     return true;
   };
   endpoints.Open().VisitLeastLoaded(need, kProbes, job.request.id.lo, offer);
-  // The least loaded endpoints may all stand in racks that have a replica: one loss of a rack would
-  // then take several. Look at all others before that is accepted.
+  // The least loaded endpoints may all be in racks that already have a replica, and the loss of one
+  // rack would take several. Search all endpoints before accepting that.
   const bool shares_rack = best.endpoint == kNoEndpoint || std::get<2>(best.value) > 0;
   if (shares_rack) endpoints.Open().VisitAll(need, offer);
   if (best.endpoint == kNoEndpoint) return false;
--- a/src/process/waiting_queues.cc
+++ b/src/process/waiting_queues.cc
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr uint32_t kBlocksBeforeUpdate = 1024;
-// Batch work goes before work of its team that is expected to run at least so many times as long,
-// which is passed at most so often. `policy`, seeds 1 to 5, mean wait of batch work in ms
-// (kitamura, altynsay, both): in order of arrival 4,900, 4,366, 4,714; 4 times, passed 8 times
-// 4,541, 4,130, 4,421; 4 and 32 4,395, 4,129, 4,452; 2 and 16 4,162, 3,897, 4,089, with a p99 up to
-// 8 % higher in kitamura and the same elsewhere.
+// A batch job overtakes jobs of its team with an expected run time at least this many times as
+// long; each job is overtaken at most kMaxOvertaken times. Mean wait of batch jobs in ms for two
+// workload mixes and their union (seeds 1 to 5): in order of arrival 4,900, 4,366, 4,714; 4 times,
+// overtaken 8 times 4,541, 4,130, 4,421; 4 and 32 4,395, 4,129, 4,452; 2 and 16 4,162, 3,897,
+// 4,089, with a p99 up to 8 % higher in the first mix and unchanged in the others.
 constexpr int kOvertakeRatio = 2;
 constexpr uint32_t kMaxOvertaken = 16;
-constexpr uint32_t kMaxOvertakesPerJob = 64;  // by one job: bounds the time of a submission
+constexpr uint32_t kMaxOvertakesPerJob = 64;  // by one job: limits the time of a submission
 
 }  // namespace
 
@@ -46,7 +46,7 @@
   ready_[static_cast<size_t>(ref.kind)].insert({ratio, ref.team});
 }
 
-// Takes the lane out of the order or the list of blocked lanes.
+// Removes the queue from the service order or from the list of blocked queues.
 void waiting_queues::DropState(const queue_ref& ref) {
   waiting_queue& queue = At(ref);
   if (queue.state == queue_state::kReady) {
@@ -62,8 +62,8 @@
   }
 }
 
-// The job of the lane that a new one goes before, or none. Long batch jobs are passed a bounded
-// number of times: with no bound they would wait for as long as short ones come.
+// Returns the first job that a new one overtakes, or none. Long batch jobs are overtaken a limited
+// number of times; otherwise they would wait for as long as short ones arrive.
 job_handle waiting_queues::FirstToOvertake(const waiting_queue& queue, const job_record& job) {
   job_handle first = kNoJob;
   if (job.expected.count() == 0 || ClassOf(job.request) != queue_class::kBatch) return first;
@@ -155,7 +155,7 @@
   UpdateMinNeed(min_need);
 }
 
-// Lanes that leave do not raise it at once; now and then it is worked out anew.
+// Queues that leave do not raise the bound at once; it is recomputed from time to time.
 void waiting_queues::UpdateMinNeed(const resources& need) {
   min_need_ = capacity_blocked_.size() == 1 ? need : SmallestOf(min_need_, need);
   if (++blocks_ < kBlocksBeforeUpdate) return;
--- a/src/process/waiting_queues.h
+++ b/src/process/waiting_queues.h
@@ -1,7 +1,7 @@
-// Waiting jobs: a lane for each team and class of work, and the order between lanes.
+// Waiting jobs: one queue for each team and class of work, and the order between queues.
 //
-// A lane is a list through the jobs themselves, so that a job leaves at the same cost wherever it
-// stands: a wave of cancellations does not slow down placements.
+// A queue is an intrusive list through the job records, so that removing a job costs the same at
+// any position and a burst of cancellations does not slow down placements.
 #ifndef CATKINFORD_PROCESS_WAITING_QUEUES_H_
 #define CATKINFORD_PROCESS_WAITING_QUEUES_H_
 
@@ -20,7 +20,7 @@
 
 namespace catkinford {
 
-// In the order in which equal shares are served.
+// In the order in which queues of equal share are served.
 enum class queue_class : uint8_t { kUrgent, kInteractive, kService, kGang, kBatch };
 constexpr size_t kQueueClasses = 5;
 
@@ -31,10 +31,10 @@
   team_index team = 0;
 };
 
-// The order in which lanes are served: the lowest goes first, and no two are equal.
+// Service order of queues: the lowest rank goes first, and no two are equal.
 struct queue_rank {
-  int first = 0;     // urgent work, then callers within their share, then all other work
-  double ratio = 0;  // of the team to its share
+  int first = 0;     // urgent jobs, then interactive jobs within their share, then all others
+  double ratio = 0;  // ratio of the team's usage to its share
   queue_ref ref;
 
   bool operator<(const queue_rank& other) const {
@@ -48,13 +48,14 @@
 enum class queue_state : uint8_t {
   kEmpty,
   kReady,
-  kNoCapacity,  // what stands first found no room
-  kNoGrant,     // what stands first would pass the team's grant
-  kPaused       // what stands first needs room on many endpoints: tried again after a time
+  kNoCapacity,  // the head found no capacity
+  kNoGrant,     // the head would exceed the team's grant
+  kPaused       // the head needs capacity on many endpoints: retried after a pause
 };
 
-// Jobs of a lane that are tried before it counts as blocked. Packing and p99 on a full floor of 467
-// endpoints: 4 0.969, 25 us; 8 0.973, 34 us; 16 0.979, 70 us; 32 0.982, 146 us.
+// Jobs of a queue that are tried before it counts as blocked. Packing and p99 decision time with
+// 467 endpoints at full capacity: 4 0.969, 25 us; 8 0.973, 34 us; 16 0.979, 70 us; 32 0.982, 146
+// us.
 constexpr uint32_t kQueueDepth = 16;
 
 using queue_needs = absl::InlinedVector<resources, kQueueDepth>;
@@ -65,22 +66,23 @@
   uint32_t jobs = 0;
   uint32_t tasks = 0;
   queue_state state = queue_state::kEmpty;
-  bool waits_for_grant = false;  // while blocked: a higher grant would help something in it
+  bool waits_for_grant = false;  // while blocked: a higher grant would help a job in it
   bool pausing = false;          // a timer ends the pause
-  bool watched = false;          // a timer looks after what stands first
-  double ratio = 0;              // the key under which it stands in the order
-  queue_needs needs;             // while kNoCapacity: one of these has to fit somewhere
-  uint32_t position = 0;         // while kNoCapacity: in the list of such lanes
+  bool watched = false;          // a timer will check the head
+  double ratio = 0;              // its key in the service order
+  queue_needs needs;             // while kNoCapacity: one of these must fit on some endpoint
+  uint32_t position = 0;         // while kNoCapacity: index in the list of such queues
   drain_rate_estimator drain_rate;
-  virtual_queue rejected;  // who was told to come back
+  virtual_queue rejected;  // callers rejected with Retry-After
 };
 
-// A lane that waits for room. Flat and small: each round on a full floor looks through all of them.
+// A queue that waits for capacity. Flat and small, as each round at full capacity scans all of
+// them.
 struct blocked_queue {
-  resources min_need;  // less than this in any amount helps nothing in the lane
-  uint64_t tried = 0;  // the round in which it last found no room
+  resources min_need;  // less than this in any amount helps no job in the queue
+  uint64_t tried = 0;  // the round in which it last found no capacity
   queue_ref ref;
-  bool withheld = false;  // there is room, but it is kept for callers who wait for an answer
+  bool withheld = false;  // capacity is free but withheld for interactive requests
 };
 
 class waiting_queues {
@@ -88,38 +90,40 @@
   explicit waiting_queues(job_table& jobs) : jobs_(jobs) {}
 
   waiting_queue& At(const queue_ref& ref);
-  // The same for a lane that is known to exist.
+  // Like At(), for a queue that is known to exist.
   const waiting_queue& Peek(const queue_ref& ref) const {
     return teams_[ref.team][static_cast<size_t>(ref.kind)];
   }
 
-  // `front`: a job whose tasks have waited before and come back. Short batch work goes before work
-  // that is expected to run for long.
+  // `front`: a job whose tasks are queued again. Short batch jobs are inserted ahead of jobs with a
+  // long expected run time.
   void Append(job_handle job, bool front, double ratio);
-  // Whether the job is among those that are tried before its lane counts as blocked.
+  // Whether the job is among those tried before its queue counts as blocked.
   bool IsWithinDepth(job_handle job) const;
   void Remove(job_handle job);
-  // The lane's count of tasks when a task of a queued job starts.
+  // Updates the task count of the queue when a task of a queued job starts.
   void OnTaskStarted(const queue_ref& ref) { --At(ref).tasks; }
 
-  // The team's share changed.
+  // Updates the ratio of the team's usage to its share.
   void Rekey(team_index team, double ratio);
 
-  // The ready lane of a class with the lowest ratio.
+  // The ready queue of a class with the lowest ratio.
   std::optional<queue_ref> First(queue_class kind) const;
   void Block(const queue_ref& ref, queue_state why, const queue_needs& needs, bool waits_for_grant,
              uint64_t round, bool withheld);
   void Unblock(const queue_ref& ref);
-  // Unblocks the team's lanes that wait for its grant.
+  // Unblocks the team's queues that wait for its grant.
   void GrantChanged(team_index team);
-  // Lanes that wait for room, in no order.
+  // Queues that wait for capacity, in no particular order.
   const std::vector<blocked_queue>& CapacityBlocked() const { return capacity_blocked_; }
   uint32_t WithheldQueues() const { return withheld_queues_; }
-  // Of a class, those for which there is no room at all, not even what is kept.
+  // Number of queues of a class that wait for capacity, not counting those it is only withheld
+  // from.
   uint32_t CapacityBlockedCount(queue_class kind) const {
     return capacity_blocked_count_[static_cast<size_t>(kind)];
   }
-  // No lane that waits for room needs less than this in any amount; it may be too low for a while.
+  // Lower bound of the need of every queue that waits for capacity, in each amount; may be lower
+  // than necessary for a while.
   const resources& MinNeed() const { return min_need_; }
   bool AnyReady() const;
 
@@ -137,7 +141,7 @@
   std::array<uint32_t, kQueueClasses> capacity_blocked_count_{};
   uint32_t withheld_queues_ = 0;
   resources min_need_;
-  uint32_t blocks_ = 0;  // since min_need_ was worked out anew
+  uint32_t blocks_ = 0;  // since min_need_ was last recomputed
 };
 
 }  // namespace catkinford
