--- a/src/process/drain_rate_estimator.cc
+++ b/src/process/drain_rate_estimator.cc
@@ -8,13 +8,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::chrono::duration<double> kWindow{2.0};  // the past fades by 1/e in this time
+constexpr std::chrono::duration<double> kWindow{2.0};  // time constant of the decay (1/e)
 constexpr std::chrono::duration<double> kMinMeasured{0.25};
-// Tasks counted besides those that drained. In the first moments of a backlog two or three decide
-// what a whole queue is told, and one too few sheds work that would have started in time: `shares`
-// showed requests shed 0.3 s after the begin of a load that fits.
+// Added to the count of drained tasks. In the first moments of a backlog two or three tasks
+// determine the estimate for the whole queue, and one too few sheds requests that would have
+// started in time: requests were shed 0.3 s after the start of a load that fits.
 constexpr double kExtraCount = 1;
-constexpr double kMinRate = 1e-3;  // tasks a second; below it the rate says nothing
+constexpr double kMinRate = 1e-3;  // tasks per second; lower rates are treated as unknown
 constexpr double kMaxMs = 1e9;
 constexpr milliseconds kMinRetryAfter{50};
 constexpr milliseconds kMaxRetryAfter{30000};
@@ -45,7 +45,7 @@
     monotonic_time now) const {
   const std::chrono::duration<double> measured = now - began_;
   if (!running_ || measured < kMinMeasured) return std::nullopt;
-  // Until a whole window was measured, the count stands for the part that was.
+  // Until a full window was measured, the count covers only the measured part.
   const double part = 1.0 - std::exp(-(measured / kWindow));
   const double per_second = (DecayedCount(now) + kExtraCount) / (kWindow.count() * part);
   if (per_second < kMinRate) return std::nullopt;
--- a/src/process/endpoint_health.cc
+++ b/src/process/endpoint_health.cc
@@ -5,14 +5,14 @@
 namespace catkinford {
 namespace {
 
-constexpr double kDecay = 0.9;          // about the last ten runs count
-constexpr double kMinBad = 3;           // bad runs among them before anything is said
-constexpr double kMinRatio = 0.5;       // and the share of them
-constexpr double kPeerRatioFactor = 3;  // and so many times the ratio of the peers
+constexpr double kDecay = 0.9;          // about the last ten runs have weight
+constexpr double kMinBad = 3;           // minimum weight of bad runs before ejection
+constexpr double kMinRatio = 0.5;       // and their minimum ratio
+constexpr double kPeerRatioFactor = 3;  // and the minimum multiple of the peers' ratio
 constexpr uint32_t kProbationRuns = 3;
 constexpr std::chrono::seconds kFirstEjection{10};
 constexpr uint32_t kMaxDoublings = 5;
-constexpr uint32_t kEjectableDivisor = 10;  // part of a shard that may be ejected
+constexpr uint32_t kEjectableDivisor = 10;  // at most one in this many endpoints is ejected
 
 }  // namespace
 
--- a/src/process/endpoint_health.h
+++ b/src/process/endpoint_health.h
@@ -1,7 +1,7 @@
-// Failure ratio of one endpoint, and its way out of the shard and back.
+// Tracks the failure ratio of one endpoint and its ejection from and return to the shard.
 //
-// By its failures and not by its speed: an endpoint that fails at once whatever it starts always
-// looks free, and would draw all work to itself.
+// Judged by failures, not by speed: an endpoint that fails every task immediately always looks free
+// and would attract all work.
 #ifndef CATKINFORD_PROCESS_ENDPOINT_HEALTH_H_
 #define CATKINFORD_PROCESS_ENDPOINT_HEALTH_H_
 
@@ -14,11 +14,11 @@
 
 enum class health_state : uint8_t {
   kGood,
-  kEjected,   // gets nothing until a time
-  kProbation  // gets one task at a time until some have gone well
+  kEjected,   // receives no work until a given time
+  kProbation  // receives one task at a time until some have succeeded
 };
 
-// Recent good and bad runs, the past fading with each new one.
+// Recent good and bad runs, decaying with each new one.
 struct failure_ratio {
   double good = 0;
   double bad = 0;
@@ -32,11 +32,11 @@
 
 class endpoint_health {
  public:
-  // Notes the end of a run or of a start. True when the endpoint should be ejected, judged against
-  // the ratio of its peers.
+  // Records the result of a run or of a start. True when the endpoint should be ejected, compared
+  // with the ratio of its peers.
   bool Note(bool fault, const failure_ratio& peers);
 
-  // Takes it out; the time grows with each ejection that follows a failed probation.
+  // Ejects the endpoint; the time doubles with each ejection after a failed probation.
   void Eject(monotonic_time now);
   void BeginProbation();
 
@@ -51,8 +51,8 @@
   monotonic_time until_{};
 };
 
-// At most this many endpoints of a shard of `endpoints` are ejected at once: when more than that
-// fail, the fault lies elsewhere, and ejecting would only take the room away.
+// Maximum number of ejected endpoints in a shard of `endpoints`: if more fail, the cause lies
+// elsewhere, and ejecting them would only remove capacity.
 uint32_t EjectionLimit(uint32_t endpoints);
 
 }  // namespace catkinford
--- a/src/process/grant_store.cc
+++ b/src/process/grant_store.cc
@@ -9,19 +9,19 @@
 using std::chrono::milliseconds;
 
 constexpr char kGrantPrefix[] = "grants/";
-// A plan costs about 1 us for each team and shard of the fleet (catkinford-bench slopes): 1.1 times
-// what an entry may spend when all teams were planned once a second. It depends on the ledger, the
-// demands and the configuration alone, so it is made for what has news, at most this often.
+// A plan costs about 1 us for each team and shard of the fleet; planning all teams once a second
+// took 1.1 times the CPU budget of an entry. It depends only on the ledger, the demands and the
+// configuration, so only what has changed is planned, at most this often.
 constexpr milliseconds kPlanInterval{50};
-// All teams, news or not: what was missed by an error would otherwise be missed for ever.
+// All teams, changed or not, so that a missed change is repaired in the end.
 constexpr milliseconds kFullPlanInterval{60000};
 constexpr milliseconds kStoreRetry{300};
 constexpr milliseconds kWatchWait{20000};
-constexpr milliseconds kWatchInterval{200};  // between two watches, however much changes
+constexpr milliseconds kWatchInterval{200};  // minimum interval between two watches
 
-// How long after a reply the next plan waits. At once would be a storm: two shards that want the
-// same part answer each other's writes, and a store that refuses for its rate is asked again as
-// fast as it refuses (461,000 writes in 40 s, seen in limit_lowered_under_load, seed 2).
+// Delay of the next plan after a reply. Without it two shards that want the same part answer each
+// other's writes, and a store that rejects for its rate limit is called again as fast as it rejects
+// (461,000 writes in 40 s in a simulated limit reduction, seed 2).
 milliseconds RetryAfter(store_status status) {
   const bool refused = status == store_status::kUnavailable || status == store_status::kUnknown;
   return refused ? kStoreRetry : kPlanInterval;
@@ -40,7 +40,7 @@
 void grant_store::OnGained(const std::string& shard_name, uint64_t epoch) {
   OnLost(shard_name);
   held_.emplace(shard_name, held_shard(grant_holder(shard_name, epoch)));
-  watched_ = 0;  // the new holder has seen nothing yet
+  watched_ = 0;  // the new holder has received no values yet
 }
 
 void grant_store::OnLost(const std::string& shard_name) {
@@ -152,17 +152,17 @@
           held_shard& held = held_.at(shard_name);
           held.holder.OnReply(key, reply);
           held.changed = true;
-          // Demands that changed while the write was under way were not planned.
+          // Demands that changed while the write was in flight were not planned.
           held.replan_at[key] = now + RetryAfter(reply.status);
           held.next_prepare = held.replan_at[key];
         });
       });
 }
 
-// A shard that holds an unused part learns only here that another is starved: its own plan, made on
-// what it last saw, would change nothing and so meet no conflict. Without the watch the part lay
-// idle beside waiting work (limit_lowered_under_load, seed 2). A steady load changes nothing and
-// the watch waits.
+// A shard that holds an unused part learns only from the watch that another shard is starved: its
+// own plan, based on its last read, would change nothing and thus meet no conflict. Without the
+// watch the part stayed unused while jobs waited (simulated limit reduction, seed 2). Under a
+// steady load nothing changes and the watch blocks.
 void grant_store::Watch(monotonic_time now) {
   watching_ = true;
   next_watch_ = now + kWatchInterval;
--- a/src/process/grant_store.h
+++ b/src/process/grant_store.h
@@ -1,5 +1,5 @@
-// Moves parts of the teams' limits to the shards owned here: one grant_holder for each shard, fed
-// with the shard's demands, its writes sent to the store.
+// Moves parts of the teams' limits to the shards owned by this entry: one grant_holder for each
+// shard, fed with the shard's demands; its writes go to the store.
 #ifndef CATKINFORD_PROCESS_GRANT_STORE_H_
 #define CATKINFORD_PROCESS_GRANT_STORE_H_
 
@@ -26,11 +26,11 @@
 
   void OnGained(const std::string& shard_name, uint64_t epoch);
   void OnLost(const std::string& shard_name);
-  // Reads and stamps the parts of shards that are not open yet.
+  // Reads the parts of shards that are not open yet and stamps them with the owner's epoch.
   void Prepare(monotonic_time now);
-  // The shard may open: no earlier owner can change its parts any more.
+  // Whether the shard may open: no earlier owner can change its parts any more.
   bool Ready(const std::string& shard_name) const;
-  // Plans for the shards owned here and sets on them what they may use.
+  // Plans for the shards owned by this entry and updates their usable grants.
   void Tick(const std::vector<shard*>& owned, const std::shared_ptr<const configuration>& config,
             monotonic_time now);
   uint64_t Moves() const { return moves_; }
@@ -43,17 +43,17 @@
     std::vector<grant_demand> planned;  // the demands of the last plan
     std::shared_ptr<const configuration> config;
     bool all_listed = false;  // at the last plan
-    // Values of the ledger that are to be planned anew, with all their teams, and when.
+    // Keys of the ledger that are to be planned again, with all their teams, and when.
     std::map<std::string, monotonic_time> replan_at;
     monotonic_time next_plan{};
     monotonic_time next_full_plan{};
-    bool changed = true;  // usable grants must be set again
+    bool changed = true;  // usable grants must be updated
     bool read = false;
     bool reading = false;
     monotonic_time next_prepare{};
   };
 
-  // Of these demands, those for which something has changed since the last plan.
+  // Returns the demands for which something has changed since the last plan.
   static std::vector<grant_demand> Changed(held_shard& held, std::vector<grant_demand> demands,
                                            const std::shared_ptr<const configuration>& config,
                                            bool all_listed, monotonic_time now);
--- a/src/process/identity_history.cc
+++ b/src/process/identity_history.cc
@@ -12,7 +12,7 @@
   Expire(now);
   if (entries_.contains(id)) return identity_verdict::kKnown;
   if (!fresh && !Certain(now)) return identity_verdict::kUncertain;
-  // Forgetting an older identity for this one would let the older one run twice.
+  // Evicting an older identity for this one would let the older one run twice.
   if (entries_.size() >= options_.capacity) return identity_verdict::kFull;
   entries_.emplace(id, entry{});
   return identity_verdict::kNew;
@@ -35,12 +35,12 @@
   End(id, result.kind, result.answer, now);
 }
 
-// The first ending counts: a caller that asks again gets the same answer as the first one.
+// The first result counts: a caller that repeats its request gets the same answer.
 void identity_history::End(const request_id& id, outcome_kind kind, const std::string& answer,
                            monotonic_time now) {
   entry& known = entries_[id];
   const bool had_ended = known.ended != monotonic_time{};
-  // That it may have run is no ending; what really happened can still become known.
+  // An unknown outcome is not final; the actual result can still arrive.
   if (had_ended && known.kind != outcome_kind::kUnknown) return;
   known.kind = kind;
   known.ended = now;
@@ -79,7 +79,7 @@
     const ending oldest = endings_.front();
     endings_.pop_front();
     const auto found = entries_.find(oldest.id);
-    // Another ending, of a later run of the same identity, has its own place in the queue.
+    // A later run of the same identity has its own entry in the queue.
     if (found == entries_.end() || found->second.ended != oldest.ended) continue;
     entries_.erase(found);
     const auto answer = answers_.find(oldest.id);
--- a/src/process/identity_history.h
+++ b/src/process/identity_history.h
@@ -1,10 +1,11 @@
-// At most once: which requests marked not repeatable this shard has begun, and how they ended.
+// At-most-once execution: which requests marked not repeatable this shard has started, and how they
+// ended.
 //
-// The fenced lists of all endpoints are the durable part of this memory, since endpoints retain
+// The fenced listings of all endpoints are the durable part of this history, since endpoints retain
 // finished tasks for the identity window. A new owner that has fenced and listed every endpoint
-// knows what started; what is in no list never started, and with its epoch refused never can.
-// Until then, and where an endpoint's list is lost for good, an identity that is not known here
-// may have run. docs/design/ tells what was weighed.
+// knows what was started; what is in no listing was never started and, as its old epoch is
+// rejected, never can be. Until then, and where the listing of an endpoint is lost for good, an
+// unknown identity may have run. See docs/design/ for the trade-offs.
 #ifndef CATKINFORD_PROCESS_IDENTITY_HISTORY_H_
 #define CATKINFORD_PROCESS_IDENTITY_HISTORY_H_
 
@@ -23,22 +24,22 @@
 namespace catkinford {
 
 struct identity_options {
-  std::chrono::milliseconds window{30000};  // remembered for this long after its end
+  std::chrono::milliseconds window{30000};  // an identity is kept for this long after its end
   size_t capacity = 400000;                 // identities
-  size_t answer_bytes = 32 << 20;           // of all kept answers together
+  size_t answer_bytes = 32 << 20;           // of all stored answers together
 };
 
 enum class identity_verdict : uint8_t {
-  kNew,        // surely never started: it is begun now, and may be started once
-  kKnown,      // begun before: see Find()
-  kUncertain,  // may have run under an earlier owner: the caller is told unknown
-  kFull,       // no room to remember it, so it must not start
+  kNew,        // certainly never started: recorded now, may be started once
+  kKnown,      // started before: see Find()
+  kUncertain,  // may have run under an earlier owner: the outcome is unknown
+  kFull,       // the history is full, so it must not start
 };
 
 struct known_identity {
   bool finished = false;
-  outcome_kind kind = outcome_kind::kUnknown;  // once finished
-  bool has_answer = false;                     // false: the answer was given up for room
+  outcome_kind kind = outcome_kind::kUnknown;  // valid once finished
+  bool has_answer = false;                     // false: the answer was dropped to free memory
   std::string answer;
 };
 
@@ -46,33 +47,33 @@
  public:
   explicit identity_history(identity_options options) : options_(options) {}
 
-  // The endpoints of the shard whose fenced list has not come yet.
+  // Sets the number of endpoints of the shard whose fenced listing has not arrived.
   void SetUnlisted(size_t endpoints) { unlisted_ = endpoints; }
-  // An endpoint was lost before this owner had listed it, or had lost its own memory: what it ran
-  // is known to nobody.
+  // An endpoint was lost before this owner had listed it, or lost its own history: what it ran is
+  // unknown.
   void OnListingLost(monotonic_time now);
 
-  // `fresh`: the entry made the identity itself and has sent it nowhere before, so no earlier owner
-  // can have seen it.
+  // `fresh`: the entry generated the identity itself and has not sent it before, so no earlier
+  // owner can have seen it.
   identity_verdict Begin(const request_id& id, bool fresh, monotonic_time now);
-  // From a fenced list.
+  // Records a task from a fenced listing.
   void AddRunning(const request_id& id, monotonic_time now);
   void AddFinished(const request_id& id, outcome_kind kind, const std::string& answer,
                    monotonic_time now);
-  // The end of a run. A refusal means that nothing ran: the identity is free again.
+  // Records the end of a run. A rejection means that nothing ran: the identity may be used again.
   void Finish(const request_id& id, const outcome& result, monotonic_time now);
   std::optional<known_identity> Find(const request_id& id) const;
-  // Forgets what ended longer ago than the window.
+  // Removes identities that ended longer ago than the window.
   void Expire(monotonic_time now);
 
-  // Whether an unknown identity is surely one that never started.
+  // Whether an unknown identity certainly never started.
   bool Certain(monotonic_time now) const { return unlisted_ == 0 && now >= uncertain_until_; }
   size_t Size() const { return entries_.size(); }
   size_t AnswerBytes() const { return answer_bytes_; }
 
  private:
   struct entry {
-    monotonic_time ended{};  // zero: it runs
+    monotonic_time ended{};  // zero: still running
     outcome_kind kind = outcome_kind::kUnknown;
   };
   struct ending {
@@ -87,7 +88,7 @@
   absl::flat_hash_map<request_id, entry> entries_;
   absl::flat_hash_map<request_id, std::string> answers_;
   std::deque<request_id> answer_order_;
-  std::deque<ending> endings_;  // in the order of time
+  std::deque<ending> endings_;  // in order of time
   size_t answer_bytes_ = 0;
   size_t unlisted_ = 0;
   monotonic_time uncertain_until_{};
--- a/src/process/instance_polling.cc
+++ b/src/process/instance_polling.cc
@@ -90,7 +90,7 @@
     if (!names.contains(name)) message.gone.push_back(name);
   }
   for (const std::string& name : message.gone) Erase(name);
-  // The first list of a new entry is no change: its neighbours have theirs.
+  // The first list of a new entry is not a change: its neighbours have their own.
   if (!std::exchange(has_list_, true)) message = {};
   message.digest = digest_;
   reading_ = false;
@@ -105,7 +105,7 @@
   if (!has_list_) return false;
   bool changed = false;
   for (const instance& one : message.changed) {
-    // Known only by a change that says nothing of its address: it cannot be called yet.
+    // Known only from a change without an address: it cannot be called yet.
     if (one.address.empty() && !list_.contains(one.name)) continue;
     changed |= Put(one);
   }
--- a/src/process/rejection_history.cc
+++ b/src/process/rejection_history.cc
@@ -14,7 +14,7 @@
 std::optional<outcome> rejection_history::Find(const request_id& id, uint64_t ask) const {
   const auto found = rejections_.find({id, ask});
   if (ask == 0 || found == rejections_.end()) return std::nullopt;
-  return RefusedOutcome(id, found->second.reason, found->second.retry_after, "refused before");
+  return RefusedOutcome(id, found->second.reason, found->second.retry_after, "already rejected");
 }
 
 void rejection_history::Expire(monotonic_time now) {
--- a/src/process/rejection_history.h
+++ b/src/process/rejection_history.h
@@ -1,9 +1,9 @@
-// Which asks of callers this shard has answered with "not run".
+// History of request attempts that this shard has answered with "not run".
 //
-// An entry sends a request again while it has no outcome, and such a sending may still be under way
-// when the refusal is. Taken for a new request it would run after its caller was told that it did
-// not. A caller that asks anew is another matter: its request is tried anew. So each ask has a
-// number, the same in all its sendings.
+// An entry sends a request again while it has no outcome, and such a message may still be in flight
+// when the rejection is sent. Treated as a new request it would run after its caller was told that
+// it did not. A caller that submits again is a different case: its request is tried anew. So each
+// submission has a number, `ask`, which is the same in all messages that repeat it.
 #ifndef CATKINFORD_PROCESS_REJECTION_HISTORY_H_
 #define CATKINFORD_PROCESS_REJECTION_HISTORY_H_
 
@@ -23,11 +23,11 @@
 
 class rejection_history {
  public:
-  // `window`: longer than a sending can be under way. Beyond `capacity` the oldest is forgotten.
+  // `window`: longer than a message can be in flight. Beyond `capacity` the oldest is removed.
   rejection_history(std::chrono::milliseconds window, size_t capacity)
       : window_(window), capacity_(capacity) {}
 
-  // Ask zero is nobody's.
+  // `ask` zero means no number and is not recorded.
   void Add(const request_id& id, uint64_t ask, const outcome& refused, monotonic_time now);
   std::optional<outcome> Find(const request_id& id, uint64_t ask) const;
   void Expire(monotonic_time now);
--- a/src/process/removed_endpoints.cc
+++ b/src/process/removed_endpoints.cc
@@ -10,7 +10,7 @@
                                                    monotonic_time now) {
   std::map<std::string, monotonic_time> missing;
   std::vector<std::string> removed;
-  // A list without any endpoint is a fault of the platform's, not the end of all of them.
+  // An empty list is a fault of the platform, not the removal of all endpoints.
   if (listed.empty()) {
     missing_since_.clear();
     return removed;
--- a/src/process/removed_endpoints.h
+++ b/src/process/removed_endpoints.h
@@ -1,5 +1,5 @@
-// Which drained endpoints are gone for good: off the platform's list for long enough that a list
-// which lags or comes back short is no reason to give them work again. Pure.
+// Detects drained endpoints that were removed permanently: absent from the platform's list for so
+// long that a list which lags or is incomplete is no reason to give them work again. Pure.
 #ifndef CATKINFORD_PROCESS_REMOVED_ENDPOINTS_H_
 #define CATKINFORD_PROCESS_REMOVED_ENDPOINTS_H_
 
@@ -15,7 +15,7 @@
 
 class removed_endpoints {
  public:
-  // Those of `drained` that have been missing in every list since at least `wait`.
+  // Returns those of `drained` that have been absent from every list for at least `wait`.
   std::vector<std::string> Update(const std::vector<std::string>& drained,
                                   const std::set<std::string>& listed,
                                   std::chrono::milliseconds wait, monotonic_time now);
--- a/src/process/request_table.cc
+++ b/src/process/request_table.cc
@@ -10,7 +10,7 @@
 
 constexpr milliseconds kRetryAfter{500};
 
-// Refusals of one shard that another shard may not share.
+// Whether another shard may accept a request that one shard has rejected.
 bool MayTryElsewhere(const outcome& result) {
   if (result.kind != outcome_kind::kRefused) return false;
   switch (result.reason) {
@@ -104,8 +104,8 @@
 void request_table::Send(pending_request& request, const std::string& owner, monotonic_time now,
                          table_actions& out) {
   place_message place = request.entry.place;
-  // A new identity has never been sent by us; one with a caller's key may have been sent by another
-  // entry, unless its caller says that this is the first time.
+  // A new identity has not been sent before; one with a caller's key may have been sent by another
+  // entry, unless its caller states that this is the first time.
   place.fresh = request.sends == 0 && (!request.entry.keyed || request.entry.first_ask);
   if (request.deadline != monotonic_time{}) {
     const auto left = std::chrono::ceil<milliseconds>(request.deadline - now);
@@ -115,7 +115,7 @@
   out.sends.push_back({owner, std::move(place)});
 }
 
-// Another shard for a request that surely runs nowhere.
+// Selects another shard for a request that certainly runs nowhere.
 bool request_table::ChooseNextShard(pending_request& request, monotonic_time now) {
   place_message& place = request.entry.place;
   const uint64_t seed = place.id.hi + request.hops;
@@ -129,10 +129,11 @@
 
 outcome request_table::TimeoutOutcome(const pending_request& request) const {
   const request_id& id = request.entry.place.id;
-  if (request.sends > 0) return UnknownOutcome(id, "its owner gave no outcome in time");
-  // The same key may have been presented at another entry and have run there.
+  if (request.sends > 0)
+    return UnknownOutcome(id, "the owner of its shard returned no outcome in time");
+  // The same key may have been sent to another entry and have run there.
   if (request.entry.keyed && !request.entry.first_ask) {
-    return UnknownOutcome(id, "the shard that remembers this key cannot be reached");
+    return UnknownOutcome(id, "the shard that records this key is unreachable");
   }
   return RefusedOutcome(id, refusal_reason::kOwnerUnreachable, kRetryAfter,
                         "no owner of a suitable shard could be reached");
@@ -153,7 +154,7 @@
     request.tried.push_back(request.entry.place.shard);
     ++request.hops;
     if (ChooseNextShard(request, now)) {
-      request.sends = 0;  // refused is proof that the last shard does not run it
+      request.sends = 0;  // a rejection proves that the last shard does not run it
       Step(result.id, request, now, out);
       return;
     }
--- a/src/process/request_table.h
+++ b/src/process/request_table.h
@@ -1,5 +1,5 @@
-// The requests that callers of this entry wait for: sent to the owner of their shard, sent again
-// when the owner changes or keeps silent, and answered at their time whatever happens. Pure.
+// Requests that callers of this entry wait for: sent to the owner of their shard, sent again when
+// the owner changes or does not answer, and answered by their time limit in any case. Pure.
 #ifndef CATKINFORD_PROCESS_REQUEST_TABLE_H_
 #define CATKINFORD_PROCESS_REQUEST_TABLE_H_
 
@@ -19,16 +19,16 @@
 namespace catkinford {
 
 struct table_options {
-  std::chrono::milliseconds resend{1000};           // while no outcome comes
-  std::chrono::milliseconds resend_accepted{5000};  // while a caller waits for a durable job's end
-  std::chrono::milliseconds retry_send{50};         // after a send that surely failed
-  std::chrono::milliseconds owner_wait{5000};       // how long a shard may be without an owner
-  std::chrono::milliseconds answer_grace{250};      // for the owner's word after the deadline
+  std::chrono::milliseconds resend{1000};           // while no outcome has arrived
+  std::chrono::milliseconds resend_accepted{5000};  // while a caller waits for a durable job
+  std::chrono::milliseconds retry_send{50};         // after a send that is known to have failed
+  std::chrono::milliseconds owner_wait{5000};       // how long a shard may have no owner
+  std::chrono::milliseconds answer_grace{250};      // for the owner's answer after the deadline
   uint32_t max_hops = 3;                            // shards that one request may try
-  uint64_t first_ask = 1;  // number of the first ask; higher than any of an earlier process
+  uint64_t first_ask = 1;  // first `ask` number; higher than any of an earlier process
 };
 
-// What has become ready: places to send, and calls whose outcomes are all there.
+// Pending actions: messages to send, and calls with all outcomes complete.
 struct place_to_send {
   std::string owner;
   place_message place;
@@ -45,12 +45,12 @@
   std::vector<answered_call> answers;
 };
 
-// One job of a call, with its team found and its identity given.
+// One job of a call, with its team resolved and its identity assigned.
 struct table_entry {
   place_message place;  // `shard` is chosen here
-  bool keyed = false;   // its caller may present the same identity at another entry
+  bool keyed = false;   // its caller may send the same identity to another entry
   bool first_ask = false;
-  std::chrono::milliseconds answer_timeout{0};  // when the caller is answered at the latest
+  std::chrono::milliseconds answer_timeout{0};  // the caller is answered by then at the latest
 };
 
 class request_table {
@@ -59,22 +59,22 @@
 
   void BeginCall(http_server::token token, bool is_batch, std::vector<workload_kind> kinds,
                  monotonic_time now);
-  // One job of the call; several callers may wait for one identity.
+  // Adds one job of the call; several callers may wait for one identity.
   void Add(http_server::token token, size_t slot, table_entry entry, monotonic_time now,
            table_actions& out);
-  // One job that is answered without being sent.
+  // Answers one job without sending it.
   void Settle(http_server::token token, size_t slot, outcome result, table_actions& out);
 
   void OnOutcome(const outcome& result, monotonic_time now, table_actions& out);
-  // A place did not get through. `undelivered`: the owner has not seen it.
+  // A place message was not delivered. `undelivered`: the owner certainly has not received it.
   void OnSendFailed(const request_id& id, bool undelivered, monotonic_time now);
-  // A shard has a new owner: what waits for it is sent again at once.
+  // A shard has a new owner: requests waiting for it are sent again at once.
   void OnNewOwner(const std::string& shard, monotonic_time now);
   void Tick(monotonic_time now, table_actions& out);
   monotonic_time NextWake() const;
 
   size_t Pending() const { return pending_.size(); }
-  // The shard that a waiting request was sent to; null when it is not known here.
+  // The shard that a waiting request was sent to; null when unknown.
   const std::string* ShardOf(const request_id& id) const;
 
  private:
@@ -86,11 +86,11 @@
     table_entry entry;
     std::vector<waiter> waiters;
     monotonic_time answer_by{};
-    monotonic_time deadline{};  // for the owner; epoch of the clock: none
+    monotonic_time deadline{};  // sent to the owner; epoch of the clock: none
     monotonic_time
-        ownerless_since{};  // since when its shard has no owner; epoch of the clock: it has
+        ownerless_since{};  // since when its shard has no owner; epoch of the clock: it has one
     monotonic_time next{};
-    uint32_t sends = 0;  // that the owner may have seen
+    uint32_t sends = 0;  // messages that the owner may have received
     uint32_t hops = 0;
     bool accepted = false;
     std::vector<std::string> tried;
--- a/src/process/router.cc
+++ b/src/process/router.cc
@@ -96,7 +96,7 @@
     live.push_back(&name);
     if (Fits(each, route.summary.largest_capacity)) able.push_back(&name);
   }
-  // Where none is known to hold it, an owner says so with the reason.
+  // If no shard is known to hold it, any owner will reject it with the reason.
   const std::vector<const std::string*>& from = able.empty() ? live : able;
   if (from.empty()) return nullptr;
   const std::string* best = from[seed % from.size()];
--- a/src/process/service_split.cc
+++ b/src/process/service_split.cc
@@ -7,11 +7,11 @@
 namespace catkinford {
 namespace {
 
-// A shard that may take replicas.
+// A shard that may receive replicas.
 struct candidate {
   std::string shard;
   std::string failure_domain;
-  uint32_t fitting = 0;  // replicas that its free amounts would hold
+  uint32_t fitting = 0;  // replicas that fit into its free capacity
   uint32_t assigned = 0;
   bool is_home = false;
 
@@ -34,8 +34,8 @@
                                      const router& routes, monotonic_time now) {
   std::vector<candidate> candidates;
   for (const auto& [name, route] : routes.Routes()) {
-    // An owner that has listed none of its endpoints yet will know more in a moment. Passing it
-    // over would put whole services into the other domains after each start of a fleet.
+    // An owner that has listed none of its endpoints yet will know its capacity soon. Skipping it
+    // would place whole services in the other domains after each start of a fleet.
     const bool is_listing = route.summary.open_endpoints == 0 && route.endpoints > 0;
     const bool can = is_listing || Fits(job.each, route.summary.largest_capacity);
     if (!routes.OwnerOf(name, now) || !can) continue;
@@ -45,9 +45,9 @@
   return candidates;
 }
 
-// The shard of the next replica. A domain with room goes before one without, then the one with the
-// fewest replicas; in a domain, a shard that has some already, since each further one costs a
-// record of its own.
+// The shard of the next replica. Domains with free capacity go before those without, then those
+// with the fewest replicas; within a domain, shards that already have some, since each further
+// shard costs a record of its own.
 candidate* NextShard(std::vector<candidate>& candidates) {
   std::map<std::string, uint32_t> in_domain;
   for (const candidate& one : candidates) in_domain[one.failure_domain] += one.assigned;
--- a/src/process/team_names.h
+++ b/src/process/team_names.h
@@ -1,5 +1,5 @@
-// Dense numbers for teams. Numbers are never used again, so a late report about a team that left
-// the contract cannot be taken for another's.
+// Dense indices of teams. An index is never reused, so a late report about a team that was removed
+// from the contract is not attributed to another team.
 #ifndef CATKINFORD_PROCESS_TEAM_NAMES_H_
 #define CATKINFORD_PROCESS_TEAM_NAMES_H_
 
--- a/src/process/team_table.cc
+++ b/src/process/team_table.cc
@@ -5,7 +5,7 @@
 namespace catkinford {
 namespace {
 
-constexpr double kMinWeight = 1e-6;  // a share of zero still gets what nobody else wants
+constexpr double kMinWeight = 1e-6;  // a team of weight zero still gets what no other team wants
 
 bool Active(const team_record& team) { return team.running_tasks + team.queued_tasks > 0; }
 
@@ -39,13 +39,13 @@
   for (team_record& team : teams_) UpdateRatio(team);
 }
 
-// Keeps the sum of the weights of teams that run or wait.
+// Maintains the sum of the weights of teams that have running or waiting tasks.
 void team_table::UpdateActive(const team_record& team, bool was_active) {
   const bool active = Active(team);
   if (active == was_active) return;
   active_weight_ += active ? Weight(team) : -Weight(team);
   active_teams_ += active ? 1U : UINT32_MAX;
-  if (active_teams_ == 0) active_weight_ = 0;  // no rounding error stays
+  if (active_teams_ == 0) active_weight_ = 0;  // discards accumulated rounding errors
 }
 
 void team_table::SetTerms(team_index team, const team_terms& terms) {
@@ -128,7 +128,8 @@
   const auto within = [count](uint32_t running, uint32_t more, uint32_t hidden, uint32_t most) {
     return uint64_t{running} + uint64_t{more} * count + hidden <= most;
   };
-  // Slots are what endpoints count and no contract limits; the running count stands for them.
+  // Slots are counted by endpoints but not limited by contracts; the limit on running tasks takes
+  // their place.
   const resources& limit = t->grant.amount;
   return within(t->running_tasks, 1, unfenced.slots, t->grant.running) &&
          within(t->running.cpu_milli, each.cpu_milli, unfenced.cpu_milli, limit.cpu_milli) &&
--- a/src/process/team_table.h
+++ b/src/process/team_table.h
@@ -1,4 +1,4 @@
-// What each team runs and may run here, and how far it is from its share.
+// Usage, limits and share of each team in this shard.
 #ifndef CATKINFORD_PROCESS_TEAM_TABLE_H_
 #define CATKINFORD_PROCESS_TEAM_TABLE_H_
 
@@ -19,18 +19,18 @@
   team_grant grant;
   resources running;
   usage_forecast elsewhere;  // running in other shards
-  resources interactive;     // the part of `running` that callers wait for
+  resources interactive;     // the part of `running` used by interactive tasks
   std::array<uint64_t, kAmounts> queued{};
   uint32_t running_tasks = 0;
   uint32_t interactive_tasks = 0;
   uint32_t queued_tasks = 0;
   bool known = false;
-  double ratio = 0;  // dominant part of the cell over the weight: the lowest goes first
+  double ratio = 0;  // dominant share of the cell divided by the weight: the lowest is served first
 };
 
 class team_table {
  public:
-  // The team's record, made when it is not there.
+  // The team's record, created on first use.
   team_record& operator[](team_index team);
   const team_record* Find(team_index team) const {
     return team < teams_.size() ? &teams_[team] : nullptr;
@@ -39,9 +39,9 @@
 
   void SetTerms(team_index team, const team_terms& terms);
   void SetCellCapacity(const resources& capacity);
-  // The measure of a share while the size of the cell is not known.
+  // The base for computing shares while the capacity of the cell is unknown.
   void SetShardCapacity(const resources& capacity);
-  // What the team ran in all other shards, `age` ago on average.
+  // Records what the team ran in all other shards, `age` ago on average.
   void SetElsewhere(team_index team, const resources& running, std::chrono::milliseconds age,
                     monotonic_time now);
 
@@ -50,15 +50,15 @@
   void AddQueued(team_index team, const resources& each, uint32_t tasks);
   void RemoveQueued(team_index team, const resources& each, uint32_t tasks);
 
-  // Whether `count` more tasks of `each` stay within what the team was granted here. What is not
-  // fenced yet counts as if the team ran all of it: a former owner may have started it for anyone,
-  // and the limit would be passed without anybody seeing it.
+  // Whether `count` more tasks of `each` stay within the team's grant in this shard. Capacity that
+  // is not fenced yet counts as if this team used all of it: a former owner may have started tasks
+  // there for any team, and the limit could be exceeded unnoticed.
   bool WithinGrant(team_index team, const resources& each, uint32_t count,
                    const shard_floor& endpoints) const;
-  // Whether the team is at or below the part of the cell that its weight gives it among the teams
-  // that run or wait.
+  // Whether the team is at or below the fraction of the cell that its weight gives it among the
+  // teams with running or waiting tasks.
   bool WithinShare(team_index team) const { return !BeyondShare(team, 1.0); }
-  // Whether it runs more than `times` that part.
+  // Whether it runs more than `times` that fraction.
   bool BeyondShare(team_index team, double times) const;
 
   uint32_t RunningTasks() const { return running_tasks_; }
@@ -72,7 +72,7 @@
   std::vector<team_record> teams_;
   resources cell_;
   resources shard_;
-  usage_forecast::relative_sizes others_{};  // the rest of the cell, in sizes of this shard
+  usage_forecast::relative_sizes others_{};  // rest of the cell, relative to this shard
   double active_weight_ = 0;
   uint32_t active_teams_ = 0;
   uint32_t running_tasks_ = 0;
--- a/src/process/usage_forecast.cc
+++ b/src/process/usage_forecast.cc
@@ -9,10 +9,10 @@
 using seconds = std::chrono::duration<double>;
 
 constexpr milliseconds kMinAge{50};
-// The offset follows the news this much more slowly than they grow old.
+// Time constant of the offset, in ages of the reports.
 constexpr double kOffsetAges = 4;
 
-// The weight of a new value in an average that forgets in `span`.
+// The weight of a new value in an exponential average with time constant `span`.
 double WeightOf(seconds passed, seconds span) { return 1.0 - std::exp(-passed / span); }
 
 }  // namespace
--- a/src/process/usage_propagation.cc
+++ b/src/process/usage_propagation.cc
@@ -8,10 +8,10 @@
 
 using std::chrono::milliseconds;
 
-// A change below this part of the cell is not told: nine domains with one each stay below half a
-// percentage point of a share.
+// Changes below this fraction of the cell are not sent: with nine domains the total error stays
+// below half a percentage point of a share.
 constexpr double kMinChange = 1.0 / 2048;
-// Bytes on the wire: a call and its reply without the teams, and one team.
+// Bytes on the wire for a call and its reply without the teams, and for each team.
 constexpr uint32_t kCallBytes = 600;
 constexpr uint32_t kTeamBytes = 30;
 constexpr int64_t kMillisPerSecond = 1000;
@@ -79,8 +79,8 @@
   return IsRelay(view) ? options_.name : view.neighbours.front();
 }
 
-// The one that spoke last, since its own domain may see its members otherwise than we do; the
-// lowest until one has spoken.
+// The entry that reported last, since its own domain may see its members differently; the lowest
+// name until one has reported.
 const std::string& usage_propagation::FarRelayOf(const std::vector<std::string>& entries) const {
   const std::string* best = &entries.front();
   monotonic_time heard{};
@@ -155,7 +155,7 @@
     const resources now = UsageOf(uses, team);
     const resources reported = UsageOf(to.reported, team);
     const double part = FractionOf(ChangeOf(now, reported), cell);
-    // The end of all work is told however little it was: it would never be told otherwise.
+    // The end of all usage is sent however small it was, as it would not be sent otherwise.
     const bool ended = now == resources{} && reported != resources{};
     if (part >= kMinChange || ended) changes.push_back({part, {team, now}});
   };
@@ -172,7 +172,7 @@
   return reports;
 }
 
-// One message at a time, to the one that has waited longest, when the budget allows.
+// Sends one message at a time, to the destination that has waited longest, as the budget allows.
 void usage_propagation::Due(const usage_view& view, monotonic_time now,
                             std::vector<due_usage>& out) {
   if (const std::string& relay = RelayOf(view); sources_.contains(relay)) last_relay_ = relay;
--- a/src/process/usage_propagation.h
+++ b/src/process/usage_propagation.h
@@ -1,9 +1,9 @@
-// What each team runs in other shards, told over the fleet by one relay in each failure domain.
+// Propagates the usage of each team across the fleet through one relay in each failure domain.
 //
-// Every owner tells its relay, the live entry of its domain with the lowest name. A relay tells the
-// relays of the other domains the sum of its own, and each neighbour the sum of all the others.
-// Only changes are told, the largest first, within a budget of bytes: a fleet at rest tells
-// nothing. Pure: messages and time in, due messages out.
+// Every owner reports to its relay, the live entry of its domain with the lowest name. A relay
+// sends the sum of its own domain to the relays of the other domains, and the sum of all other
+// entries to each neighbour. Only changes are sent, the largest first, within a byte budget; an
+// idle fleet sends nothing. Pure: messages and time in, due messages out.
 #ifndef CATKINFORD_PROCESS_USAGE_PROPAGATION_H_
 #define CATKINFORD_PROCESS_USAGE_PROPAGATION_H_
 
@@ -23,16 +23,16 @@
 struct usage_propagation_options {
   std::string name;
   uint64_t incarnation = 0;
-  std::chrono::milliseconds period{500};  // between two messages to the same entry
+  std::chrono::milliseconds period{500};  // minimum interval between two messages to the same entry
   uint32_t bytes_per_second = 3900;       // sent
   size_t largest_message = 32;            // teams
 };
 
-// Who is there, as the membership has it. The members are up and stay.
+// The membership as seen by this entry. All listed members are up and not leaving.
 struct usage_view {
   std::vector<std::string> neighbours;
   absl::btree_map<std::string, std::vector<std::string>> far;  // by failure domain
-  resources cell;  // a change is worth telling when it shows in a share of this
+  resources cell;  // changes are measured against this capacity
 };
 
 struct due_usage {
@@ -44,41 +44,41 @@
  public:
   explicit usage_propagation(usage_propagation_options options);
 
-  // What runs in the shards of this entry.
+  // Sets what runs in the shards of this entry.
   void SetOwn(team_usage_map own) { own_ = std::move(own); }
   void OnUsage(const std::string& from, const usage_message& message, monotonic_time now);
-  // A message to it may be lost: it is told everything again.
+  // A message to `to` may have been lost: everything is sent to it again.
   void OnLost(const std::string& to);
 
   void Due(const usage_view& view, monotonic_time now, std::vector<due_usage>& out);
-  // What runs in the shards of all other entries.
+  // Returns what runs in the shards of all other entries.
   team_usage_map Elsewhere(const usage_view& view) const;
-  // How long a change takes to be told all over the fleet, about.
+  // Approximate time for a change to reach the whole fleet.
   std::chrono::milliseconds PropagationPeriod(const usage_view& view) const;
 
  private:
   struct reported_usage {
-    resources running;  // none: told to have ended
+    resources running;  // none: reported as ended
     uint64_t sequence = 0;
   };
-  // An entry that tells us. Several messages may be under way at once and overtake each other.
+  // An entry that reports to us. Several messages may be in flight at once and overtake each other.
   struct source {
     uint64_t incarnation = 0;
-    uint64_t whole = 0;  // the last message that told everything
+    uint64_t whole = 0;  // sequence number of the last full report
     monotonic_time heard{};
     absl::btree_map<std::string, reported_usage> uses;
   };
-  // An entry that we tell.
+  // An entry that we report to.
   struct destination {
     team_usage_map reported;
-    bool whole = true;  // it knows nothing of us yet
+    bool whole = true;  // the next message is a full report
     uint64_t sequence = 0;
     monotonic_time next{};
   };
 
   bool IsRelay(const usage_view& view) const;
   const std::string& RelayOf(const usage_view& view) const;
-  // The one of a far domain that speaks for it.
+  // The entry of a remote domain that reports for it.
   const std::string& FarRelayOf(const std::vector<std::string>& entries) const;
   void AddUsage(const std::string& from, team_usage_map& sum) const;
   team_usage_map DomainUsage(const usage_view& view, const std::string& without) const;
@@ -92,7 +92,7 @@
   team_usage_map own_;
   absl::btree_map<std::string, source> sources_;
   absl::btree_map<std::string, destination> destinations_;
-  std::string last_relay_;  // whose word we go by until the present one has spoken
+  std::string last_relay_;  // its reports are used until the current relay has sent one
   monotonic_time next_send_{};
 };
 
--- a/src/process/virtual_queue.cc
+++ b/src/process/virtual_queue.cc
@@ -5,9 +5,9 @@
 namespace catkinford {
 namespace {
 
-constexpr std::chrono::seconds kMaxDelay{30};  // from now to the last place
+constexpr std::chrono::seconds kMaxDelay{30};  // from now to the last assigned time
 constexpr std::chrono::milliseconds kEarlyTolerance{20};
-// Retry-After counts whole seconds, and the way back takes its time.
+// Retry-After has a resolution of whole seconds, and the retry takes a network trip.
 constexpr std::chrono::seconds kLateTolerance{3};
 constexpr size_t kMaxPlaces = 16384;
 
--- a/src/process/virtual_queue.h
+++ b/src/process/virtual_queue.h
@@ -1,9 +1,9 @@
-// Callers who were refused, each with the time at which it was told to come back.
+// Rejected callers, each with the time at which it was told to retry.
 //
-// Told only how long the real queue takes, all who are refused come back to the same few free
-// places and are refused again, over and over: one would notice many tries for each request, and an
-// entry that is busy with refusals. Here each is told a time of its own, spaced as the queue
-// drains, and one who keeps to it is taken in before newcomers.
+// If callers were told only how long the real queue takes, all rejected callers would retry for the
+// same few free slots and be rejected again, with many attempts for each request and an entry busy
+// with rejections. Here each gets its own time, spaced at the drain rate of the queue, and one that
+// keeps to it is admitted ahead of new requests.
 #ifndef CATKINFORD_PROCESS_VIRTUAL_QUEUE_H_
 #define CATKINFORD_PROCESS_VIRTUAL_QUEUE_H_
 
@@ -20,12 +20,12 @@
 
 class virtual_queue {
  public:
-  // The time for `id` to come back: not before `earliest`, and `gap` after the one told last. A
-  // caller who holds a time that has not come is told the same again. None is told that would be
-  // later than the queue is long.
+  // Returns the retry time of `id`: not before `earliest`, and `gap` after the last one assigned. A
+  // caller whose assigned time has not come gets the same time again. No time later than the
+  // maximum delay is assigned.
   monotonic_time Join(const request_id& id, monotonic_time earliest, std::chrono::nanoseconds gap,
                       monotonic_time now);
-  // Whether the caller comes back when it was told to; its place is then used.
+  // Whether the caller retries at its assigned time; the assignment is then used up.
   bool Redeem(const request_id& id, monotonic_time now);
   size_t Size() const { return due_.size(); }
 
@@ -34,7 +34,7 @@
 
   absl::flat_hash_map<request_id, monotonic_time> due_;
   std::deque<std::pair<monotonic_time, request_id>>
-      order_;  // by time; used places stay for a while
+      order_;  // by time; used assignments stay for a while
   monotonic_time last_{};
 };
 
