--- a/src/version/grant_holder.cc
+++ b/src/version/grant_holder.cc
@@ -9,7 +9,7 @@
 namespace catkinford {
 namespace {
 
-// FNV-1a: the same on every process and in every release, as the keys in the store depend on it.
+// FNV-1a: identical in every process and release, as the keys in the store depend on it.
 constexpr uint32_t kHashBasis = 2166136261U;
 constexpr uint32_t kHashPrime = 16777619U;
 
@@ -29,8 +29,8 @@
     : shard_(std::move(shard)), epoch_(epoch), policy_(policy) {}
 
 // Writes our epoch on all parts of this shard. An owner that was paused past its lease does not
-// know that it was superseded, and would go on to return parts that its successor has in use; it
-// would show as a team over its limit. Its next write conflicts with the stamp and finds our epoch.
+// know that it was superseded and would return parts that its successor is using, which lets a team
+// exceed its limit. With the stamp its next write conflicts and reveals our epoch.
 bool grant_holder::Stamp(ledger_value& ledger) const {
   bool changed = false;
   for (grant_entry& entry : ledger.entries) {
@@ -84,9 +84,9 @@
     bucket& current = buckets_[key];
     if (current.in_flight || current.unreadable) continue;
     if (current.uncertain) {
-      // A write whose reply is lost may still be on its way, and a read would not settle it: it
-      // could arrive after the read. The same write once more does: afterwards the revision has
-      // moved, and whichever of the two is late conflicts.
+      // A write whose reply was lost may still be in flight, and a read would not settle it: the
+      // write could arrive after the read. Repeating the same write does: afterwards the revision
+      // has moved, and whichever of the two is late conflicts.
       Send(current, out);
       continue;
     }
@@ -155,7 +155,7 @@
     if (found == buckets_.end()) continue;
     const bucket& current = found->second;
     const grant_entry* held = OwnEntry(current.ledger, team);
-    if (held != nullptr && held->epoch != epoch_) continue;  // a predecessor's, not yet stamped
+    if (held != nullptr && held->epoch != epoch_) continue;  // of a former owner, not yet stamped
     grant_entry entry{team, shard_, {}, epoch_, false};
     if (held != nullptr) entry.starved = held->starved;
     entry.grant = UsableGrant(current.ledger, config, shard_, team);
--- a/src/version/grant_holder.h
+++ b/src/version/grant_holder.h
@@ -1,8 +1,8 @@
-// One shard's dealings with the grant ledger: which compare-and-swap to send next, and what may be
+// Access of one shard to the grant ledger: which compare-and-swap to send next, and what may be
 // used meanwhile, whatever happens to the replies. Pure: replies come in, writes go out.
 //
-// The ledger is spread over a fixed number of values of the store, by team, so that a change of one
-// team's grants neither conflicts with nor carries those of all others.
+// The ledger is spread over a fixed number of values in the store, by team, so that a change to one
+// team's grants neither conflicts with nor transfers those of all others.
 #ifndef CATKINFORD_VERSION_GRANT_HOLDER_H_
 #define CATKINFORD_VERSION_GRANT_HOLDER_H_
 
@@ -18,10 +18,11 @@
 
 namespace catkinford {
 
-// Values that the ledger is spread over. At 170 teams in 18 shards one value is about 7 KB.
+// Number of values that the ledger is spread over. At 170 teams in 18 shards one value is about 7
+// KB.
 constexpr uint32_t kGrantBuckets = 16;
 
-// "grants/NN", where the parts of this team's limit are kept.
+// The key "grants/NN" of the value that holds the parts of this team's limit.
 std::string GrantKeyOf(std::string_view team);
 
 struct grant_write {
@@ -31,41 +32,43 @@
   std::string write_id;
 };
 
-// One owner of one shard, for as long as it is the owner. A new owner speaks to no endpoint before
-// each part carries its epoch; an owner that learns that it was superseded plans no more. Before
-// the stamp the old owner alone renews leases, so its books are an upper bound of what runs, and
-// after it the old owner's writes conflict: at no time is a part returned that somebody uses.
+// One owner of one shard, for as long as it owns it. A new owner contacts no endpoint until each
+// part carries its epoch; an owner that learns that it was superseded stops planning. Before the
+// stamp only the old owner renews leases, so its accounts are an upper bound of what runs; after it
+// the old owner's writes conflict. So no part is ever returned while it is in use.
 class grant_holder {
  public:
   grant_holder(std::string shard, uint64_t epoch, grant_policy policy = {});
 
-  // Appends the writes that put our epoch on each part of this shard that was read.
+  // Appends the writes that stamp our epoch on each part of this shard that was read.
   void PlanStamps(std::vector<grant_write>& out);
-  // No part that was read carries an earlier owner's epoch. Until then the successor must not renew
-  // what runs: the earlier owner, counting on leases that lapse, would return parts that are in
+  // Whether no part that was read carries an earlier owner's epoch. Until then the new owner must
+  // not renew leases: the earlier owner, assuming that they expire, would return parts that are in
   // use.
   bool Stamped() const;
 
-  // Appends the writes that would bring the ledger to what the shard needs; one at a time for each
-  // value. `all_listed`: every endpoint of the shard was listed, so that `used` is the whole.
+  // Appends the writes that bring the ledger to what the shard needs, one at a time for each value.
+  // `all_listed`: every endpoint of the shard was listed, so `used` is complete.
   void Plan(const configuration& config, const std::vector<grant_demand>& demands, bool all_listed,
             std::vector<grant_write>& out);
-  // The reply to a write. No read is ever needed: a conflict brings the present value.
+  // Handles the reply to a write. No read is needed: a conflict returns the present value.
   void OnReply(const std::string& key, const store_reply& reply);
-  // News of a value from a range read or a watch.
+  // Handles a value received from a range read or a watch.
   void OnRead(const std::string& key, uint64_t revision, const std::string& value);
 
-  // What may be used now, for each team that this shard has ever held a part of.
+  // What may be used now, for each team of which this shard ever held a part.
   std::vector<grant_entry> Usable(const configuration& config) const;
-  // Another owner of this shard with a higher epoch has written: this one holds nothing any more.
+  // Whether another owner of this shard with a higher epoch has written: this one holds nothing any
+  // more.
   bool Superseded() const { return superseded_; }
 
  private:
   struct bucket {
     ledger_value ledger;  // at `revision`
     uint64_t revision = 0;
-    bool unreadable = false;  // not a ledger: nothing is written over it
-    // The write under way, or one whose reply is lost: it may be in force, or yet come into force.
+    bool unreadable = false;  // not a ledger: never overwritten
+    // The write in flight, or one whose reply was lost: it may have taken effect or may still do
+    // so.
     grant_write write;
     ledger_value sent;
     bool in_flight = false;
--- a/src/version/grant_ledger.cc
+++ b/src/version/grant_ledger.cc
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-// A grant as an array, since every amount of it is treated alike: processors, memory,
-// accelerators, running tasks.
+// A grant as an array, since all amounts are treated alike: processors, memory, accelerators,
+// running tasks.
 constexpr size_t kAmounts = 4;
 constexpr size_t kEntryFields = kAmounts + 2;
 using amounts = std::array<uint64_t, kAmounts>;
@@ -35,7 +35,7 @@
 
 bool IsZero(const team_grant& grant) { return AmountsOf(grant) == amounts{}; }
 
-// The limit of a team; zero for a team that is in no contract any more.
+// The limit of a team; zero for a team that is in no contract.
 amounts LimitOf(const configuration& config, std::string_view team) {
   for (const workspace_contract& workspace : config.workspaces) {
     for (const team_contract& contract : workspace.teams) {
@@ -45,12 +45,12 @@
   return {};
 }
 
-// What all shards together say of one team.
+// Totals of one team over all shards.
 struct team_total {
   amounts granted{};
-  uint64_t holders = 0;  // shards that hold a part or want one
+  uint64_t holders = 0;  // shards that hold or want a part
   bool other_starved = false;
-  const grant_entry* indivisible_holder = nullptr;  // the first other shard with a piece
+  const grant_entry* indivisible_holder = nullptr;  // first other shard with such a demand
 };
 
 bool ByTeamThenShard(const grant_entry& a, const grant_entry& b) {
@@ -81,52 +81,53 @@
   uint64_t wanted;
   uint64_t held;
   uint64_t limit;
-  uint64_t granted;  // by all shards, this one included
+  uint64_t granted;  // by all shards, including this one
   uint64_t holders;
   bool other_starved;
   uint64_t own_indivisible;    // zero: none, or another shard's goes first
   uint64_t other_indivisible;  // zero: none that goes before ours
-  uint64_t tasks;              // that are wanted, whatever the amount
-  uint64_t most_tasks;         // the limit of running tasks
+  uint64_t tasks;              // number of wanted tasks
+  uint64_t most_tasks;         // the limit on running tasks
 };
 
-// What a few tasks take of the amount, where that is a small part of what each shard could have. A
-// demand of a few short tasks is nothing for a moment now and then, and back at once: the grant
-// that was returned would be asked for again, and callers wait 40 ms for it on a floor that is half
-// empty.
+// The amount of a few tasks, capped at a small fraction of an equal part of the limit. A demand of
+// a few short tasks drops to zero now and then and returns at once: the returned grant would be
+// requested again, and callers would wait 40 ms for it while half of the capacity is free.
 uint64_t ReserveForFewTasks(const amount_plan& plan, const grant_policy& policy) {
   const uint64_t part = plan.limit / (std::max<uint64_t>(plan.holders, 1) * policy.reserve_part);
   if (plan.most_tasks == 0) return 0;
   return std::min(plan.limit * policy.reserve_tasks / plan.most_tasks, part);
 }
 
-// What the shard should hold, before the limit is looked at.
+// The target of the shard, before the limit is applied.
 uint64_t TargetOf(const amount_plan& plan, const grant_policy& policy) {
   const uint64_t wanted = std::max(plan.wanted, plan.used);
   if (plan.granted > plan.limit) return plan.used;
   if (plan.other_starved) {
-    // Nothing is kept in reserve, and nothing above an equal part that is not running already.
+    // No reserve is held, and nothing above an equal part unless it is already running.
     const uint64_t others = plan.other_indivisible > 0 ? 1 : 0;
     const uint64_t rest = plan.limit - std::min(plan.limit, plan.other_indivisible);
     const uint64_t part =
         rest / std::max<uint64_t>(plan.holders - std::min(plan.holders, others), 1);
-    // An amount of which the piece needs little is shared as ever: only the scarce one is gathered.
+    // An amount of which the indivisible demand needs little is shared as usual: only the scarce
+    // one is concentrated.
     return std::max({plan.used, plan.own_indivisible, std::min(wanted, part)});
   }
-  // A reserve is held also without demand, so that a first task starts without the store. Limits
-  // of a few pieces have none: each piece would lie idle somewhere.
+  // A reserve is held even without demand, so that a first task starts without a store write.
+  // Limits of a few units have none: each unit would be unused in some shard.
   const uint64_t step = std::max<uint64_t>(plan.limit / policy.steps_per_limit, 1);
   const uint64_t reserve =
       std::max(plan.limit / policy.steps_per_limit, ReserveForFewTasks(plan, policy));
-  // A large demand swings by more than a step: the grant runs ahead by a part of it, too. A few
-  // short tasks swing by the root of their number, which is more than that part: each would wait
-  // for a write of the ledger, seen as callers who wait 40 ms on a floor that is half empty.
+  // A large demand fluctuates by more than a step, so the slack also covers a fraction of it. A
+  // demand of a few short tasks fluctuates by the square root of their number, which is more than
+  // that fraction: each change would wait for a ledger write, and callers would wait 40 ms while
+  // half of the capacity is free.
   const double root = std::sqrt(static_cast<double>(std::max<uint64_t>(plan.tasks, 1)));
   const auto swing = static_cast<uint64_t>(policy.swing_roots * static_cast<double>(wanted) / root);
   const uint64_t slack = std::max({reserve, wanted / policy.slack_part, swing});
   const uint64_t enough = RoundUp(wanted, step) + slack;
   if (wanted > plan.held || plan.held < reserve) return enough;
-  // Returned only when twice the slack lies idle: a demand that swings writes nothing.
+  // Returned only when twice the slack is unused, so that a fluctuating demand writes nothing.
   return plan.held > enough + slack + step ? enough : plan.held;
 }
 
@@ -138,7 +139,7 @@
   return plan.held + std::min(target - plan.held, free);
 }
 
-// The demand's piece, if it does not go into an equal part of the limit but into the whole.
+// The indivisible demand, if it exceeds an equal part of the limit but fits the whole limit.
 team_grant IndivisibleOf(const grant_demand& demand, const team_total& total,
                          const amounts& limit) {
   const amounts indivisible = AmountsOf(demand.indivisible);
@@ -186,7 +187,7 @@
   return next;
 }
 
-// The place of the entry of `team` and `shard`, or where it would stand.
+// The position of the entry of `team` and `shard`, or where it would be inserted.
 std::vector<grant_entry>::iterator PlaceOf(ledger_value& ledger, const grant_entry& wanted) {
   return std::lower_bound(ledger.entries.begin(), ledger.entries.end(), wanted, ByTeamThenShard);
 }
@@ -240,8 +241,8 @@
 
 }  // namespace
 
-// {"team":{"shard":[cpu_milli, memory_mb, accelerators, running, epoch, starved, piece?]}}, where a
-// piece is the same four amounts.
+// {"team":{"shard":[cpu_milli, memory_mb, accelerators, running, epoch, starved, indivisible?]}},
+// where the indivisible demand has the same four amounts.
 std::string ToText(const ledger_value& ledger) {
   json teams = json::object();
   for (const grant_entry& entry : ledger.entries) {
--- a/src/version/grant_ledger.h
+++ b/src/version/grant_ledger.h
@@ -1,8 +1,8 @@
-// Upper limits across the fleet without a central counter: each shard holds a part of each team's
-// limit, and the parts never add up to more than the limit.
+// Fleet-wide limits without a central counter: each shard holds a part of each team's limit, and
+// the parts never add up to more than the limit.
 //
-// The ledger is one value in the platform's store, moved by compare-and-swap. This pair is pure:
-// it reads a value, says what the next value should be, and never talks to the store itself.
+// The ledger is stored in the platform's store and changed by compare-and-swap. This file is pure:
+// it reads a value and computes the next one, and never accesses the store.
 #ifndef CATKINFORD_VERSION_GRANT_LEDGER_H_
 #define CATKINFORD_VERSION_GRANT_LEDGER_H_
 
@@ -17,16 +17,17 @@
 
 namespace catkinford {
 
-// What one shard holds of one team's limit.
+// The part of one team's limit that one shard holds.
 struct grant_entry {
   std::string team;
   std::string shard;
   team_grant grant;
-  uint64_t epoch = 0;    // of the owner that wrote it; no other owner may count on it
-  bool starved = false;  // wants more than the limit leaves: others keep no more than their part
-  // A piece that waits here, starts only as a whole, and is larger than an equal part of the limit;
-  // zero: none. Of the shards with such a piece the first by name gets it and the others share the
-  // rest: with equal parts every shard could hold a little of the limit and none of them start.
+  uint64_t epoch = 0;    // of the owner that wrote it; no other owner may use it
+  bool starved = false;  // wants more than the limit leaves: others keep at most their part
+  // The demand of a waiting job that starts only as a unit and is larger than an equal part of the
+  // limit; zero: none. Of the shards with such a demand the first by name gets it and the others
+  // share the rest: with equal parts each shard could hold a little of the limit and none could
+  // start its job.
   team_grant indivisible;
   bool operator==(const grant_entry& other) const {
     const auto same = [](const team_grant& a, const team_grant& b) {
@@ -44,12 +45,12 @@
 std::string ToText(const ledger_value& ledger);
 std::optional<ledger_value> ParseLedger(std::string_view text);
 
-// What a shard uses and would like to have for a team.
+// What a shard uses and wants for a team.
 struct grant_demand {
   std::string team;
-  team_grant used;         // running now, and starts under way: cannot be given back
-  team_grant wanted;       // used and waiting
-  team_grant indivisible;  // the largest that waits and starts only as a whole; zero: none
+  team_grant used;         // running now, including starts in flight: cannot be returned
+  team_grant wanted;       // used plus waiting
+  team_grant indivisible;  // the largest waiting job that starts only as a unit; zero: none
 };
 
 struct ledger_change {
@@ -57,42 +58,42 @@
   bool changed = false;
 };
 
-// How far grants run ahead of demand: more is written less often and leaves more lying unused with
-// others. Both are over zero. `catkinford-bench grants` sweeps them.
+// How far grants exceed demand: larger values write less often and leave more unused at other
+// shards. steps_per_limit and slack_part must be above zero.
 struct grant_policy {
-  uint32_t steps_per_limit = 64;  // a step, and the reserve without demand, is this part of a limit
-  uint32_t slack_part = 4;        // and what runs ahead is at least this part of the demand
-  uint32_t reserve_tasks = 8;     // the reserve is at least so many tasks
-  uint32_t reserve_part = 8;      // or this part of an equal part of the limit, if that is less
-  double swing_roots = 3;         // and this many roots of the number of tasks in it
-  // False while some endpoint of the shard is not listed yet: what runs there is not in `used`, and
-  // giving its part away would let the team pass its limit elsewhere.
+  uint32_t steps_per_limit = 64;  // a step, and the reserve without demand, is limit / this
+  uint32_t slack_part = 4;        // the slack is at least demand / this
+  uint32_t reserve_tasks = 8;     // the reserve is at least this many tasks
+  uint32_t reserve_part = 8;      // or (equal part of the limit) / this, if less
+  double swing_roots = 3;         // and this many square roots of its number of tasks
+  // False while some endpoint of the shard is unlisted: what runs there is not in `used`, and
+  // returning its part would let the team exceed its limit elsewhere.
   bool may_return = true;
 };
 
-// The ledger after `shard` has taken what it needs and returned what it does not. Steps are large
-// enough that a shard with a steady load writes nothing. Never passes a limit in `config`; where a
-// limit was lowered below what is granted, nothing new is granted and unused parts are returned.
+// The ledger after `shard` has taken what it needs and returned the rest. Steps are large enough
+// that a shard with a steady load writes nothing. Never exceeds a limit in `config`; where a limit
+// was lowered below what is granted, nothing new is granted and unused parts are returned.
 //
-// Teams that are not in `demands` are left as they are: a new owner that has not yet listed its
-// endpoints does not know what runs, and must not give it back. A team without demand is named
-// with zeros. Between this call and the confirmed write the shard may use LowerOf(old, next).
+// Teams that are not in `demands` are left unchanged: a new owner that has not listed its endpoints
+// yet does not know what runs and must not return it. For a team without demand, pass a demand of
+// zeros. Between this call and the confirmed write the shard may use LowerOf(old, next).
 ledger_change PlanGrants(const ledger_value& current, const configuration& config,
                          std::string_view shard, const std::vector<grant_demand>& demands);
 ledger_change PlanGrants(const ledger_value& current, const configuration& config,
                          std::string_view shard, const std::vector<grant_demand>& demands,
                          const grant_policy& policy);
 
-// What `shard` may have running of `team`: its grant, or, while a lowered limit is over-granted,
-// its part of the limit in proportion. Over all shards this never passes the limit in `config`.
-// What runs above it drains or is stopped, and the limit is in force when IsInEffect() says so.
+// What `shard` may run of `team`: its grant or, while a lowered limit is over-granted, its
+// proportional part of the limit. Over all shards this never exceeds the limit in `config`. What
+// runs above it drains or is stopped, and the limit is in effect when IsInEffect() returns true.
 team_grant UsableGrant(const ledger_value& ledger, const configuration& config,
                        std::string_view shard, std::string_view team);
-// Whether what is granted is within the limit in `config`.
+// Whether the grants of all shards are within the limit in `config`.
 bool IsInEffect(const ledger_value& ledger, const configuration& config, std::string_view team);
 
-// Grants of `shard`, which the owner may use after the compare-and-swap of a value is confirmed.
-// For a value whose reply was lost: the lower of both, until it was read back.
+// Grants of `shard`, which the owner may use once the compare-and-swap of the value is confirmed.
+// If the reply was lost, it may use the lower of both until the value was read back.
 std::vector<grant_entry> GrantsOf(const ledger_value& ledger, std::string_view shard);
 team_grant LowerOf(const team_grant& a, const team_grant& b);
 
