--- a/test/decision_core_test.cc
+++ b/test/decision_core_test.cc
@@ -40,16 +40,16 @@
   CHECK(first[0].endpoint == second[0].endpoint);
 }
 
-TEST_CASE_METHOD(decision_fixture, "gang, not enough room for all, starts nothing", "[decisions]") {
+TEST_CASE_METHOD(decision_fixture, "gang, not enough capacity for all tasks, starts nothing",
+                 "[decisions]") {
   AddEndpoints(2);
   Run(Job(1, workload_kind::kBatch, 16000));
   CHECK(Run(Job(2, workload_kind::kGang, 16000, 2)).empty());
 }
 
-// Two gangs that each want the whole floor arrive together while small work fills every gap. If
-// each could hold half, neither would ever start, and both teams would see their jobs wait for
-// ever.
-TEST_CASE_METHOD(decision_fixture, "two gangs, each as large as the floor, both run in turn",
+// Guards against gang deadlock: two gangs as large as the fleet arrive together while small jobs
+// fill every gap; if each could hold half of the endpoints, neither would ever start.
+TEST_CASE_METHOD(decision_fixture, "two gangs, each as large as the fleet, both run in turn",
                  "[decisions]") {
   AddEndpoints(4);
   const auto small = Run(Job(1, workload_kind::kBatch, 8000, 4));
@@ -71,10 +71,10 @@
   CHECK(ran.size() == 2);
 }
 
-// Small tasks that run for long fill every gap, and each that ends is followed by another. Without
-// a reservation the large job would wait for ever, while its team sees younger work start.
-TEST_CASE_METHOD(decision_fixture, "large job, small work in every gap, starts after its bound",
-                 "[decisions]") {
+// Guards against starvation of large jobs: long-running small tasks fill every gap, and each one
+// that ends is followed by another.
+TEST_CASE_METHOD(decision_fixture,
+                 "large job, small jobs in every gap, starts after a bounded wait", "[decisions]") {
   AddEndpoints(2);
   AddTeam(1, 1.0);
   uint64_t next = 100;
@@ -94,9 +94,8 @@
   CHECK(started);
 }
 
-// The estimate says that a small job ends before the held endpoint is needed, and it is wrong. The
-// job that the endpoint is held for must not wait for it.
-TEST_CASE_METHOD(decision_fixture, "backfill, runs longer than declared, is stopped at the bound",
+// A backfilled job runs longer than estimated; the job with the reservation must not wait for it.
+TEST_CASE_METHOD(decision_fixture, "backfill, runs longer than declared, is preempted in time",
                  "[decisions]") {
   AddEndpoints(1);
   const auto first = Run(Job(1, workload_kind::kBatch, 8000));
@@ -116,7 +115,7 @@
   CHECK(starts[0].task.job.lo == 2);
 }
 
-TEST_CASE_METHOD(decision_fixture, "gang, one start fails, stops the rest and starts whole again",
+TEST_CASE_METHOD(decision_fixture, "gang, one start fails, stops the rest and is started again",
                  "[decisions]") {
   AddEndpoints(4);
   const auto starts = Run(Job(1, workload_kind::kGang, 16000, 3));
@@ -144,8 +143,8 @@
   CHECK(Decide().size() == 1);
 }
 
-// After a change of owner an endpoint is not listed yet. Work that the former owner started there
-// is unseen; a team could get its full limit once more on top of it, and run twice what it may.
+// After a change of owner an unlisted endpoint may run tasks of the former owner; ignoring them
+// would let a team exceed its limit by its full limit.
 TEST_CASE_METHOD(decision_fixture, "endpoint, not fenced yet, counts against the team's grant",
                  "[decisions]") {
   AddTeam(1, 1.0, 8);
@@ -158,7 +157,7 @@
   CHECK(core_.Usage(1).running_tasks == 5);
 }
 
-TEST_CASE_METHOD(decision_fixture, "job, larger than every endpoint, is refused with the largest",
+TEST_CASE_METHOD(decision_fixture, "job, larger than every endpoint, is rejected with the largest",
                  "[decisions]") {
   AddEndpoints(2);
   const admission answer = core_.Submit(Job(1, workload_kind::kBatch, 17000), now_);
@@ -178,8 +177,8 @@
   CHECK(out[0].reason == refusal_reason::kNeverFits);
 }
 
-// An endpoint dies while a task that may run only once is on it. Placed again it could charge a
-// salary twice; the caller has to hear that nobody knows.
+// An endpoint fails while running a task that is not repeatable. Placed again it could repeat its
+// side effects; the caller must get an unknown outcome.
 TEST_CASE_METHOD(decision_fixture, "not repeatable job, run lost, ends unknown and starts no more",
                  "[decisions]") {
   AddEndpoints(2);
@@ -194,7 +193,7 @@
   CHECK(out[0].end == job_end::kUnknown);
 }
 
-TEST_CASE_METHOD(decision_fixture, "not repeatable job, start refused, is placed elsewhere",
+TEST_CASE_METHOD(decision_fixture, "not repeatable job, start rejected, is placed elsewhere",
                  "[decisions]") {
   AddEndpoints(2);
   job_request job = Job(1, workload_kind::kInteractive, 1000);
@@ -209,7 +208,7 @@
   CHECK(second[0].task.attempt == 2);
 }
 
-TEST_CASE_METHOD(decision_fixture, "task, endpoint gone, starts elsewhere with a new attempt",
+TEST_CASE_METHOD(decision_fixture, "task, endpoint lost, starts elsewhere with a new attempt",
                  "[decisions]") {
   AddEndpoints(2);
   const auto starts = Run(Job(1, workload_kind::kBatch, 1000));
@@ -217,12 +216,12 @@
   const auto again = Decide();
   REQUIRE(again.size() == 1);
   CHECK(again[0].task.attempt == 2);
-  // News of the first run comes late and changes nothing.
+  // A late report about the first run changes nothing.
   core_.Finished(starts[0].task, task_end::kDone, milliseconds{5}, now_);
   CHECK(core_.Usage(0).running_tasks == 1);
 }
 
-TEST_CASE_METHOD(decision_fixture, "cancel, waiting and running tasks, refuses one and stops one",
+TEST_CASE_METHOD(decision_fixture, "cancel, waiting and running tasks, rejects one and stops one",
                  "[decisions]") {
   AddEndpoints(1);
   const auto starts = Run(Job(1, workload_kind::kBatch, 16000));
@@ -241,7 +240,7 @@
   CHECK(ended[0].end == job_end::kCancelled);
 }
 
-TEST_CASE_METHOD(decision_fixture, "deadline, passed in the queue, is refused as not run",
+TEST_CASE_METHOD(decision_fixture, "deadline, passed in the queue, is rejected as not run",
                  "[decisions]") {
   AddEndpoints(1);
   Run(Job(1, workload_kind::kBatch, 16000));
@@ -255,7 +254,7 @@
   CHECK(out[0].retry_after > milliseconds{0});
 }
 
-TEST_CASE_METHOD(decision_fixture, "urgent work, full floor, starts after one task was stopped",
+TEST_CASE_METHOD(decision_fixture, "urgent job, no free capacity, starts after one preemption",
                  "[decisions]") {
   AddEndpoints(4);
   REQUIRE(Run(Job(1, workload_kind::kBatch, 8000, 8)).size() == 8);
@@ -272,9 +271,9 @@
   CHECK(starts[0].task.job.lo == 2);
 }
 
-// A worker that fails at once whatever it starts always looks free, so it would draw all work to
-// itself, and callers would see nearly every request fail.
-TEST_CASE_METHOD(decision_fixture, "endpoint, fails all it starts, is left out and tried again",
+// A worker that fails every task immediately always looks free and would attract all work, so
+// nearly every request would fail.
+TEST_CASE_METHOD(decision_fixture, "endpoint, fails every task, is ejected and tried again",
                  "[decisions]") {
   AddEndpoints(10);
   uint32_t to_bad = 0;
@@ -298,9 +297,9 @@
   CHECK(to_bad == before + 1);
 }
 
-// After a change of owner a job's tasks are partly over, partly running and partly waiting. Started
-// again, a finished task would run twice.
-TEST_CASE_METHOD(decision_fixture, "resumed job, one task over and one running, starts the third",
+// After a change of owner some tasks of a job have ended, some run and some wait. A finished task
+// that is started again would run twice.
+TEST_CASE_METHOD(decision_fixture, "resumed job, one task ended and one running, starts the third",
                  "[decisions]") {
   AddEndpoints(2);
   const job_request job = Job(1, workload_kind::kBatch, 1000, 3);
@@ -316,7 +315,7 @@
   CHECK(ended[0].tasks_done == 3);
 }
 
-// The same after Adopt() came first: the job was only counted until its record was read.
+// As above, but Adopt() comes first: the job was only counted until its record was read.
 TEST_CASE_METHOD(decision_fixture, "adopted task, its job resumed later, is counted once",
                  "[decisions]") {
   AddEndpoints(2);
@@ -327,7 +326,7 @@
   CHECK(core_.Usage(0).running_tasks == 2);
 }
 
-TEST_CASE_METHOD(decision_fixture, "queue, full, refuses with a time to come back", "[decisions]") {
+TEST_CASE_METHOD(decision_fixture, "queue, full, rejects with a retry time", "[decisions]") {
   AddEndpoints(1);
   AddTeam(1, 1.0, 100, 2);
   CHECK(core_.Submit(Job(1, workload_kind::kBatch, 1000, 2, 1), now_).queued);
@@ -336,11 +335,10 @@
   CHECK(full.retry_after > milliseconds{0});
 }
 
-// The floor is full of batch work whose program does not know of checkpoint requests. Urgent work
-// that waits for one of them would wait until the batch task ends, for hours; its caller sees a
-// deadline pass.
+// All endpoints run batch tasks that ignore checkpoint requests. Without a time limit an urgent job
+// would wait for hours until a batch task ends, past its deadline.
 TEST_CASE_METHOD(decision_fixture,
-                 "urgent work, checkpoint never written, starts once it is cut short",
+                 "urgent job, checkpoint never written, starts after the time limit",
                  "[decisions]") {
   AddEndpoints(1);
   Run(Job(1, workload_kind::kBatch, 16000));
@@ -358,9 +356,9 @@
   CHECK(Only(Decide(), command_kind::kStart)[0].task.job == urgent.id);
 }
 
-// The endpoint of the task that is to give way does not stop it at all. Urgent work that held on to
-// this one endpoint would never start while others could make room.
-TEST_CASE_METHOD(decision_fixture, "urgent work, task never stops, gets room made elsewhere",
+// The endpoint of the preempted task does not stop it at all. An urgent job that kept waiting for
+// this endpoint would never start although others could make room.
+TEST_CASE_METHOD(decision_fixture, "urgent job, task never stops, preempts another endpoint",
                  "[decisions]") {
   AddEndpoints(2);
   Run(Job(1, workload_kind::kBatch, 16000));
@@ -380,8 +378,8 @@
   CHECK(starts[0].endpoint != first[0].endpoint);
 }
 
-// A task is writing its checkpoint, or ignores the request, when its job is cancelled. Were it not
-// asked again, it would run on for as long as it likes after its owner was told to cancel it.
+// A job is cancelled while its task writes a checkpoint or ignores the request. If the task were
+// not stopped again, it would run on indefinitely after the cancellation.
 TEST_CASE_METHOD(decision_fixture, "job cancelled, task asked for a checkpoint, is stopped at once",
                  "[decisions]") {
   AddEndpoints(1);
@@ -394,10 +392,10 @@
   CHECK_FALSE(stops[0].checkpoint);
 }
 
-// Short batch jobs keep coming while a long one of the same team waits. If each went before it, the
-// long one would never start; its owner would see younger work start all night.
+// Short batch jobs keep arriving while a long one of the same team waits. If each overtook it, the
+// long one would never start.
 TEST_CASE_METHOD(decision_fixture,
-                 "long batch job, short ones keep coming, is passed a few times only",
+                 "long batch job, short ones keep coming, is overtaken a few times only",
                  "[decisions]") {
   AddEndpoints(1);
   std::vector<command> running = Run(Job(1, workload_kind::kBatch, 16000));
@@ -421,9 +419,8 @@
   CHECK(before <= 17);
 }
 
-// A service that may run once loses its endpoint. Whether the lost run still goes on somewhere is
-// not known; were it placed again as other services are, it could run in two places, and its owner
-// would find the same hours entered twice.
+// A service that is not repeatable loses its endpoint. The lost run may still be running; placed
+// again it could run in two places.
 TEST_CASE_METHOD(decision_fixture, "service, not repeatable and lost, is not placed again",
                  "[decisions]") {
   AddEndpoints(2);
@@ -439,10 +436,9 @@
   CHECK(ended[0].end == job_end::kUnknown);
 }
 
-// One team sends far more than its share, all of it callers. If its work filled every place, each
-// caller of the other teams would wait for some task to end; a buyer would see bookings turn slow
-// because of somebody else's import.
-TEST_CASE_METHOD(decision_fixture, "team far beyond its share, callers of others come, find room",
+// One team sends interactive requests far beyond its share. If they filled every slot, each request
+// of the other teams would wait for a task to end.
+TEST_CASE_METHOD(decision_fixture, "team far above its share, requests of others, start at once",
                  "[decisions]") {
   AddEndpoints(4);
   for (team_index team = 1; team < 4; ++team) AddTeam(team, 1.0);
@@ -458,16 +454,16 @@
   CHECK(Run(Job(number++, workload_kind::kInteractive, 1000, 1, 2)).size() == 1);
 }
 
-// Far more callers than the floor can serve. A queue as long as their deadline would start each of
-// them just before it, and every answer would come too late for its caller.
-TEST_CASE_METHOD(decision_fixture, "callers, three times the capacity, are shed before they queue",
+// Far more interactive requests than the capacity. With a queue as long as their deadline each
+// would start just before it, and every answer would be too late.
+TEST_CASE_METHOD(decision_fixture, "requests, three times the capacity, are shed before they queue",
                  "[decisions]") {
   AddEndpoints(1);
   std::vector<task_id> running;
   uint32_t shed = 0;
   uint32_t late = 0;
   for (uint64_t n = 0; n < 3000; ++n) {
-    // Eight slots, 100 ms each: one end in 12.5 ms, and three callers.
+    // Eight slots of 100 ms each: one task ends per 12.5 ms, in which three requests arrive.
     now_ += milliseconds{4};
     if (n % 3 == 0 && running.size() == 8) {
       core_.Finished(running.front(), task_end::kDone, milliseconds{100}, now_);
@@ -489,17 +485,17 @@
   CHECK(late == 0);
 }
 
-TEST_CASE_METHOD(decision_fixture, "batch work, callers running, leaves room for the next ones",
+TEST_CASE_METHOD(decision_fixture, "batch jobs, interactive tasks running, leave free capacity",
                  "[decisions]") {
   AddEndpoints(1);
   for (uint64_t n = 0; n < 5; ++n) Run(Job(n, workload_kind::kInteractive, 2000));
-  // Two of eight slots are kept (0.4 of five), one is left for batch work.
+  // Two of eight slots are withheld (0.4 of five), one is left for batch jobs.
   CHECK(Run(Job(10, workload_kind::kBatch, 1000, 3)).size() == 1);
   CHECK(Run(Job(11, workload_kind::kInteractive, 2000)).size() == 1);
   CHECK(core_.Usage(0).running_tasks == 7);
 }
 
-TEST_CASE_METHOD(decision_fixture, "two teams, weights two to one, full floor, run two to one",
+TEST_CASE_METHOD(decision_fixture, "two teams, weights two to one, full capacity, run two to one",
                  "[decisions]") {
   AddEndpoints(6);
   AddTeam(1, 2.0);
--- a/test/decision_fixture.h
+++ b/test/decision_fixture.h
@@ -1,4 +1,4 @@
-// A decision core over a small floor, in virtual time.
+// A decision core with a few endpoints, in virtual time.
 #ifndef CATKINFORD_TEST_DECISION_FIXTURE_H_
 #define CATKINFORD_TEST_DECISION_FIXTURE_H_
 
@@ -45,7 +45,7 @@
     return job;
   }
 
-  // The commands of one round, and of those that follow at once.
+  // The commands of one round and of all rounds that follow immediately.
   std::vector<command> Decide() {
     std::vector<command> out;
     do {
@@ -54,7 +54,7 @@
     return out;
   }
 
-  // Rounds at each time the core asks for, up to `span` from now.
+  // Runs rounds at each time that NextWake() returns, up to `span` from now.
   std::vector<command> DecideFor(std::chrono::milliseconds span) {
     std::vector<command> out = Decide();
     const monotonic_time end = now_ + span;
@@ -75,7 +75,7 @@
     return some;
   }
 
-  // Submits and confirms all starts that follow.
+  // Submits the job and confirms all starts that follow.
   std::vector<command> Run(const job_request& job) {
     core_.Submit(job, now_);
     std::vector<command> starts = Only(Decide(), command_kind::kStart);
--- a/test/decision_property_test.cc
+++ b/test/decision_property_test.cc
@@ -20,14 +20,14 @@
 constexpr uint32_t kGrant = 5;
 constexpr uint32_t kEventKinds = 10;
 
-// One drawn step: what happens, and a number from which its details follow.
+// One generated step: the event, and a number from which its details are derived.
 struct step {
   uint32_t what = 0;
   uint32_t detail = 0;
 };
 
-// Keeps its own account of all that was started and ended, from the commands alone, and holds the
-// core to it.
+// Keeps its own account of started and ended tasks, from the commands alone, and checks the core
+// against it.
 class checked_core : private decision_fixture {
  public:
   checked_core() {
@@ -72,13 +72,13 @@
     HandleCommands(Decide());
   }
 
-  // Everything that runs ends, stops are obeyed: all waiting work has to get its turn.
+  // All running tasks end and stops take effect: every waiting job must get its turn.
   void DrainAll() {
     for (endpoint_index e = 0; e < kEndpoints; ++e) SetState(e, endpoint_state::kOpen);
     for (team_index team = 0; team < kTeams; ++team) SetGrant(team, kGrant);
     for (const job_request& job : jobs_) {
       if (job.kind == workload_kind::kService)
-        core_.Cancel(job.id, now_);  // it never ends by itself
+        core_.Cancel(job.id, now_);  // a service never ends on its own
     }
     for (int round = 0; round < 4000 && !open_.empty(); ++round) {
       HandleCommands(DecideFor(milliseconds{200}));
@@ -168,14 +168,15 @@
     core_.SetEndpointState(e, state, now_);
   }
 
-  // A grant below what runs stops nothing here; nothing more may start until it is back within it.
+  // A grant below the running count stops nothing; nothing more may start until the team is back
+  // within it.
   void SetGrant(team_index team, uint32_t running) {
     grants_[team] = running;
     core_.SetGrant(team, {{1000000000, 1000000000, 100000, 0}, running}, now_);
   }
 
-  // What is preempted is batch work that may run again, or a gang that has lost a task. Some tasks
-  // ignore the request for a checkpoint; none ignores a stop.
+  // Only repeatable batch jobs are preempted, or a gang that has lost a task. Some tasks ignore a
+  // checkpoint request; none ignores a stop.
   void Stop(const command& c) {
     const job_request& job = jobs_[c.task.job.lo];
     if (c.why == stop_reason::kPreempted) {
@@ -197,7 +198,7 @@
         RC_ASSERT(open_.erase(c.task.job.lo) == 1U);  // each job ends once
       }
     }
-    // Confirmed, or left open for a start that fails later.
+    // Confirmed, or left unconfirmed for a start that fails later.
     for (const command& c : commands) {
       if (c.kind == command_kind::kStart && c.task.job.lo % 3 != 0) {
         runs_[c.task].confirmed = true;
@@ -214,16 +215,16 @@
     const job_request& job = jobs_[c.task.job.lo];
     RC_ASSERT(job.repeatable || !lost_.contains(c.task.job.lo));
     for (const auto& [task, place] : runs_) {
-      RC_ASSERT(task.job != c.task.job || task.index != c.task.index);  // runs in one place
+      RC_ASSERT(task.job != c.task.job || task.index != c.task.index);  // runs on one endpoint only
     }
-    RC_ASSERT(states_[c.endpoint] == endpoint_state::kOpen);  // one that leaves gets nothing new
+    RC_ASSERT(states_[c.endpoint] == endpoint_state::kOpen);  // a leaving endpoint gets no new work
     used_[c.endpoint] += job.each;
     RC_ASSERT(Fits(used_[c.endpoint], kWorker));
     RC_ASSERT(++running_[job.team] <= grants_[job.team]);
     runs_[c.task] = {c.endpoint, false};
   }
 
-  // A gang of which something was started runs with all the tasks that are not over.
+  // A gang that was started runs all tasks that have not ended.
   void CheckGang(uint64_t number) {
     const job_request& job = jobs_[number];
     if (job.kind != workload_kind::kGang) return;
@@ -237,8 +238,8 @@
   std::vector<uint32_t> grants_;
   std::vector<endpoint_state> states_;
   absl::flat_hash_map<task_id, run> runs_;
-  std::set<uint64_t> open_;  // jobs taken in and not told to be over
-  std::set<uint64_t> lost_;  // jobs of which a run was lost
+  std::set<uint64_t> open_;  // admitted jobs without a reported end
+  std::set<uint64_t> lost_;  // jobs that lost a run
 };
 
 std::vector<step> DrawSteps() {
@@ -252,12 +253,12 @@
 
 }  // namespace
 
-// Ends, losses, failed starts, cancels, dying and leaving endpoints, grants that shrink, ignored
-// checkpoint requests and new work in any order. Whatever comes, no endpoint may hold more than it
-// can or get work while it leaves, no team run over its limit, no gang run in part, nothing be
-// preempted that does not give way, nothing that may run once be started again after a loss, and no
-// job be forgotten.
-TEST_CASE("decision core, random events, keeps its promises", "[decisions][property]") {
+// Random order of ends, losses, failed starts, cancellations, lost and leaving endpoints, reduced
+// grants, ignored checkpoint requests and new jobs. No endpoint may exceed its capacity or get work
+// while leaving, no team exceed its limit, no gang run incompletely, no job be preempted that is
+// not preemptible, no job that is not repeatable be started again after a loss, and no job be
+// forgotten.
+TEST_CASE("decision core, random events, keeps its invariants", "[decisions][property]") {
   const property_run run{1, 1000, 400};
   CHECK(Holds(run, [] {
     checked_core core;
--- a/test/full_capacity_test.cc
+++ b/test/full_capacity_test.cc
@@ -1,4 +1,4 @@
-// The scheduler on a full floor: who gets on, and who must not hold up others.
+// The scheduler at full capacity: which jobs proceed and which must not block others.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <memory>
@@ -16,7 +16,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Two services, each with a queue whose policy must be asked: "first" goes before "second".
+// Two services, each with a queue that needs advice from its policy: "first" goes before "second".
 class two_services_fixture {
  protected:
   two_services_fixture() {
@@ -75,37 +75,38 @@
 
 constexpr uint32_t kManyJobs = 500;
 
-// A burst fills one service while the other's instances stand empty. A caller of the other service
-// waits in the same line behind all of the burst, and is served only when the burst is over.
+// A burst fills one service while the instances of the other are idle; jobs of the other service
+// must not wait behind the burst.
 TEST_CASE_METHOD(two_services_fixture,
-                 "scheduler, one service full of waiting jobs, asks for jobs of the other") {
+                 "scheduler, one service full of waiting jobs, requests advice for the other") {
   for (uint32_t i = 0; i < kManyJobs; ++i) Submit(i, "first", "workspace", 8000);
   Submit(kManyJobs, "second", "workspace", 1000);
   CHECK(RequestsAdviceFor(kManyJobs));
 }
 
-// One workspace sends far more than it may have running. Its jobs can't start whatever is free, and
-// those of the others behind them wait for nothing.
+// One workspace sends far more jobs than its limit. They cannot start whatever is free, and must
+// not block jobs of other workspaces behind them.
 TEST_CASE_METHOD(two_services_fixture,
-                 "scheduler, workspace at its limit, asks for jobs of others behind it") {
+                 "scheduler, workspace at its limit, requests advice for others behind it") {
   for (uint32_t i = 0; i < kManyJobs; ++i) Submit(i, "first", "limited", 2000);
   Submit(kManyJobs, "first", "workspace", 1000);
   CHECK(RequestsAdviceFor(kManyJobs));
 }
 
-// Many jobs come that no instance is large enough for. They wait in case a larger instance joins,
-// and must hold up nobody meanwhile.
+// Many jobs are too large for any instance. They wait in case a larger instance joins, and must
+// block no other job meanwhile.
 TEST_CASE_METHOD(two_services_fixture,
-                 "scheduler, jobs too large for any instance, asks for jobs behind them") {
+                 "scheduler, jobs too large for any instance, requests advice for jobs behind") {
   for (uint32_t i = 0; i < kManyJobs; ++i) Submit(i, "first", "workspace", 64000);
   Submit(kManyJobs, "first", "workspace", 1000);
   CHECK(RequestsAdviceFor(kManyJobs));
 }
 
-// An instance drains, leaves the registry and never answers again. If it is still stored as one
-// that may run work, the next owner waits for its leases to run out before it starts anything that
-// it inherited, and callers wait four seconds for an empty instance.
-TEST_CASE_METHOD(two_services_fixture, "scheduler, instance left for good, is not in the fleet") {
+// An instance drains, leaves the registry and never answers again. If it stays stored as one that
+// may run tasks, the next owner waits for its leases to expire before it starts inherited jobs, and
+// callers wait four seconds for an idle instance.
+TEST_CASE_METHOD(two_services_fixture,
+                 "scheduler, instance left permanently, is not in the fleet") {
   const size_t before = owner.Fleet().size();
   std::vector<instance_report> left;
   for (const instance_report& report : owner.Fleet()) {
@@ -115,9 +116,9 @@
   CHECK(owner.Fleet().size() == before - 1);
 }
 
-// An instance crashes on a full floor, and a task that lasts is down with it. Its job is older than
-// any objective; ranked by that, it would come after everything else that waits, for ever.
-TEST_CASE("scheduler, lasting task down on a full floor, comes back before other work") {
+// An instance crashes at full capacity and a long-running task is lost. Its job is older than any
+// objective; ranked by that alone it would come after all other waiting jobs, indefinitely.
+TEST_CASE("scheduler, long-running task lost at full capacity, restarts before other jobs") {
   scheduling_world world(5);
   world.AddInstance("instance", kSmallInstance);
   world.Run(seconds(1));
--- a/test/grant_indivisible_test.cc
+++ b/test/grant_indivisible_test.cc
@@ -7,7 +7,7 @@
 namespace catkinford {
 namespace {
 
-// A team of ten running tasks over three shards, in each of which a gang of four waits.
+// A team limited to ten running tasks, with a waiting gang of four in each of three shards.
 class grant_indivisible_fixture {
  public:
   grant_indivisible_fixture() {
@@ -28,7 +28,7 @@
     return demand;
   }
 
-  // Lets each shard plan in turn, a few times over.
+  // Lets each shard plan in turn, several times.
   void PlanInTurn(const std::vector<uint32_t>& gangs) {
     for (int round = 0; round < 6; ++round) {
       for (size_t i = 0; i < gangs.size(); ++i) {
@@ -53,8 +53,8 @@
 }  // namespace
 
 // A limit is lowered so far that an equal part of it is smaller than a gang. With equal parts every
-// shard holds three of ten, no gang of four ever starts, and the team waits for ever beside its own
-// unused limit (seen in limit_lowered_under_load, seed 1).
+// shard holds three of ten, no gang of four ever starts, and the team waits forever beside its own
+// unused limit (seen in a simulation with seed 1).
 TEST_CASE_METHOD(grant_indivisible_fixture,
                  "grants, gang larger than an equal part, goes to one shard", "[grants]") {
   PlanInTurn({1, 1, 1});
@@ -66,9 +66,10 @@
   CHECK(GrantOf(2) >= 4);
 }
 
-// Shards that answer each other's plans for ever cost the store a write each time.
+// Guards against shards that answer each other's plans forever, which costs a store write each
+// time.
 TEST_CASE_METHOD(grant_indivisible_fixture,
-                 "grants, every shard wants more than its part, come to rest", "[grants]") {
+                 "grants, every shard wants more than its part, converge", "[grants]") {
   const std::vector<std::vector<uint32_t>> cases = {{1, 1, 1}, {5, 5, 5}, {0, 9, 9}, {9, 0, 1}};
   for (const std::vector<uint32_t>& gangs : cases) {
     PlanInTurn(gangs);
@@ -78,8 +79,8 @@
   }
 }
 
-TEST_CASE_METHOD(grant_indivisible_fixture, "grants, ledger with a piece, reads back as written",
-                 "[grants]") {
+TEST_CASE_METHOD(grant_indivisible_fixture,
+                 "grants, ledger with an indivisible demand, reads back as written", "[grants]") {
   PlanInTurn({1, 1, 1});
   const auto read = ParseLedger(ToText(ledger_));
   REQUIRE(read);
--- a/test/grant_model_test.cc
+++ b/test/grant_model_test.cc
@@ -29,7 +29,7 @@
   return config;
 }
 
-// One process that believes that it owns a shard.
+// A process that believes it owns a shard.
 struct model_owner {
   model_owner(std::string name, uint64_t its_epoch)
       : shard(std::move(name)), epoch(its_epoch), holder(shard, epoch) {}
@@ -39,19 +39,19 @@
   grant_holder holder;
   uint32_t used = 0;
   uint32_t wanted = 0;
-  bool open = false;  // has spoken to the endpoints: renews what runs there, and starts work
+  bool open = false;  // has contacted the endpoints: renews leases and starts tasks
 };
 
 struct sent_write {
   std::string shard;
   uint64_t epoch = 0;
-  uint32_t limit = 0;  // in force where it was first planned
+  uint32_t limit = 0;  // limit in effect when it was first planned
   grant_write write;
 };
 
-// The store, the network to it, three shards with their owners, owners that were superseded and
-// do not know it, and what each has running. Writes wait in the network, arrive in any order,
-// twice or never, and replies are lost.
+// The store, the network to it, three shards with their owners, superseded owners that do not know
+// it, and the running tasks of each. Writes wait in the network, arrive in any order, twice or
+// never, and replies are lost.
 class grant_model {
  public:
   void Step(uint32_t choice) {
@@ -76,7 +76,7 @@
  private:
   static constexpr size_t kShards = 3;
 
-  // A new owner reads and stamps the parts first, and opens the shard when all are its own.
+  // A new owner first reads and stamps the parts, and opens the shard when all carry its epoch.
   void PlanOwn(model_owner& own) {
     if (own.open) {
       Plan(own);
@@ -89,8 +89,8 @@
     Send(own, std::move(writes));
   }
 
-  // Once its successor speaks to the endpoints, what the ghost believes of leases that lapse is
-  // wrong: it may count anything less than what runs.
+  // Once its successor contacts the endpoints, the superseded owner's assumption that leases expire
+  // is wrong: it may count anything less than what runs.
   void PlanSuperseded(model_owner& superseded) {
     const bool renewed = std::any_of(owners_.begin(), owners_.end(), [&](const model_owner& own) {
       return own.shard == superseded.shard && own.open;
@@ -106,13 +106,13 @@
     return 0;
   }
 
-  // What is not wanted any more has ended.
+  // Tasks that are no longer wanted have ended.
   static void SetDemand(model_owner& own, uint32_t amount) {
     own.wanted = amount;
     own.used = std::min(own.used, amount);
   }
 
-  // Starts as much as may be started.
+  // Starts as many tasks as the grant allows.
   void Run(model_owner& own) const {
     if (!own.open) return;
     own.used = std::max(own.used, std::min(own.wanted, UsableOf(own)));
@@ -131,7 +131,7 @@
     }
   }
 
-  // One write arrives, or only seems lost: then the copy that is left arrives later, or never.
+  // One write arrives, or only seems lost: then the remaining copy arrives later, or never.
   void Deliver(uint32_t choice, bool lose) {
     if (network_.empty()) return;
     const size_t at = choice % network_.size();
@@ -144,7 +144,7 @@
       reply = Apply(sent);
       if (lose) reply.status = store_status::kUnknown;
     }
-    // Only the first reply to a write is heard.
+    // Only the first reply to a write is delivered.
     if (replied_.insert(sent.write.write_id).second) DeliverReply(sent, reply);
   }
 
@@ -172,8 +172,8 @@
     if (superseded != superseded_owners_.end()) superseded->holder.OnReply(sent.write.key, reply);
   }
 
-  // What ran goes on running. The new owner knows nothing of what the old one has under way, and
-  // the old one, paused, nothing of the new one.
+  // Running tasks continue. The new owner knows nothing of the old one's writes in flight, and the
+  // paused old owner nothing of the new one.
   void TakeOver(model_owner& own) {
     model_owner successor(own.shard, own.epoch + 1);
     successor.used = own.used;
@@ -197,7 +197,7 @@
       const auto part = ledger.find(name);
       return part == ledger.end() ? 0 : part->second;
     };
-    // Nobody counts on, or runs, more than the ledger gives it at this very moment.
+    // No owner uses or assumes more than the ledger grants it at this moment.
     for (const model_owner& own : owners_) {
       RC_ASSERT(UsableOf(own) <= held_by(after, own.shard));
       RC_ASSERT(own.used <= held_by(after, own.shard));
@@ -228,9 +228,9 @@
 
 }  // namespace
 
-// Writes are delayed, doubled or lost, owners are replaced with writes under way and go on writing
-// when they wake up, operators change the limit. A team with more running than its limit would be
-// seen by its neighbours, who get less than their share.
+// Writes are delayed, duplicated or lost, owners are replaced with writes in flight and keep
+// writing when they resume, and operators change the limit. No interleaving may let a team exceed
+// its limit.
 TEST_CASE("grants, random interleavings of lost replies and takeovers, never pass the limit",
           "[grants]") {
   CHECK(Holds({7, 1000, 300}, [] {
--- a/test/grant_test.cc
+++ b/test/grant_test.cc
@@ -61,8 +61,8 @@
   CHECK(RunningOf(ledger, "a") >= 500);
 }
 
-// One shard had all of a team's limit and keeps a long queue; work of the same team in another
-// domain would wait until that queue is empty. As its tasks end it gives back to the other.
+// One shard holds all of a team's limit and has a long queue; jobs of the team in another domain
+// would wait until that queue is empty. As its tasks end it must return parts to the other shard.
 TEST_CASE_METHOD(grant_fixture, "grants, one shard starved, even out as tasks end", "[grants]") {
   ledger_value ledger = Plan({}, "a", 0, 2000);
   ledger = Plan(ledger, "b", 0, 2000);
@@ -76,8 +76,8 @@
   CHECK(RunningOf(ledger, "b") == 320);
 }
 
-// An operator lowers a limit while all of it is running. New grants stop at once, what ends is not
-// given out again, and only when the sum has fallen is the limit said to be in force.
+// An operator lowers a limit while all of it is running. New grants must stop at once, ended tasks
+// must not be granted again, and the limit is in effect only when the sum has fallen below it.
 TEST_CASE_METHOD(grant_fixture, "grants, limit lowered, drain down to it", "[grants]") {
   ledger_value ledger = Plan({}, "a", 0, 320);
   ledger = Plan(ledger, "b", 0, 310);
@@ -100,9 +100,9 @@
   CHECK(RunningOf(Plan(ledger, "a", 0, 0), "a") == 10);
 }
 
-// A team of a small limit has a handful of short tasks in each shard, none for a moment and five in
-// the next. Were its grant returned and asked for each time, callers would wait for writes to the
-// store while the floor is half empty, seen as waits of 40 ms where 3 are usual.
+// A team with a small limit has a few short tasks in each shard, none at one moment and five at the
+// next. If its grant were returned and requested each time, callers would wait 40 ms instead of the
+// usual 3 for store writes while half of the capacity is free.
 TEST_CASE_METHOD(grant_fixture, "grants, demand of a few tasks that swings, are not moved again",
                  "[grants]") {
   config_ = ConfigWith(144);
@@ -123,9 +123,9 @@
   CHECK_FALSE(ParseLedger(R"({"t":{"a":[1,2,3,-4,0,false]}})").has_value());
 }
 
-// An owner is paused, another takes its shard and uses the shard's part of the limit. The first
-// wakes up, finds that little runs by its own books, and would return the part: other shards would
-// take it, and the team would have more running than its limit.
+// An owner is paused while another takes its shard and uses the shard's part of the limit. When it
+// resumes, little runs by its own account and it would return the part: other shards would take it,
+// and the team would exceed its limit.
 TEST_CASE_METHOD(grant_fixture, "grants, owner superseded while paused, returns nothing",
                  "[grants]") {
   grant_holder old_owner("a", 1);
--- a/test/identity_history_test.cc
+++ b/test/identity_history_test.cc
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-// A caller loses its answer and asks again, at another entry. It must get the first run's answer
-// and not a second run: the salary would be charged twice.
-TEST_CASE_METHOD(identity_fixture, "identity, asked again, is known with its answer",
+// A caller loses its answer and repeats the request at another entry. It must get the first run's
+// answer; a second run would repeat side effects.
+TEST_CASE_METHOD(identity_fixture, "identity, requested again, is known with its answer",
                  "[identity]") {
   CHECK(history_.Begin(id_, false, now_) == identity_verdict::kNew);
   CHECK(history_.Begin(id_, false, now_) == identity_verdict::kKnown);
@@ -35,8 +35,8 @@
   CHECK(history_.Find(id_)->answer == "paid");
 }
 
-// The owner died after it had sent a start. Until all endpoints are listed nobody can say whether
-// the work ran; a new owner that said "new" would run it again.
+// The owner failed after it had sent a start. Until all endpoints are listed it is unknown whether
+// the job ran; a new owner that answered "new" would run it again.
 TEST_CASE_METHOD(identity_fixture, "identity, owner new and endpoints unlisted, is uncertain",
                  "[identity]") {
   history_.SetUnlisted(1);
@@ -47,8 +47,8 @@
   CHECK(history_.Begin({1, 3}, false, now_) == identity_verdict::kNew);
 }
 
-// Owner and endpoint die together: what the endpoint ran is in no list. Callers that ask again
-// hear that it may have run, for as long as one may ask again; new requests go on.
+// Owner and endpoint fail together: what the endpoint ran is in no listing. Callers that repeat a
+// request get an unknown outcome for the whole window; new requests proceed.
 TEST_CASE_METHOD(identity_fixture, "identity, endpoint lost unlisted, is uncertain for the window",
                  "[identity]") {
   history_.OnListingLost(now_);
@@ -57,13 +57,13 @@
   CHECK(history_.Begin(id_, false, now_ + seconds{30}) == identity_verdict::kNew);
 }
 
-TEST_CASE_METHOD(identity_fixture, "identity, refused as not run, may run later", "[identity]") {
+TEST_CASE_METHOD(identity_fixture, "identity, rejected as not run, may run later", "[identity]") {
   CHECK(history_.Begin(id_, false, now_) == identity_verdict::kNew);
   history_.Finish(id_, {id_, outcome_kind::kRefused}, now_);
   CHECK(history_.Begin(id_, false, now_) == identity_verdict::kNew);
 }
 
-TEST_CASE_METHOD(identity_fixture, "identity, unknown at first, takes its end when that is learnt",
+TEST_CASE_METHOD(identity_fixture, "identity, unknown at first, takes its result when it arrives",
                  "[identity]") {
   history_.Begin(id_, false, now_);
   history_.Finish(id_, {id_, outcome_kind::kUnknown}, now_);
@@ -76,8 +76,8 @@
   CHECK(history_.AnswerBytes() == 0);
 }
 
-// A flood of requests fills the memory. Forgetting the oldest would let it run twice.
-TEST_CASE_METHOD(identity_fixture, "identity, memory full, refuses instead of forgetting",
+// A burst of requests fills the history. Evicting the oldest identity would let it run twice.
+TEST_CASE_METHOD(identity_fixture, "identity, history full, rejects instead of evicting",
                  "[identity]") {
   for (uint64_t i = 0; i < 3; ++i) history_.Begin({9, i}, false, now_);
   CHECK(history_.Begin(id_, false, now_) == identity_verdict::kFull);
@@ -85,7 +85,7 @@
   CHECK(history_.Begin(id_, false, now_ + seconds{30}) == identity_verdict::kNew);
 }
 
-TEST_CASE_METHOD(identity_fixture, "identity, answers too large together, oldest is given up",
+TEST_CASE_METHOD(identity_fixture, "identity, answers too large together, oldest is dropped",
                  "[identity]") {
   history_.Finish({1, 1}, Completed(std::string(80, 'x')), now_);
   history_.Finish({1, 2}, Completed(std::string(80, 'y')), now_);
--- a/test/instance_polling_test.cc
+++ b/test/instance_polling_test.cc
@@ -19,7 +19,7 @@
 constexpr milliseconds kPoll{1000};
 constexpr milliseconds kTick{50};
 
-// Three neighbours whose messages arrive at once, and a platform that answers at once.
+// Three neighbours whose messages arrive immediately, and a platform that answers immediately.
 class polling_fixture {
  public:
   polling_fixture() {
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(polling_fixture, "instance turns, at rest, one entry reads at a time",
+TEST_CASE_METHOD(polling_fixture, "instance polling, no changes, one entry reads at a time",
                  "[instance_turns]") {
   reads_.clear();
   Run(seconds{30});
@@ -94,7 +94,8 @@
   }
 }
 
-TEST_CASE_METHOD(polling_fixture, "instance turns, endpoint leaves and another is new, all hear",
+TEST_CASE_METHOD(polling_fixture,
+                 "instance polling, endpoint leaves and another joins, all entries learn it",
                  "[instance_turns]") {
   list_[3].leaving = true;
   list_.erase(list_.begin() + 7);
@@ -107,9 +108,9 @@
   }
 }
 
-// An address may depend on who reads the list. What an entry has read itself goes on being used
-// where a neighbour's news tells of something else.
-TEST_CASE_METHOD(polling_fixture, "instance turns, known endpoint changes, keeps its own address",
+// An address may depend on the reader of the list. An entry must keep the address it has read
+// itself when a neighbour reports another change of the instance.
+TEST_CASE_METHOD(polling_fixture, "instance polling, known endpoint changes, keeps its own address",
                  "[instance_turns]") {
   list_[3].leaving = true;
   Run(seconds{2});
@@ -120,9 +121,10 @@
   }
 }
 
-// The entry whose turn it is dies, or is cut off from the platform alone. If the others waited for
-// it, a leaving endpoint would get new work until it comes back.
-TEST_CASE_METHOD(polling_fixture, "instance turns, next reader is cut off or dies, is passed over",
+// The next reader fails, or is cut off from the platform alone. If the others waited for it, a
+// leaving endpoint would get new work until it returns.
+TEST_CASE_METHOD(polling_fixture,
+                 "instance polling, next reader disconnected or failed, is skipped",
                  "[instance_turns]") {
   disconnected_ = "b";
   list_[3].leaving = true;
@@ -135,9 +137,9 @@
   for (const char* name : {"a", "c"}) CHECK(IsLeaving(name, "ep-4"));
 }
 
-// The message with a change is lost. The next reader sees no change any more, and without a check
-// of the whole the others would never hear of it.
-TEST_CASE_METHOD(polling_fixture, "instance turns, message lost, list is read again",
+// The message with a change is lost. The next reader sees no change; without a digest of the whole
+// list the others would never learn of it.
+TEST_CASE_METHOD(polling_fixture, "instance polling, message lost, list is read again",
                  "[instance_turns]") {
   lose_next_ = true;
   list_[3].leaving = true;
@@ -145,7 +147,7 @@
   for (const char* name : {"a", "b", "c"}) CHECK(IsLeaving(name, "ep-3"));
 }
 
-TEST_CASE_METHOD(polling_fixture, "instance turns, new entry, reads at once and disturbs nobody",
+TEST_CASE_METHOD(polling_fixture, "instance polling, new entry, reads at once and sends no changes",
                  "[instance_turns]") {
   reads_.clear();
   entries_.emplace("d", instance_polling("d", kPoll));
--- a/test/overload_test.cc
+++ b/test/overload_test.cc
@@ -42,8 +42,8 @@
   CHECK(answers.parts.at("team-0") == Approx(1.0));
 }
 
-TEST_CASE_METHOD(overload_fixture,
-                 "return figures, callers who come back, tell first returns served", "[overload]") {
+TEST_CASE_METHOD(overload_fixture, "return figures, callers that retry, count first retries served",
+                 "[overload]") {
   Add("a", milliseconds{0}, milliseconds{1}, outcome_kind::kRefused, refusal_reason::kShed);
   Add("a", milliseconds{50}, milliseconds{20}, outcome_kind::kCompleted);
   Add("b", milliseconds{0}, milliseconds{1}, outcome_kind::kRefused, refusal_reason::kShed);
--- a/test/removed_endpoints_test.cc
+++ b/test/removed_endpoints_test.cc
@@ -23,10 +23,10 @@
 
 }  // namespace
 
-// The platform's list comes back short for a moment. A drain that was forgotten for it would give
-// new work to an endpoint that somebody takes apart.
-TEST_CASE_METHOD(removed_endpoints_fixture, "drained endpoint, missing for a moment, is not gone",
-                 "[drain]") {
+// The platform's list is incomplete for a moment. Discarding a drain because of it would give new
+// work to an endpoint that is being dismantled.
+TEST_CASE_METHOD(removed_endpoints_fixture,
+                 "drained endpoint, missing for a moment, is not removed", "[drain]") {
   CHECK(After(milliseconds{0}, {"b"}).empty());
   CHECK(After(milliseconds{99}, {"b"}).empty());
   CHECK(After(milliseconds{100}, {"a", "b"}).empty());
@@ -35,7 +35,7 @@
   CHECK(After(milliseconds{250}, {"b"}) == names{"a"});
 }
 
-TEST_CASE_METHOD(removed_endpoints_fixture, "drained endpoints, list empty, are not gone",
+TEST_CASE_METHOD(removed_endpoints_fixture, "drained endpoints, list empty, are not removed",
                  "[drain]") {
   CHECK(After(milliseconds{0}, {"c"}).empty());
   CHECK(After(milliseconds{100}, {}).empty());
--- a/test/request_table_test.cc
+++ b/test/request_table_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-// An entry of sapporo-ch with three failure domains, each shard with an owner of its own.
+// An entry in the first of three failure domains, each with one shard and its own owner.
 class request_table_fixture {
  public:
   request_table_fixture() : routes_(Options()), table_({}, routes_) {
@@ -73,7 +73,7 @@
 
 }  // namespace
 
-// Two callers wait at one entry and the answers come in the other order. Each must get its own.
+// Two callers wait at one entry and the answers arrive in reverse order. Each must get its own.
 TEST_CASE_METHOD(request_table_fixture, "request table, answers out of order, go by identity",
                  "[request_table]") {
   Add(11, Entry(1, false));
@@ -102,10 +102,10 @@
   }
 }
 
-// The owner's death is noticed, and another entry takes its shard. The request may have run, so it
-// must be asked for at the new owner, and at no other shard.
-TEST_CASE_METHOD(request_table_fixture, "request table, owner replaced, asks the new one at once",
-                 "[request_table]") {
+// The owner fails and another entry takes its shard. The request may have run, so it must be sent
+// to the new owner and to no other shard.
+TEST_CASE_METHOD(request_table_fixture,
+                 "request table, owner replaced, sends to the new one at once", "[request_table]") {
   Add(11, Entry(1, false));
   const std::string shard = out_.sends.at(0).place.shard;
   CHECK(out_.sends[0].place.fresh);
@@ -122,8 +122,9 @@
   CHECK_FALSE(out_.sends[1].place.fresh);
 }
 
-// No connection to the owner could be made: nothing was sent, so another shard may run it.
-TEST_CASE_METHOD(request_table_fixture, "request table, send surely failed, tries another shard",
+// No connection to the owner could be made: nothing was sent, so another shard may run the request.
+TEST_CASE_METHOD(request_table_fixture,
+                 "request table, send known to have failed, tries another shard",
                  "[request_table]") {
   Add(11, Entry(1, false));
   const std::string first = out_.sends.at(0).owner;
@@ -135,9 +136,9 @@
   CHECK(out_.sends[1].place.fresh);
 }
 
-// A shard is full and refuses: that is proof that it does not run there.
-TEST_CASE_METHOD(request_table_fixture,
-                 "request table, refused as full, goes elsewhere a few times", "[request_table]") {
+// A full shard rejects the request, which proves that it does not run there.
+TEST_CASE_METHOD(request_table_fixture, "request table, rejected as full, tries a few other shards",
+                 "[request_table]") {
   Add(11, Entry(1, false));
   for (int i = 0; i < 10 && out_.answers.empty(); ++i) {
     table_.OnOutcome(Outcome(1, outcome_kind::kRefused, refusal_reason::kQueueFull), now_, out_);
@@ -147,8 +148,8 @@
   CHECK(out_.answers[0].outcomes[0].kind == outcome_kind::kRefused);
 }
 
-// The owner is cut off after the request was sent. The caller is told that it may have run, at its
-// deadline and not later.
+// The owner is disconnected after the request was sent. The caller must be told at its deadline,
+// not later, that the request may have run.
 TEST_CASE_METHOD(request_table_fixture, "request table, no outcome in time, answers unknown",
                  "[request_table]") {
   Add(11, Entry(1, false));
@@ -160,10 +161,10 @@
   CHECK(out_.answers[0].outcomes[0].kind == outcome_kind::kUnknown);
 }
 
-// The shard that remembers a caller's key cannot be reached. The same key may have run through
-// another entry, so "not run" would be a guess, unless the caller says that it never asked before.
+// The shard that records a caller's key is unreachable. The same key may have run through another
+// entry, so "not run" is only certain if the caller states that it is its first attempt.
 TEST_CASE_METHOD(request_table_fixture,
-                 "request table, home not reachable, says not run only if sure",
+                 "request table, home unreachable, answers not run only if certain",
                  "[request_table]") {
   for (const char* domain : {"sapporo-ch", "otaru", "asahikawa"}) {
     routes_.OnOwnerDown(std::string("owner-of-") + domain);
--- a/test/router_test.cc
+++ b/test/router_test.cc
@@ -1,4 +1,4 @@
-// Which shard a request without a key of its caller goes to.
+// Selection of the shard for a request without a caller's key.
 #include "process/router.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 
 constexpr resources kTask{1000, 1024, 0, 1};
 
-// An entry of a failure domain whose shard has a queue; another domain's shard has none.
+// An entry of a failure domain whose shard has a queue, while the shard of another domain has none.
 class router_fixture {
  protected:
   router_fixture() : routes_(Options()) {}
@@ -67,16 +67,16 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(router_fixture, "router, queue here and none there, sends work there",
+TEST_CASE_METHOD(router_fixture, "router, queue in own domain only, sends requests to the other",
                  "[router]") {
   Report("here", milliseconds{30});
   Report("there", milliseconds{0});
   CHECK(SentToRemote() > 0);
 }
 
-// The other domain is in another region, 80 ms there and back. Work that leaves for it because of
-// a queue of 30 ms comes back 50 ms later than it would have here.
-TEST_CASE_METHOD(router_fixture, "router, queue shorter than the way there, keeps work here",
+// The other domain is in another region with a round trip of 80 ms. A request sent there because of
+// a local queue of 30 ms would be answered 50 ms later than here.
+TEST_CASE_METHOD(router_fixture, "router, queue shorter than the round trip, keeps requests local",
                  "[router]") {
   Report("here", milliseconds{30});
   Report("there", milliseconds{0});
@@ -86,10 +86,10 @@
   CHECK(SentToRemote() > 0);
 }
 
-// An owner gives its shard away and says so. Its earlier word, passed on by others, arrives after
-// that: taken as news it would send requests back to it until the next word of the heir.
-TEST_CASE_METHOD(router_report_fixture, "router, earlier word of an owner that refused, is ignored",
-                 "[router]") {
+// An owner releases its shard and reports so. Its earlier report, forwarded by others, arrives
+// later; if accepted it would direct requests to the old owner until the new owner's next report.
+TEST_CASE_METHOD(router_report_fixture,
+                 "router, earlier report of an owner that disowned, is ignored", "[router]") {
   routes_.OnReport("otaru-0", Report("otaru", 4), now_);
   routes_.OnNotOwner("otaru-0", "otaru/0", now_ + seconds{1});
   routes_.OnReport("otaru-0", Report("otaru", 4), now_ + milliseconds{500});
@@ -100,9 +100,9 @@
   CHECK(routes_.OwnerOf("otaru/0", now_ + seconds{2}) == "otaru-1");
 }
 
-// Other domains are heard of by turns. With one limit of age for all, their shards would be without
-// an owner between two turns, and requests for them would wait.
-TEST_CASE_METHOD(router_report_fixture, "router, word of another domain, counts for its own limit",
+// Other domains report in turn, hence less often. With a single age limit their shards would have
+// no known owner between two reports, and requests for them would wait.
+TEST_CASE_METHOD(router_report_fixture, "router, report of another domain, has its own age limit",
                  "[router]") {
   routes_.OnReport("otaru-0", Report("otaru", 4), now_);
   routes_.OnReport("asahikawa-0", Report("asahikawa", 4), now_);
--- a/test/usage_propagation_test.cc
+++ b/test/usage_propagation_test.cc
@@ -20,7 +20,7 @@
 
 resources Slots(uint32_t slots) { return {slots * 100, slots * 100, 0, slots}; }
 
-// Three failure domains of three entries, whose messages arrive at once.
+// Three failure domains of three entries; messages arrive immediately.
 class usage_fixture {
  public:
   usage_fixture() {
@@ -83,21 +83,22 @@
 
   monotonic_time now_{std::chrono::hours{1}};
   std::map<std::string, node> nodes_;
-  std::string disconnected_;  // an entry that nobody counts as up
+  std::string disconnected_;  // an entry that no other counts as up
   bool lose_ = false;
   int messages_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(usage_fixture, "usage spread, all owners run something, each hears of the others",
+TEST_CASE_METHOD(usage_fixture,
+                 "usage propagation, all owners run tasks, each learns of the others",
                  "[usage_spread]") {
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
   Run(seconds{5});
   for (const auto& [name, one] : nodes_) CHECK(ElsewhereOf(name, "desk") == 800);
 }
 
-TEST_CASE_METHOD(usage_fixture, "usage spread, nothing changes, nothing is sent",
+TEST_CASE_METHOD(usage_fixture, "usage propagation, nothing changes, nothing is sent",
                  "[usage_spread]") {
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
   Run(seconds{5});
@@ -110,9 +111,9 @@
   CHECK(ElsewhereOf("d0-e1", "desk") == 700);
 }
 
-// The relay of a domain dies. Its neighbours' use would stay as last told for ever, and the others
-// would go on counting it.
-TEST_CASE_METHOD(usage_fixture, "usage spread, relay dies, the next one takes its place",
+// The relay of a domain fails. The last reported usage of its neighbours would stay in effect, and
+// the others would go on counting it.
+TEST_CASE_METHOD(usage_fixture, "usage propagation, relay fails, the next one takes its place",
                  "[usage_spread]") {
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
   Run(seconds{5});
@@ -123,8 +124,9 @@
   CHECK(ElsewhereOf("d1-e2", "desk") == 900);
 }
 
-// Calls are lost for a while. What was in them must be told again.
-TEST_CASE_METHOD(usage_fixture, "usage spread, messages lost, are told again", "[usage_spread]") {
+// Calls are lost for a while. Their content must be sent again.
+TEST_CASE_METHOD(usage_fixture, "usage propagation, messages lost, are sent again",
+                 "[usage_spread]") {
   Run(seconds{2});
   lose_ = true;
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
@@ -134,9 +136,9 @@
   for (const auto& [name, one] : nodes_) CHECK(ElsewhereOf(name, "desk") == 800);
 }
 
-// A call that timed out is tried again, and both arrive, the first one last; or of two that are
-// under way at once the later overtakes the earlier. What the earlier one alone tells must count.
-TEST_CASE_METHOD(usage_fixture, "usage spread, old message arrives late, is ignored",
+// A call that timed out is retried and both arrive, the first one last; or of two in flight the
+// later overtakes the earlier. Teams that only the earlier message reports must count.
+TEST_CASE_METHOD(usage_fixture, "usage propagation, old message arrives late, is ignored",
                  "[usage_spread]") {
   usage_propagation& relay = *nodes_.at("d0-e0").usage;
   relay.OnUsage("d0-e1", {1, 2, true, {{"desk", Slots(50)}}}, now_);
@@ -146,7 +148,7 @@
   relay.OnUsage("d0-e1", {1, 3, false, {{"desk", Slots(70)}, {"lab", Slots(30)}}}, now_);
   CHECK(ElsewhereOf("d0-e0", "desk") == 60);
   CHECK(ElsewhereOf("d0-e0", "lab") == 30);
-  relay.OnUsage("d0-e1", {2, 1, true, {}}, now_);  // a new process under the same name
+  relay.OnUsage("d0-e1", {2, 1, true, {}}, now_);  // a new process with the same name
   CHECK(ElsewhereOf("d0-e0", "desk") == 0);
 }
 
--- a/test/virtual_queue_test.cc
+++ b/test/virtual_queue_test.cc
@@ -21,12 +21,13 @@
   virtual_queue queue_;
 };
 
-// Callers of one team against a single endpoint, as in an overload.
+// Callers of one team against a single endpoint, in overload.
 class overload_fixture : public decision_fixture {
  protected:
   overload_fixture() { AddEndpoints(1); }
 
-  // 4 ms in which one caller comes; eight slots of 100 ms each let one start in 12.5 ms.
+  // Advances 4 ms, in which one caller arrives; eight slots of 100 ms each allow one start per 12.5
+  // ms.
   admission Next() {
     now_ += milliseconds{4};
     if (++steps_ % 3 == 0 && running_.size() == 8) {
@@ -53,13 +54,13 @@
 }  // namespace
 
 TEST_CASE_METHOD(virtual_queue_fixture,
-                 "virtual queue, several refused at once, spaces their times", "[decisions]") {
+                 "virtual queue, several rejected at once, spaces their times", "[decisions]") {
   CHECK(Join(1, milliseconds{50}) == now_ + milliseconds{50});
   CHECK(Join(2, milliseconds{50}) == now_ + milliseconds{60});
   CHECK(Join(3, milliseconds{50}) == now_ + milliseconds{70});
 }
 
-TEST_CASE_METHOD(virtual_queue_fixture, "virtual queue, caller back too early, tells the same time",
+TEST_CASE_METHOD(virtual_queue_fixture, "virtual queue, retry too early, returns the same time",
                  "[decisions]") {
   const monotonic_time due = Join(1, seconds{1});
   Join(2, seconds{1});
@@ -68,16 +69,16 @@
   CHECK(Join(1, seconds{1}) == due);
 }
 
-TEST_CASE_METHOD(virtual_queue_fixture, "virtual queue, caller back in time, gives its place once",
+TEST_CASE_METHOD(virtual_queue_fixture, "virtual queue, retry in time, is redeemed once",
                  "[decisions]") {
   now_ = Join(1, milliseconds{50});
   CHECK(queue_.Redeem({1, 1}, now_));
   CHECK_FALSE(queue_.Redeem({1, 1}, now_));
 }
 
-// A caller that never comes back must not be remembered for ever: the memory of an entry would grow
-// with each storm.
-TEST_CASE_METHOD(virtual_queue_fixture, "virtual queue, callers who stay away, forgets them",
+// A caller that never retries must be removed; otherwise the memory of an entry would grow with
+// each overload.
+TEST_CASE_METHOD(virtual_queue_fixture, "virtual queue, callers that never retry, are removed",
                  "[decisions]") {
   for (uint64_t caller = 0; caller < 100; ++caller) Join(caller, milliseconds{50});
   now_ += seconds{60};
@@ -85,18 +86,18 @@
   CHECK(queue_.Size() == 1);
 }
 
-TEST_CASE_METHOD(virtual_queue_fixture, "virtual queue, full, tells all the rest to come back late",
-                 "[decisions]") {
+TEST_CASE_METHOD(virtual_queue_fixture,
+                 "virtual queue, full, assigns the maximum delay to the rest", "[decisions]") {
   for (uint64_t caller = 0; caller < 10000; ++caller) {
     CHECK(Join(caller, milliseconds{50}) <= now_ + seconds{30});
   }
   CHECK(queue_.Size() < 3000);
 }
 
-// Three times as many callers as the floor serves. Told only how long the queue takes, all who are
-// refused come back together and most are refused again; a user sees the same request turned away
-// ten times and later ones served.
-TEST_CASE_METHOD(overload_fixture, "caller refused in an overload, back when told, is taken in",
+// Three times as many callers as the capacity. If told only how long the queue takes, all rejected
+// callers retry together and most are rejected again, ten times in a row, while later ones are
+// served.
+TEST_CASE_METHOD(overload_fixture, "caller rejected in an overload, retries on time, is admitted",
                  "[decisions]") {
   uint32_t refused = 0;
   admission answer;
@@ -111,10 +112,9 @@
   CHECK(Call(caller).queued);
 }
 
-// The same overload goes on for long. A queue of half the deadline serves nobody more, and every
-// buyer at the door would wait a second for a confirmation that takes a tenth of it.
-TEST_CASE_METHOD(overload_fixture,
-                 "overload that lasts, no caller of it back, keeps the queue short",
+// The same overload persists. A queue of half the deadline serves no more callers, and each would
+// wait a second for a task that takes a tenth of it.
+TEST_CASE_METHOD(overload_fixture, "persistent overload, no caller retries, keeps the queue short",
                  "[decisions]") {
   for (int i = 0; i < 5000; ++i) Next();
   CHECK(core_.Usage(0).queued_tasks < 20);
