--- a/src/process/decision_impl.h
+++ b/src/process/decision_impl.h
@@ -64,7 +64,7 @@
   monotonic_time expires{};     // then dropped and made again, possibly on other endpoints
   bool in_use = false;
   bool urgent = false;
-  bool cleared = false;  // the batch tasks to preempt were asked to stop
+  bool preemption_requested = false;  // the batch tasks to preempt were asked to stop
 };
 
 // How long a preempted task may take for its checkpoint; after that it is stopped without one and
@@ -115,7 +115,7 @@
   void Release(job_handle job, uint32_t index, task_state next);
   void Requeue(job_handle job, uint32_t index);
   void Enqueue(job_handle job, bool front);
-  void DropWaiting(job_handle job);
+  void RemoveWaiting(job_handle job);
   void StopTask(job_handle job, uint32_t index, stop_reason why, bool checkpoint);
   void StopAll(job_handle job, stop_reason why, bool checkpoint);
   void Preempt(job_handle job, uint32_t index, monotonic_time due);
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -33,7 +33,7 @@
 }
 
 // Removes all waiting tasks of a job from its queue.
-void decision_core::impl::DropWaiting(job_handle handle) {
+void decision_core::impl::RemoveWaiting(job_handle handle) {
   job_record& job = jobs[handle];
   if (job.queued) queues.Remove(handle);
   EndGrantReservation(handle);
@@ -47,7 +47,7 @@
   job_record& job = jobs[handle];
   if (job.cancelled) return true;
   job.cancelled = true;
-  DropWaiting(handle);
+  RemoveWaiting(handle);
   cancelled.push_back({{}, timer_kind::kDeadline, handle, job.generation});
   return true;
 }
@@ -200,7 +200,7 @@
   job_record& job = jobs[handle];
   if (!job.request.repeatable && job.possible_runs > 0) {
     job.may_have_run = true;
-    DropWaiting(handle);
+    RemoveWaiting(handle);
   }
   const auto tasks = static_cast<uint32_t>(jobs[handle].tasks.size());
   for (uint32_t index = 0; index < tasks; ++index) Preempt(handle, index, now + kCheckpointTimeout);
@@ -303,11 +303,11 @@
     // It may have completed unobserved. Placed again it could run twice and repeat its side
     // effects, for example a payment; the owner answers that the outcome is unknown.
     job.may_have_run = true;
-    DropWaiting(handle);
+    RemoveWaiting(handle);
   }
   (end == task_end::kDone ? job.done : job.failed) += 1;
   if (is_gang && end != task_end::kDone) {
-    DropWaiting(handle);
+    RemoveWaiting(handle);
     StopAll(handle, stop_reason::kCancelled, false);
   }
   if (is_gang && job.live == 0) Enqueue(handle, true);
@@ -322,7 +322,7 @@
   const bool single = job.tasks.size() == 1;
   if (single && job.possible_runs > 0) job.may_have_run = true;
   job.failed += job.waiting;
-  DropWaiting(handle);
+  RemoveWaiting(handle);
   EndIfOver(handle, refusal_reason::kDeadline);
 }
 
--- a/src/process/decision_reservations.cc
+++ b/src/process/decision_reservations.cc
@@ -103,7 +103,7 @@
 bool decision_core::impl::ChooseParts(const job_record& job, uint32_t count,
                                       std::vector<reservation::part>& parts) {
   struct candidate {
-    double in_the_way = 0;  // dominant share of the endpoint that must be freed, per task
+    double to_free = 0;  // dominant share of the endpoint that must be freed, per task
     reservation::part part;
   };
   const resources& each = job.request.each;
@@ -116,9 +116,8 @@
     const resources lacks = SubtractOrZero(Times(each, most), e.Free());
     candidates.push_back({DominantShare(lacks, e.capacity) / most, {endpoint, most}});
   }
-  std::stable_sort(
-      candidates.begin(), candidates.end(),
-      [](const candidate& a, const candidate& b) { return a.in_the_way < b.in_the_way; });
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const candidate& a, const candidate& b) { return a.to_free < b.to_free; });
   uint32_t missing = count;
   for (const candidate& c : candidates) {
     parts.push_back({c.part.endpoint, std::min(missing, c.part.count)});
@@ -191,7 +190,7 @@
       Preempt(task.job, task.index, due);
     }
   }
-  room.cleared = enough;
+  room.preemption_requested = enough;
 }
 
 void decision_core::impl::ServeReservations(monotonic_time now, std::vector<command>& out) {
@@ -225,7 +224,7 @@
     StartChosen(room.job, now, out);
     return true;
   }
-  if (now >= room.preempt_at && !room.cleared) PreemptFor(room, now);
+  if (now >= room.preempt_at && !room.preemption_requested) PreemptFor(room, now);
   return false;
 }
 
--- a/src/process/decision_rounds.cc
+++ b/src/process/decision_rounds.cc
@@ -117,11 +117,11 @@
   admitted_unchecked = false;
   jobs.VisitAll([this](job_handle handle) {
     job_record& job = jobs[handle];
-    const bool whole = job.request.kind == workload_kind::kGang;
+    const bool all_at_once = job.request.kind == workload_kind::kGang;
     if (job.waiting == 0) return;
-    if (endpoints.CanEverHold(job.request.each, whole ? job.waiting : 1)) return;
+    if (endpoints.CanEverHold(job.request.each, all_at_once ? job.waiting : 1)) return;
     job.failed += job.waiting;
-    DropWaiting(handle);
+    RemoveWaiting(handle);
     EndIfOver(handle, refusal_reason::kNeverFits, endpoints.WhyNever(job.request.each));
   });
 }
--- a/src/process/router.cc
+++ b/src/process/router.cc
@@ -34,7 +34,7 @@
   route.epoch = report.epoch;
   route.summary = report.summary;
   route.endpoints = report.endpoints;
-  route.heard = std::max(route.heard, at);
+  route.last_report = std::max(route.last_report, at);
 }
 
 void router::SetAgeLimits(milliseconds near, milliseconds far) {
@@ -78,7 +78,7 @@
 bool router::IsLive(const shard_route& route, monotonic_time now) const {
   const bool is_near = route.failure_domain == options_.failure_domain;
   const milliseconds limit = is_near ? options_.near_age_limit : options_.far_age_limit;
-  return !route.owner.empty() && now - route.heard <= limit;
+  return !route.owner.empty() && now - route.last_report <= limit;
 }
 
 milliseconds router::Cost(const shard_route& route) const {
@@ -115,7 +115,7 @@
                      [&](const std::string& domain) {
                        return std::any_of(routes_.begin(), routes_.end(), [&](const auto& route) {
                          return route.second.failure_domain == domain &&
-                                route.second.heard != monotonic_time{};
+                                route.second.last_report != monotonic_time{};
                        });
                      });
 }
--- a/src/process/router.h
+++ b/src/process/router.h
@@ -35,7 +35,7 @@
   shard_summary summary;
   uint32_t endpoints = 0;
   std::chrono::milliseconds round_trip{0};  // measured round trip to its owner
-  monotonic_time heard{};
+  monotonic_time last_report{};
 };
 
 class router {
--- a/src/process/usage_propagation.cc
+++ b/src/process/usage_propagation.cc
@@ -52,7 +52,7 @@
   if (message.incarnation < known.incarnation) return;
   if (message.incarnation > known.incarnation) known = {message.incarnation, 0, now, {}};
   if (message.sequence < known.whole) return;
-  known.heard = now;
+  known.last_report = now;
   if (message.whole) {
     known.whole = message.sequence;
     absl::erase_if(known.uses,
@@ -83,12 +83,12 @@
 // name until one has reported.
 const std::string& usage_propagation::FarRelayOf(const std::vector<std::string>& entries) const {
   const std::string* best = &entries.front();
-  monotonic_time heard{};
+  monotonic_time last_report{};
   for (const std::string& name : entries) {
     const auto found = sources_.find(name);
-    if (found == sources_.end() || found->second.heard <= heard) continue;
+    if (found == sources_.end() || found->second.last_report <= last_report) continue;
     best = &name;
-    heard = found->second.heard;
+    last_report = found->second.last_report;
   }
   return *best;
 }
--- a/src/process/usage_propagation.h
+++ b/src/process/usage_propagation.h
@@ -65,7 +65,7 @@
   struct source {
     uint64_t incarnation = 0;
     uint64_t whole = 0;  // sequence number of the last full report
-    monotonic_time heard{};
+    monotonic_time last_report{};
     absl::btree_map<std::string, reported_usage> uses;
   };
   // An entry that we report to.
