--- a/src/process/decision_rounds.cc
+++ b/src/process/decision_rounds.cc
@@ -11,8 +11,8 @@
 constexpr size_t kMaxCancelled = 128;
 constexpr size_t kMaxPending = 256;
 constexpr size_t kMaxTimers = 256;
-// Gangs of a queue that are tried in one round. Mean and p99 wait of gangs (seeds 1 to 5): 2 2,762
-// ms, 11,515; 4 1,993, 9,742.
+// Gangs of a queue that are tried before it counts as blocked. Mean and p99 wait of gangs (seeds 1
+// to 5): 2 2,762 ms, 11,515; 4 1,993, 9,742.
 constexpr uint32_t kGangDepth = 4;
 constexpr std::chrono::milliseconds kGangPause{50};
 
--- a/src/process/free_index.h
+++ b/src/process/free_index.h
@@ -38,7 +38,7 @@
           std::min(a.accelerators, b.accelerators), std::min(a.slots, b.slots)};
 }
 
-// How many tasks of `each` fit into `room` together.
+// How many tasks of `each` fit into `free` together.
 uint32_t CountFitting(const resources& each, const resources& room);
 
 // The largest fraction of `whole` that `part` takes in any amount; amounts that are zero in `whole`
--- a/src/process/identity_history.h
+++ b/src/process/identity_history.h
@@ -3,9 +3,9 @@
 //
 // The fenced listings of all endpoints are the durable part of this history, since endpoints retain
 // finished tasks for the identity window. A new owner that has fenced and listed every endpoint
-// knows what was started; what is in no listing was never started and, as its old epoch is
-// rejected, never can be. Until then, and where the listing of an endpoint is lost for good, an
-// unknown identity may have run. See docs/design/ for the trade-offs.
+// knows what was started; what is in no listing was never started and never can be, as its epoch is
+// rejected. Until then, and where the listing of an endpoint is lost for good, an unknown identity
+// may have run. See docs/design/ for the trade-offs.
 #ifndef CATKINFORD_PROCESS_IDENTITY_HISTORY_H_
 #define CATKINFORD_PROCESS_IDENTITY_HISTORY_H_
 
--- a/src/process/job_table.h
+++ b/src/process/job_table.h
@@ -68,7 +68,7 @@
   bool known = false;  // submitted, not only adopted from a listing
   bool queued = false;
   bool cancelled = false;
-  bool may_have_run = false;  // not repeatable, and a run was lost
+  bool may_have_run = false;  // not repeatable and a run was lost
   bool regrouping = false;    // a gang that waits until all its tasks have ended
   bool asked_reservation = false;
   bool backing_off = false;  // a service that keeps failing
--- a/src/process/request_table.h
+++ b/src/process/request_table.h
@@ -86,9 +86,8 @@
     table_entry entry;
     std::vector<waiter> waiters;
     monotonic_time answer_by{};
-    monotonic_time deadline{};  // sent to the owner; epoch of the clock: none
-    monotonic_time
-        ownerless_since{};  // since when its shard has no owner; epoch of the clock: it has one
+    monotonic_time deadline{};         // sent to the owner; epoch of the clock: none
+    monotonic_time ownerless_since{};  // since its shard has no owner; zero: it has one
     monotonic_time next{};
     uint32_t sends = 0;  // messages that the owner may have received
     uint32_t hops = 0;
--- a/src/process/router.h
+++ b/src/process/router.h
@@ -18,7 +18,7 @@
   std::string failure_domain;                // of this entry
   std::vector<std::string> failure_domains;  // all
   uint32_t shards_per_domain = 1;
-  // An owner whose last report is older counts as unknown. The node sets both limits from how long
+  // Owners whose last report is older count as unknown. The node sets both limits from how long
   // reports take to arrive.
   std::chrono::milliseconds near_age_limit{3000};
   std::chrono::milliseconds far_age_limit{3000};
--- a/src/process/virtual_queue.h
+++ b/src/process/virtual_queue.h
@@ -21,8 +21,8 @@
 class virtual_queue {
  public:
   // Returns the retry time of `id`: not before `earliest`, and `gap` after the last one assigned. A
-  // caller whose assigned time has not come gets the same time again. No time later than the
-  // maximum delay is assigned.
+  // caller whose assigned time has not come gets the same time again. The time is at most the
+  // maximum delay away.
   monotonic_time Join(const request_id& id, monotonic_time earliest, std::chrono::nanoseconds gap,
                       monotonic_time now);
   // Whether the caller retries at its assigned time; the assignment is then used up.
--- a/src/version/grant_ledger.h
+++ b/src/version/grant_ledger.h
@@ -58,8 +58,8 @@
   bool changed = false;
 };
 
-// How far grants exceed demand: larger values write less often and leave more unused at other
-// shards. steps_per_limit and slack_part must be above zero.
+// How far grants exceed demand: a larger excess needs fewer writes but leaves more of the limit
+// unused in the shards that hold it. steps_per_limit and slack_part must be above zero.
 struct grant_policy {
   uint32_t steps_per_limit = 64;  // a step, and the reserve without demand, is limit / this
   uint32_t slack_part = 4;        // the slack is at least demand / this
--- a/test/decision_core_test.cc
+++ b/test/decision_core_test.cc
@@ -357,7 +357,7 @@
 }
 
 // The endpoint of the preempted task does not stop it at all. An urgent job that kept waiting for
-// this endpoint would never start although others could make room.
+// this endpoint would never start although preemption on others would free capacity.
 TEST_CASE_METHOD(decision_fixture, "urgent job, task never stops, preempts another endpoint",
                  "[decisions]") {
   AddEndpoints(2);
