--- a/src/process/decision_order.cc
+++ b/src/process/decision_order.cc
@@ -113,8 +113,9 @@
                                      const resources& withheld) const {
   if (!blocked.withheld) return FitsFreedCapacity(blocked.min_need);
   const bool is_batch = blocked.ref.kind == queue_class::kBatch;
-  const resources room = is_batch ? withheld : WithheldCapacity(blocked.ref.kind, blocked.ref.team);
-  return Fits(blocked.min_need + room, endpoints.Open().TotalFree());
+  const resources own_withheld =
+      is_batch ? withheld : WithheldCapacity(blocked.ref.kind, blocked.ref.team);
+  return Fits(blocked.min_need + own_withheld, endpoints.Open().TotalFree());
 }
 
 // Service order of a queue. Urgent jobs first, then interactive requests of teams within their
--- a/src/process/free_index.cc
+++ b/src/process/free_index.cc
@@ -4,11 +4,11 @@
 
 namespace catkinford {
 
-uint32_t CountFitting(const resources& each, const resources& room) {
+uint32_t CountFitting(const resources& each, const resources& free) {
   uint32_t count = UINT32_MAX;
   for (size_t amount = 0; amount < kAmounts; ++amount) {
     const uint32_t need = AmountOf(each, amount);
-    if (need != 0) count = std::min(count, AmountOf(room, amount) / need);
+    if (need != 0) count = std::min(count, AmountOf(free, amount) / need);
   }
   return count;
 }
--- a/src/process/free_index.h
+++ b/src/process/free_index.h
@@ -39,7 +39,7 @@
 }
 
 // How many tasks of `each` fit into `free` together.
-uint32_t CountFitting(const resources& each, const resources& room);
+uint32_t CountFitting(const resources& each, const resources& free);
 
 // The largest fraction of `whole` that `part` takes in any amount; amounts that are zero in `whole`
 // are ignored.
