--- a/src/process/batch_policy.h
+++ b/src/process/batch_policy.h
@@ -1,4 +1,4 @@
-// Batch work: best fit by the scarcest amount, so that large work still finds room.
+// Batch jobs: best fit by the scarcest amount, so that large jobs still find capacity.
 #ifndef CATKINFORD_PROCESS_BATCH_POLICY_H_
 #define CATKINFORD_PROCESS_BATCH_POLICY_H_
 
@@ -10,11 +10,11 @@
 
 namespace catkinford {
 
-// The number of the amount of which `need` takes the largest part of what is free.
+// The index of the amount of which `need` takes the largest fraction of what is free.
 size_t ScarcestAmount(const resources& need, const resources& free);
 
 struct batch_policy {
-  bool Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+  bool Choose(const shard_floor& endpoints, const job_record& job, uint32_t count,
               std::vector<endpoint_index>& out) const;
 };
 
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -8,11 +8,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCoolingTime{250};      // after a refusal for lack of room
-constexpr milliseconds kFirstBackoff{500};     // of a service that failed
-constexpr uint32_t kMostDoublings = 7;         // 64 s
-constexpr std::chrono::minutes kSteadyRun{1};  // a run of that length ends a row of failures
-constexpr uint32_t kStartsBeforeBackoff = 3;   // failed starts before a job waits
+constexpr milliseconds kCoolingTime{250};      // after a rejection for lack of capacity
+constexpr milliseconds kFirstBackoff{500};     // after the first failure of a service
+constexpr uint32_t kMaxDoublings = 7;          // 64 s
+constexpr std::chrono::minutes kStableRun{1};  // a run of this length resets the failure count
+constexpr uint32_t kStartsBeforeBackoff = 3;   // consecutive failed starts before a job backs off
 
 job_end EndOf(const job_record& job) {
   if (job.may_have_run) return job_end::kUnknown;
@@ -22,22 +22,22 @@
 
 }  // namespace
 
-// Into its lane, unless it has to wait for something else first.
+// Adds the job to its queue unless something else must happen first.
 void decision_core::impl::Enqueue(job_handle handle, bool front) {
   job_record& job = jobs[handle];
   if (job.queued || job.waiting == 0 || job.backing_off) return;
   if (job.request.kind == workload_kind::kGang && job.live > 0) return;
-  lanes.Append(handle, front, teams[job.request.team].ratio);
-  const lane_ref ref{ClassOf(job.request), job.request.team};
-  if (lanes.IsTried(handle)) lanes.Unblock(ref);
+  queues.Append(handle, front, teams[job.request.team].ratio);
+  const queue_ref ref{ClassOf(job.request), job.request.team};
+  if (queues.IsWithinDepth(handle)) queues.Unblock(ref);
 }
 
-// Takes all waiting tasks of a job out of its lane.
-void decision_core::impl::DropWaiting(job_handle handle) {
+// Removes all waiting tasks of a job from its queue.
+void decision_core::impl::RemoveWaiting(job_handle handle) {
   job_record& job = jobs[handle];
-  if (job.queued) lanes.Remove(handle);
-  EndSaving(handle);
-  teams.TakeQueued(job.request.team, job.request.each, job.waiting);
+  if (job.queued) queues.Remove(handle);
+  EndGrantReservation(handle);
+  teams.RemoveQueued(job.request.team, job.request.each, job.waiting);
   job.waiting = 0;
 }
 
@@ -47,13 +47,13 @@
   job_record& job = jobs[handle];
   if (job.cancelled) return true;
   job.cancelled = true;
-  DropWaiting(handle);
+  RemoveWaiting(handle);
   cancelled.push_back({{}, timer_kind::kDeadline, handle, job.generation});
   return true;
 }
 
 void decision_core::impl::Adopt(const running_task& task, monotonic_time now) {
-  if (!floor.Knows(task.endpoint)) return;
+  if (!endpoints.Knows(task.endpoint)) return;
   job_handle handle = jobs.Find(task.id.job);
   if (handle == kNoJob) {
     handle = jobs.Add(task.id.job);
@@ -62,7 +62,7 @@
     request.kind = task.kind;
     request.each = task.amount;
     request.tasks = 0;
-    request.repeatable = false;  // nothing is known of it: it is never placed again
+    request.repeatable = false;  // the job is unknown: never place it again
   }
   job_record& job = jobs[handle];
   if (job.tasks.size() <= task.id.index) job.tasks.resize(task.id.index + 1);
@@ -72,8 +72,8 @@
   if (counted_as_over) {
     --job.done;
   } else if (job.known) {
-    if (job.queued) lanes.Remove(handle);
-    teams.TakeQueued(job.request.team, job.request.each, 1);
+    if (job.queued) queues.Remove(handle);
+    teams.RemoveQueued(job.request.team, job.request.each, 1);
     --job.waiting;
   }
   slot.state = task_state::kRunning;
@@ -81,12 +81,13 @@
   slot.endpoint = task.endpoint;
   slot.started = now;
   ++job.live;
-  ++job.unproved_starts;
+  ++job.possible_runs;
   Attach(handle, task.id.index);
   Enqueue(handle, true);
 }
 
-// A live task by the identity of its present run: news of an earlier run is not news of this one.
+// Finds a live task by the identity of its current run; a message about an earlier run is not about
+// this one.
 bool decision_core::impl::FindLive(const task_id& task, job_handle& job, uint32_t& index) const {
   job = jobs.Find(task.job);
   if (job == kNoJob || task.index >= jobs[job].tasks.size()) return false;
@@ -106,23 +107,23 @@
   if (jobs[job].request.kind != workload_kind::kService) jobs[job].failures_in_a_row = 0;
 }
 
-// Counts a live task at its endpoint and team.
+// Accounts a live task to its endpoint and team.
 void decision_core::impl::Attach(job_handle handle, uint32_t index) {
   job_record& job = jobs[handle];
   task_slot& slot = job.tasks[index];
-  slot.position = floor.Add(slot.endpoint, {handle, index}, job.request);
+  slot.position = endpoints.Add(slot.endpoint, {handle, index}, job.request);
   teams.AddRunning(job.request.team, job.request);
   TeamChanged(job.request.team);
 }
 
 void decision_core::impl::Detach(const job_record& job, const task_slot& slot) {
-  const task_ref moved = floor.Remove(slot.endpoint, slot.position, job.request);
+  const task_ref moved = endpoints.Remove(slot.endpoint, slot.position, job.request);
   if (moved.job != kNoJob) jobs[moved.job].tasks[moved.index].position = slot.position;
-  teams.TakeRunning(job.request.team, job.request);
+  teams.RemoveRunning(job.request.team, job.request);
   TeamChanged(job.request.team);
 }
 
-// Gives back what a live task holds.
+// Releases the resources of a live task.
 void decision_core::impl::Release(job_handle handle, uint32_t index, task_state next) {
   job_record& job = jobs[handle];
   task_slot& slot = job.tasks[index];
@@ -134,17 +135,17 @@
 }
 
 void decision_core::impl::TeamChanged(team_index team) {
-  lanes.Rekey(team, teams[team].ratio);
-  lanes.GrantChanged(team);
+  queues.Rekey(team, teams[team].ratio);
+  queues.GrantChanged(team);
 }
 
-// A task that was placed waits once more, before those that never were.
-void decision_core::impl::WaitAgain(job_handle handle, uint32_t index) {
+// Queues a task that was placed before, ahead of tasks that never were.
+void decision_core::impl::Requeue(job_handle handle, uint32_t index) {
   job_record& job = jobs[handle];
   job.tasks[index].state = task_state::kWaiting;
   job.first_waiting = std::min(job.first_waiting, index);
   teams.AddQueued(job.request.team, job.request.each, 1);
-  if (job.queued) lanes.Remove(handle);
+  if (job.queued) queues.Remove(handle);
   ++job.waiting;
   Enqueue(handle, true);
 }
@@ -157,51 +158,52 @@
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   Release(handle, index, task_state::kFailed);
   if (endpoint_fault) {
-    if (floor.NoteRun(endpoint, true, now)) {
-      timers.push({floor[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
+    if (endpoints.NoteRun(endpoint, true, now)) {
+      timers.push(
+          {endpoints[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
     }
   } else {
-    // The endpoint is fuller than our view of it. Without a pause the same start would be sent and
-    // refused over and over, seen as start failures at the rate of the network.
-    floor.Cool(endpoint, true);
+    // The endpoint has less free capacity than we assume. Without a pause the same start would be
+    // sent and rejected repeatedly, at the rate of the network round trip.
+    endpoints.Cool(endpoint, true);
     timers.push({now + kCoolingTime, timer_kind::kCoolingOver, endpoint, 0});
   }
   job_record& job = jobs[handle];
-  --job.unproved_starts;
+  --job.possible_runs;
   job.avoid = endpoint;
   if (job.cancelled) {
     EndIfOver(handle, refusal_reason::kCancelled);
     return;
   }
   if (++job.failures_in_a_row > kStartsBeforeBackoff) BackOff(handle, now);
-  if (job.request.kind == workload_kind::kGang) Regroup(handle, now);
+  if (job.request.kind == workload_kind::kGang) RestartGang(handle, now);
   if (job.may_have_run) {
     EndIfOver(handle, refusal_reason::kNone);
     return;
   }
-  WaitAgain(handle, index);
+  Requeue(handle, index);
 }
 
 void decision_core::impl::BackOff(job_handle handle, monotonic_time now) {
   job_record& job = jobs[handle];
   if (job.backing_off) return;
   job.backing_off = true;
-  if (job.queued) lanes.Remove(handle);
-  const uint32_t doublings = std::min(job.failures_in_a_row, kMostDoublings);
+  if (job.queued) queues.Remove(handle);
+  const uint32_t doublings = std::min(job.failures_in_a_row, kMaxDoublings);
   const milliseconds pause = kFirstBackoff * (1U << doublings);
   timers.push({now + pause, timer_kind::kBackoffOver, handle, job.generation});
 }
 
-// A gang that has lost a task runs on in part, which is of no use to anybody: the rest is stopped,
-// and all of it is placed again once nothing of it runs.
-void decision_core::impl::Regroup(job_handle handle, monotonic_time now) {
+// A gang that has lost a task runs incompletely, which is useless: the rest is stopped, and the
+// whole gang is placed again once none of its tasks runs.
+void decision_core::impl::RestartGang(job_handle handle, monotonic_time now) {
   job_record& job = jobs[handle];
-  if (!job.request.repeatable && job.unproved_starts > 0) {
+  if (!job.request.repeatable && job.possible_runs > 0) {
     job.may_have_run = true;
-    DropWaiting(handle);
+    RemoveWaiting(handle);
   }
   const auto tasks = static_cast<uint32_t>(jobs[handle].tasks.size());
-  for (uint32_t index = 0; index < tasks; ++index) Preempt(handle, index, now + kCheckpointLimit);
+  for (uint32_t index = 0; index < tasks; ++index) Preempt(handle, index, now + kCheckpointTimeout);
 }
 
 void decision_core::impl::StopTask(job_handle handle, uint32_t index, stop_reason why,
@@ -210,7 +212,7 @@
   task_slot& slot = job.tasks[index];
   if (!slot.Live()) return;
   if (slot.state == task_state::kStopping) {
-    // Asked to write a checkpoint before: only a stop without one says more.
+    // Already asked to write a checkpoint; only a stop without one adds anything.
     if (checkpoint || !slot.checkpointing) return;
   } else {
     slot.state = task_state::kStopping;
@@ -227,7 +229,7 @@
   pending.push_back(std::move(stop));
 }
 
-// Asks the task to write a checkpoint and stop, and sees to it that it has by `due`.
+// Asks the task to write a checkpoint and stop, and sets a timer that enforces it at `due`.
 void decision_core::impl::Preempt(job_handle handle, uint32_t index, monotonic_time due) {
   task_slot& slot = jobs[handle].tasks[index];
   if (!slot.Live() || slot.state == task_state::kStopping) return;
@@ -236,9 +238,9 @@
   timers.push({due, timer_kind::kCheckpointDue, handle, jobs[handle].generation});
 }
 
-// A task may take very long over its checkpoint, or not know of the request at all. The room that
-// it was to make would never come free; one would see urgent work wait on a floor full of batch
-// work.
+// Stops tasks that exceeded their checkpoint time. A task may write a very long checkpoint or
+// ignore the request; the capacity it should yield would never be freed, and urgent jobs would wait
+// while batch tasks fill all endpoints.
 void decision_core::impl::StopOverdue(job_handle handle, monotonic_time now) {
   const auto tasks = static_cast<uint32_t>(jobs[handle].tasks.size());
   for (uint32_t index = 0; index < tasks; ++index) {
@@ -262,18 +264,19 @@
   if (!FindLive(task, handle, index)) return;
   const job_request& request = jobs[handle].request;
   if (end == task_end::kDone) {
-    estimates.Learn(request.team, request.kind, request.declared_run_time, ran);
+    estimates.AddSample(request.team, request.kind, request.declared_run_time, ran);
   }
-  if (ran >= kSteadyRun) jobs[handle].failures_in_a_row = 0;
+  if (ran >= kStableRun) jobs[handle].failures_in_a_row = 0;
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   EndRun(handle, index, end, now);
-  const bool says_something = end == task_end::kDone || end == task_end::kFailed;
-  if (says_something && floor.NoteRun(endpoint, end == task_end::kFailed, now)) {
-    timers.push({floor[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
+  const bool counts_for_health = end == task_end::kDone || end == task_end::kFailed;
+  if (counts_for_health && endpoints.NoteRun(endpoint, end == task_end::kFailed, now)) {
+    timers.push(
+        {endpoints[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
   }
 }
 
-// What the end of a run means for its task and job.
+// Applies the end of a run to its task and job.
 void decision_core::impl::EndRun(job_handle handle, uint32_t index, task_end end,
                                  monotonic_time now) {
   Release(handle, index, end == task_end::kDone ? task_state::kDone : task_state::kFailed);
@@ -286,56 +289,57 @@
       ++job.failures_in_a_row;
       BackOff(handle, now);
     }
-    WaitAgain(handle, index);
+    Requeue(handle, index);
     return;
   }
   const bool interrupted = end != task_end::kDone && end != task_end::kFailed;
   const bool gang_failed = is_gang && job.failed > 0;
   if (!over && interrupted && job.request.repeatable && !gang_failed) {
-    if (is_gang) Regroup(handle, now);
-    WaitAgain(handle, index);
+    if (is_gang) RestartGang(handle, now);
+    Requeue(handle, index);
     return;
   }
   if (!over && end == task_end::kLost) {
-    // It may have run to its end unseen. Placed again it could run twice, and a salary be charged
-    // twice; the owner answers that nobody knows.
+    // It may have completed unobserved. Placed again it could run twice and repeat its side
+    // effects, for example a payment; the owner answers that the outcome is unknown.
     job.may_have_run = true;
-    DropWaiting(handle);
+    RemoveWaiting(handle);
   }
   (end == task_end::kDone ? job.done : job.failed) += 1;
   if (is_gang && end != task_end::kDone) {
-    DropWaiting(handle);
+    RemoveWaiting(handle);
     StopAll(handle, stop_reason::kCancelled, false);
   }
   if (is_gang && job.live == 0) Enqueue(handle, true);
   EndIfOver(handle, refusal_reason::kCancelled);
 }
 
-// A job that was not started whole by its deadline. What had been started and was lost may have
-// run, so only a job of which nothing was started is answered as not run.
-void decision_core::impl::PassDeadline(job_handle handle) {
+// Handles a job that was not fully started by its deadline. Tasks that were started and lost may
+// have run, so only a job of which nothing was started is answered as not run.
+void decision_core::impl::OnDeadline(job_handle handle) {
   job_record& job = jobs[handle];
   if (job.waiting == 0) return;
   const bool single = job.tasks.size() == 1;
-  if (single && job.unproved_starts > 0) job.may_have_run = true;
+  if (single && job.possible_runs > 0) job.may_have_run = true;
   job.failed += job.waiting;
-  DropWaiting(handle);
+  RemoveWaiting(handle);
   EndIfOver(handle, refusal_reason::kDeadline);
 }
 
-// Tells the end of a job of which nothing runs or waits, and forgets it.
+// Reports the end of a job that has no running or waiting tasks, and removes it.
 void decision_core::impl::EndIfOver(job_handle handle, refusal_reason reason, std::string detail) {
   job_record& job = jobs[handle];
   if (job.waiting > 0 || job.live > 0) return;
   command c;
   c.task.job = job.request.id;
-  if (job.unproved_starts == 0) {
+  if (job.possible_runs == 0) {
     c.kind = command_kind::kRefuse;
     c.reason = reason;
     c.detail = std::move(detail);
     if (reason == refusal_reason::kDeadline) {
-      const lane& l = lanes.At({ClassOf(job.request), job.request.team});
-      c.retry_after = RetryAfter(l.meter.TimeToDrain(std::max(1U, l.tasks), last_decide), Random());
+      const waiting_queue& queue = queues.At({ClassOf(job.request), job.request.team});
+      c.retry_after = RetryAfter(
+          queue.drain_rate.TimeToDrain(std::max(1U, queue.tasks), last_decide), Random());
     }
   } else {
     c.kind = command_kind::kEnded;
@@ -349,16 +353,16 @@
   jobs.Remove(handle);
 }
 
-void decision_core::impl::EndpointGone(endpoint_index endpoint, monotonic_time now) {
-  while (!floor[endpoint].tasks.empty()) {
-    const task_ref task = floor[endpoint].tasks.back();
+void decision_core::impl::OnEndpointLost(endpoint_index endpoint, monotonic_time now) {
+  while (!endpoints[endpoint].tasks.empty()) {
+    const task_ref task = endpoints[endpoint].tasks.back();
     EndRun(task.job, task.index, task_end::kLost, now);
   }
 }
 
-// Interactive work ends by itself, and what may run only once is left to finish.
-void decision_core::impl::EndpointLeaving(endpoint_index endpoint) {
-  for (const task_ref& task : floor[endpoint].tasks) {
+// Interactive tasks end soon on their own, and tasks that are not repeatable are left to finish.
+void decision_core::impl::OnEndpointLeaving(endpoint_index endpoint) {
+  for (const task_ref& task : endpoints[endpoint].tasks) {
     const job_request& request = jobs[task.job].request;
     const bool moves = request.repeatable && request.kind != workload_kind::kInteractive;
     if (moves) StopTask(task.job, task.index, stop_reason::kLeaving, true);
--- a/src/process/free_index.cc
+++ b/src/process/free_index.cc
@@ -4,16 +4,16 @@
 
 namespace catkinford {
 
-uint32_t CountFitting(const resources& each, const resources& room) {
+uint32_t CountFitting(const resources& each, const resources& free) {
   uint32_t count = UINT32_MAX;
   for (size_t amount = 0; amount < kAmounts; ++amount) {
     const uint32_t need = AmountOf(each, amount);
-    if (need != 0) count = std::min(count, AmountOf(room, amount) / need);
+    if (need != 0) count = std::min(count, AmountOf(free, amount) / need);
   }
   return count;
 }
 
-double DominantPart(const resources& part, const resources& whole) {
+double DominantShare(const resources& part, const resources& whole) {
   double dominant = 0;
   for (size_t amount = 0; amount < kAmounts; ++amount) {
     const uint32_t of = AmountOf(whole, amount);
@@ -52,7 +52,7 @@
   return static_cast<uint32_t>(std::min<uint64_t>(level, level_lists::kLevels - 1));
 }
 
-// The tree doubles, so that endpoints may come one by one at constant cost on average.
+// The tree grows by doubling, so that adding endpoints one by one has amortized constant cost.
 void free_index::Grow(endpoint_index endpoint) {
   if (endpoint < entries_.size()) return;
   entries_.resize(endpoint + 1);
@@ -77,14 +77,14 @@
 
 void free_index::PutInLists(endpoint_index endpoint) {
   const entry& e = entries_[endpoint];
-  const double load = DominantPart(SubtractOrZero(e.capacity, e.free), e.capacity);
+  const double load = DominantShare(SubtractOrZero(e.capacity, e.free), e.capacity);
   by_load_.Put(endpoint, static_cast<uint32_t>(load * (level_lists::kLevels - 1)));
   for (size_t amount = 0; amount < kAmounts; ++amount) {
     by_free_[amount].Put(endpoint, FreeLevel(AmountOf(e.free, amount), amount));
   }
 }
 
-// Levels are parts of the largest capacity; a larger endpoint moves all levels.
+// Levels are fractions of the largest capacity; a larger endpoint changes all levels.
 void free_index::RaiseScale(const resources& capacity) {
   const resources larger = LargestOf(scale_, capacity);
   if (larger == scale_) return;
--- a/src/process/gang_policy.h
+++ b/src/process/gang_policy.h
@@ -1,4 +1,4 @@
-// Gangs: all tasks at once or none.
+// Gangs: all tasks start at once or none does.
 #ifndef CATKINFORD_PROCESS_GANG_POLICY_H_
 #define CATKINFORD_PROCESS_GANG_POLICY_H_
 
@@ -10,7 +10,7 @@
 namespace catkinford {
 
 struct gang_policy {
-  bool Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+  bool Choose(const shard_floor& endpoints, const job_record& job, uint32_t count,
               std::vector<endpoint_index>& out) const;
 };
 
--- a/src/process/interactive_policy.h
+++ b/src/process/interactive_policy.h
@@ -1,4 +1,4 @@
-// Interactive work: the earliest start on the least loaded endpoint, spread over racks.
+// Interactive tasks: immediate start on the least loaded endpoint, spread over racks.
 #ifndef CATKINFORD_PROCESS_INTERACTIVE_POLICY_H_
 #define CATKINFORD_PROCESS_INTERACTIVE_POLICY_H_
 
@@ -10,7 +10,7 @@
 namespace catkinford {
 
 struct interactive_policy {
-  bool Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+  bool Choose(const shard_floor& endpoints, const job_record& job, uint32_t count,
               std::vector<endpoint_index>& out) const;
 };
 
--- a/src/process/router.cc
+++ b/src/process/router.cc
@@ -28,13 +28,13 @@
   const auto found = routes_.find(report.shard);
   if (found == routes_.end()) return;
   shard_route& route = found->second;
-  const bool is_refused = report.epoch <= route.refused_epoch && at <= route.refused;
-  if (report.epoch < route.epoch || is_refused) return;
+  const bool is_disowned = report.epoch <= route.disowned_epoch && at <= route.disowned_at;
+  if (report.epoch < route.epoch || is_disowned) return;
   route.owner = owner;
   route.epoch = report.epoch;
   route.summary = report.summary;
   route.endpoints = report.endpoints;
-  route.heard = std::max(route.heard, at);
+  route.last_report = std::max(route.last_report, at);
 }
 
 void router::SetAgeLimits(milliseconds near, milliseconds far) {
@@ -58,8 +58,8 @@
   const auto found = routes_.find(shard);
   if (found == routes_.end() || found->second.owner != owner) return;
   found->second.owner.clear();
-  found->second.refused_epoch = found->second.epoch;
-  found->second.refused = now;
+  found->second.disowned_epoch = found->second.epoch;
+  found->second.disowned_at = now;
 }
 
 const std::string& router::Home(const request_id& id) const {
@@ -78,7 +78,7 @@
 bool router::IsLive(const shard_route& route, monotonic_time now) const {
   const bool is_near = route.failure_domain == options_.failure_domain;
   const milliseconds limit = is_near ? options_.near_age_limit : options_.far_age_limit;
-  return !route.owner.empty() && now - route.heard <= limit;
+  return !route.owner.empty() && now - route.last_report <= limit;
 }
 
 milliseconds router::Cost(const shard_route& route) const {
@@ -96,7 +96,7 @@
     live.push_back(&name);
     if (Fits(each, route.summary.largest_capacity)) able.push_back(&name);
   }
-  // Where none is known to hold it, an owner says so with the reason.
+  // If no shard is known to hold it, any owner will reject it with the reason.
   const std::vector<const std::string*>& from = able.empty() ? live : able;
   if (from.empty()) return nullptr;
   const std::string* best = from[seed % from.size()];
@@ -110,12 +110,12 @@
   return best;
 }
 
-bool router::HeardOfAllDomains() const {
+bool router::AllDomainsReported() const {
   return std::all_of(options_.failure_domains.begin(), options_.failure_domains.end(),
                      [&](const std::string& domain) {
                        return std::any_of(routes_.begin(), routes_.end(), [&](const auto& route) {
                          return route.second.failure_domain == domain &&
-                                route.second.heard != monotonic_time{};
+                                route.second.last_report != monotonic_time{};
                        });
                      });
 }
--- a/test/usage_spread_test.cc
+++ b/test/usage_propagation_test.cc
@@ -1,4 +1,4 @@
-#include "process/usage_spread.h"
+#include "process/usage_propagation.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -20,7 +20,7 @@
 
 resources Slots(uint32_t slots) { return {slots * 100, slots * 100, 0, slots}; }
 
-// Three failure domains of three entries, whose messages arrive at once.
+// Three failure domains of three entries; messages arrive immediately.
 class usage_fixture {
  public:
   usage_fixture() {
@@ -32,23 +32,23 @@
  protected:
   struct node {
     int domain = 0;
-    std::unique_ptr<usage_spread> usage;
+    std::unique_ptr<usage_propagation> usage;
   };
 
   static std::string Name(int domain, int entry) { return absl::StrCat("d", domain, "-e", entry); }
 
   void Add(int domain, int entry, uint64_t incarnation) {
-    usage_spread_options options;
+    usage_propagation_options options;
     options.name = Name(domain, entry);
     options.incarnation = incarnation;
-    nodes_[options.name] = {domain, std::make_unique<usage_spread>(options)};
+    nodes_[options.name] = {domain, std::make_unique<usage_propagation>(options)};
   }
 
   usage_view ViewOf(const std::string& name) const {
     usage_view view;
     view.cell = kCell;
     for (const auto& [other, one] : nodes_) {
-      if (other == name || cut_ == other) continue;
+      if (other == name || disconnected_ == other) continue;
       if (one.domain == nodes_.at(name).domain) {
         view.neighbours.push_back(other);
       } else {
@@ -76,28 +76,29 @@
   }
 
   uint32_t ElsewhereOf(const std::string& name, const std::string& team) const {
-    const team_uses uses = nodes_.at(name).usage->Elsewhere(ViewOf(name));
+    const team_usage_map uses = nodes_.at(name).usage->Elsewhere(ViewOf(name));
     const auto found = uses.find(team);
     return found == uses.end() ? 0 : found->second.slots;
   }
 
   monotonic_time now_{std::chrono::hours{1}};
   std::map<std::string, node> nodes_;
-  std::string cut_;  // an entry that nobody counts as up
+  std::string disconnected_;  // an entry that no other counts as up
   bool lose_ = false;
   int messages_ = 0;
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(usage_fixture, "usage spread, all owners run something, each hears of the others",
+TEST_CASE_METHOD(usage_fixture,
+                 "usage propagation, all owners run tasks, each learns of the others",
                  "[usage_spread]") {
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
   Run(seconds{5});
   for (const auto& [name, one] : nodes_) CHECK(ElsewhereOf(name, "desk") == 800);
 }
 
-TEST_CASE_METHOD(usage_fixture, "usage spread, nothing changes, nothing is sent",
+TEST_CASE_METHOD(usage_fixture, "usage propagation, nothing changes, nothing is sent",
                  "[usage_spread]") {
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
   Run(seconds{5});
@@ -110,9 +111,9 @@
   CHECK(ElsewhereOf("d0-e1", "desk") == 700);
 }
 
-// The relay of a domain dies. Its neighbours' use would stay as last told for ever, and the others
-// would go on counting it.
-TEST_CASE_METHOD(usage_fixture, "usage spread, relay dies, the next one takes its place",
+// The relay of a domain fails. The last reported usage of its neighbours would stay in effect, and
+// the others would go on counting it.
+TEST_CASE_METHOD(usage_fixture, "usage propagation, relay fails, the next one takes its place",
                  "[usage_spread]") {
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
   Run(seconds{5});
@@ -123,8 +124,9 @@
   CHECK(ElsewhereOf("d1-e2", "desk") == 900);
 }
 
-// Calls are lost for a while. What was in them must be told again.
-TEST_CASE_METHOD(usage_fixture, "usage spread, messages lost, are told again", "[usage_spread]") {
+// Calls are lost for a while. Their content must be sent again.
+TEST_CASE_METHOD(usage_fixture, "usage propagation, messages lost, are sent again",
+                 "[usage_spread]") {
   Run(seconds{2});
   lose_ = true;
   for (auto& [name, one] : nodes_) one.usage->SetOwn({{"desk", Slots(100)}});
@@ -134,11 +136,11 @@
   for (const auto& [name, one] : nodes_) CHECK(ElsewhereOf(name, "desk") == 800);
 }
 
-// A call that timed out is tried again, and both arrive, the first one last; or of two that are
-// under way at once the later overtakes the earlier. What the earlier one alone tells must count.
-TEST_CASE_METHOD(usage_fixture, "usage spread, old message arrives late, is ignored",
+// A call that timed out is retried and both arrive, the first one last; or of two in flight the
+// later overtakes the earlier. Teams that only the earlier message reports must count.
+TEST_CASE_METHOD(usage_fixture, "usage propagation, old message arrives late, is ignored",
                  "[usage_spread]") {
-  usage_spread& relay = *nodes_.at("d0-e0").usage;
+  usage_propagation& relay = *nodes_.at("d0-e0").usage;
   relay.OnUsage("d0-e1", {1, 2, true, {{"desk", Slots(50)}}}, now_);
   relay.OnUsage("d0-e1", {1, 1, true, {{"desk", Slots(900)}}}, now_);
   CHECK(ElsewhereOf("d0-e0", "desk") == 50);
@@ -146,7 +148,7 @@
   relay.OnUsage("d0-e1", {1, 3, false, {{"desk", Slots(70)}, {"lab", Slots(30)}}}, now_);
   CHECK(ElsewhereOf("d0-e0", "desk") == 60);
   CHECK(ElsewhereOf("d0-e0", "lab") == 30);
-  relay.OnUsage("d0-e1", {2, 1, true, {}}, now_);  // a new process under the same name
+  relay.OnUsage("d0-e1", {2, 1, true, {}}, now_);  // a new process with the same name
   CHECK(ElsewhereOf("d0-e0", "desk") == 0);
 }
 
