--- a/bench/slopes_message.cc
+++ b/bench/slopes_message.cc
@@ -50,16 +50,16 @@
 }
 
 // A heartbeat with the words of owners of one shard each.
-message_body MakeHeartbeat(double words) {
-  heartbeat_message beat;
-  beat.failure_domain = "asahikawa";
-  for (int i = 0; i < static_cast<int>(words); ++i) {
-    entry_word word;
-    word.name = "asahikawa-" + std::to_string(i);
-    word.incarnation = 1764716400123456;
-    word.beat = 123456;
-    word.age = milliseconds{i == 0 ? 0 : 1234};
-    word.config_version = 123456;
+message_body MakeHeartbeat(double entries) {
+  heartbeat_message heartbeat;
+  heartbeat.failure_domain = "asahikawa";
+  for (int i = 0; i < static_cast<int>(entries); ++i) {
+    entry_status status;
+    status.name = "asahikawa-" + std::to_string(i);
+    status.incarnation = 1764716400123456;
+    status.heartbeat = 123456;
+    status.age = milliseconds{i == 0 ? 0 : 1234};
+    status.config_version = 123456;
     shard_report report;
     report.shard = "asahikawa/0";
     report.epoch = 12;
@@ -68,10 +68,10 @@
     report.summary.open_endpoints = 78;
     report.summary.queued_tasks = 123;
     report.summary.running_tasks = 2222;
-    word.shards.push_back(report);
-    beat.words.push_back(word);
+    status.shards.push_back(report);
+    heartbeat.entries.push_back(status);
   }
-  return beat;
+  return heartbeat;
 }
 
 message_body MakeUsage(double teams) {
@@ -108,7 +108,7 @@
   return EncodeBatch(kSender, std::vector<message_body>(static_cast<size_t>(count), message));
 }
 
-double HeartbeatBytes(double words) { return CallBytes(Batch(MakeHeartbeat(words), 1)); }
+double HeartbeatBytes(double entries) { return CallBytes(Batch(MakeHeartbeat(entries), 1)); }
 double UsageBytes(double teams) { return CallBytes(Batch(MakeUsage(teams), 1)); }
 double PlaceBytes(double messages) { return CallBytes(Batch(MakePlace(), messages)); }
 double OutcomeBytes(double messages) { return CallBytes(Batch(MakeOutcome(), messages)); }
@@ -132,7 +132,7 @@
   return cpu / kTimes;
 }
 
-double HeartbeatCpu(double words) { return CpuOfOne(MakeHeartbeat(words)); }
+double HeartbeatCpu(double entries) { return CpuOfOne(MakeHeartbeat(entries)); }
 double UsageCpu(double teams) { return CpuOfOne(MakeUsage(teams)); }
 
 // Peers that do not answer: their rings and senders.
@@ -156,7 +156,7 @@
 
 std::vector<slope_question> MessageSlopes() {
   const std::vector<double> teams = {0, 40, 80, 170};
-  const std::vector<double> words = {1, 3, 6, 12};
+  const std::vector<double> entries = {1, 3, 6, 12};
   const std::vector<double> messages = {1, 10, 50, 200};
   return {
       {"rpc.bytes",
@@ -165,9 +165,9 @@
        {150, 1500, 7500, 30000},
        RpcBytes,
        "JSON-RPC call between entries, plain text, both ways"},
-      {"heartbeat.bytes", "bytes", "word", words, HeartbeatBytes,
+      {"heartbeat.bytes", "bytes", "word", entries, HeartbeatBytes,
        "heartbeat with words of owners of one shard each over JSON-RPC, both ways"},
-      {"heartbeat.codec_cpu", "us", "word", words, HeartbeatCpu,
+      {"heartbeat.codec_cpu", "us", "word", entries, HeartbeatCpu,
        "the same, EncodeBatch and DecodeBatch"},
       {"usage.bytes", "bytes", "team", teams, UsageBytes, "usage_message over JSON-RPC, both ways"},
       {"usage.codec_cpu", "us", "team", teams, UsageCpu, "the same, EncodeBatch and DecodeBatch"},
--- a/bench/takeover.cc
+++ b/bench/takeover.cc
@@ -275,8 +275,8 @@
         const auto take = [&](store_reply reply) {
           gate.Answered([&] { got = std::move(reply); });
         };
-        if (call.kind == ownership_call_kind::kRange) store_->Range(call.key, take);
-        if (call.kind == ownership_call_kind::kSwap) {
+        if (call.kind == store_call_kind::kRange) store_->Range(call.key, take);
+        if (call.kind == store_call_kind::kSwap) {
           store_->CompareAndSwap(call.key, call.expect, call.value, call.write_id, "", take);
         }
         gate.WaitFor(1);
--- a/src/process/batch_policy.cc
+++ b/src/process/batch_policy.cc
@@ -23,7 +23,7 @@
   return scarcest;
 }
 
-bool batch_policy::Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+bool batch_policy::Choose(const shard_capacity& floor, const job_record& job, uint32_t count,
                           std::vector<endpoint_index>& out) const {
   if (count != 1) return false;
   const resources& need = job.request.each;
--- a/src/process/batch_policy.h
+++ b/src/process/batch_policy.h
@@ -14,7 +14,7 @@
 size_t ScarcestAmount(const resources& need, const resources& free);
 
 struct batch_policy {
-  bool Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+  bool Choose(const shard_capacity& floor, const job_record& job, uint32_t count,
               std::vector<endpoint_index>& out) const;
 };
 
--- a/src/process/decision_admission.cc
+++ b/src/process/decision_admission.cc
@@ -42,7 +42,7 @@
   const uint32_t together = request.kind == workload_kind::kGang ? request.tasks : 1;
   if (floor_known && !floor.CanEverHold(request.each, together)) {
     return admission{false, refusal_reason::kNeverFits, milliseconds{0},
-                     floor.WhyNever(request.each)};
+                     floor.ExplainNeverFits(request.each)};
   }
   const team_record& team = teams[request.team];
   const resources& limit = team.terms.limit;
--- a/src/process/decision_impl.h
+++ b/src/process/decision_impl.h
@@ -175,7 +175,7 @@
   uint64_t random_state;
   uint64_t signature = 0;
   job_table jobs;
-  shard_floor floor;
+  shard_capacity floor;
   team_table teams;
   waiting_lanes lanes;
   run_estimates estimates;
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -157,13 +157,13 @@
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   Release(handle, index, task_state::kFailed);
   if (endpoint_fault) {
-    if (floor.NoteRun(endpoint, true, now)) {
+    if (floor.RecordRun(endpoint, true, now)) {
       timers.push({floor[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
     }
   } else {
     // The endpoint is fuller than our view of it. Without a pause the same start would be sent and
     // refused over and over, seen as start failures at the rate of the network.
-    floor.Cool(endpoint, true);
+    floor.SetCooling(endpoint, true);
     timers.push({now + kCoolingTime, timer_kind::kCoolingOver, endpoint, 0});
   }
   job_record& job = jobs[handle];
@@ -268,7 +268,7 @@
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   EndRun(handle, index, end, now);
   const bool says_something = end == task_end::kDone || end == task_end::kFailed;
-  if (says_something && floor.NoteRun(endpoint, end == task_end::kFailed, now)) {
+  if (says_something && floor.RecordRun(endpoint, end == task_end::kFailed, now)) {
     timers.push({floor[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
   }
 }
--- a/src/process/decision_room.cc
+++ b/src/process/decision_room.cc
@@ -109,7 +109,7 @@
   for (endpoint_index endpoint = 0; endpoint < floor.Size(); ++endpoint) {
     if (!floor.Open().Contains(endpoint)) continue;
     const endpoint_record& e = floor[endpoint];
-    const uint32_t most = std::min(count, CountFitting(each, e.FreeInTime()));
+    const uint32_t most = std::min(count, CountFitting(each, e.FreeEventually()));
     if (most == 0) continue;
     const resources lacks = SubtractOrZero(Times(each, most), e.Free());
     candidates.push_back({DominantPart(lacks, e.capacity) / most, {endpoint, most}});
@@ -142,7 +142,7 @@
     const bool stuck =
         slot.stop_due != monotonic_time{} && last_decide >= slot.stop_due + kStopLimit;
     if (ending && !stuck) room += job.request.each;
-    if (!ending && GivesWay(job.request)) may_stop.push_back(task);
+    if (!ending && IsPreemptible(job.request)) may_stop.push_back(task);
   }
   const auto cheaper = [this](const task_ref& a, const task_ref& b) {
     const job_record& x = jobs[a.job];
@@ -239,7 +239,7 @@
 // may be wrong, so only work that gives way is taken: at the bound it is stopped, and the job that
 // the endpoints are held for starts no later.
 bool decision_core::impl::Backfill(const job_record& job, monotonic_time now) {
-  if (!GivesWay(job.request)) return false;
+  if (!IsPreemptible(job.request)) return false;
   const std::chrono::milliseconds run =
       estimates.Cautious(job.request.team, job.request.kind, job.request.declared_run_time);
   if (run.count() == 0) return false;
--- a/src/process/decision_rounds.cc
+++ b/src/process/decision_rounds.cc
@@ -79,7 +79,7 @@
       Enqueue(due.subject, false);
       break;
     case timer_kind::kCoolingOver:
-      floor.Cool(due.subject, false);
+      floor.SetCooling(due.subject, false);
       break;
     case timer_kind::kEjectionOver:
       floor.EndEjection(due.subject, now);
@@ -122,7 +122,7 @@
     if (floor.CanEverHold(job.request.each, whole ? job.waiting : 1)) return;
     job.failed += job.waiting;
     DropWaiting(handle);
-    EndIfOver(handle, refusal_reason::kNeverFits, floor.WhyNever(job.request.each));
+    EndIfOver(handle, refusal_reason::kNeverFits, floor.ExplainNeverFits(job.request.each));
   });
 }
 
--- a/src/process/durable_job.cc
+++ b/src/process/durable_job.cc
@@ -15,8 +15,8 @@
 
 // Runs of finished tasks as [from, length, from, length, ...]: jobs of many tasks end mostly in
 // order.
-std::string EncodeDone(const std::vector<bool>& done) {
-  std::string runs;
+std::string EncodeIndexRanges(const std::vector<bool>& done) {
+  std::string ranges;
   const char* separator = "";
   for (size_t i = 0; i < done.size();) {
     if (!done[i]) {
@@ -25,17 +25,17 @@
     }
     const size_t from = i;
     while (i < done.size() && done[i]) ++i;
-    absl::StrAppend(&runs, separator, from, ",", i - from);
+    absl::StrAppend(&ranges, separator, from, ",", i - from);
     separator = ",";
   }
-  return runs;
+  return ranges;
 }
 
-bool DecodeDone(const json& runs, std::vector<bool>& done) {
-  for (size_t i = 0; i + 1 < runs.size(); i += 2) {
-    if (!runs[i].is_number_unsigned() || !runs[i + 1].is_number_unsigned()) return false;
-    const auto from = runs[i].get<size_t>();
-    const auto length = runs[i + 1].get<size_t>();
+bool DecodeIndexRanges(const json& ranges, std::vector<bool>& done) {
+  for (size_t i = 0; i + 1 < ranges.size(); i += 2) {
+    if (!ranges[i].is_number_unsigned() || !ranges[i + 1].is_number_unsigned()) return false;
+    const auto from = ranges[i].get<size_t>();
+    const auto length = ranges[i + 1].get<size_t>();
     if (from > done.size() || length > done.size() - from) return false;
     std::fill_n(done.begin() + static_cast<std::ptrdiff_t>(from), length, true);
   }
@@ -65,9 +65,9 @@
 // False when a part names tasks that the job does not have.
 bool DecodeParts(const json& list, durable_job& job) {
   for (const json& item : list) {
-    const bool whole = item.is_array() && item.size() == 3 && item[0].is_string() &&
+    const bool valid = item.is_array() && item.size() == 3 && item[0].is_string() &&
                        item[1].is_number_unsigned() && item[2].is_number_unsigned();
-    if (!whole) return false;
+    if (!valid) return false;
     job_part part{item[0].get<std::string>(), item[1].get<uint32_t>(), item[2].get<uint32_t>()};
     if (part.first > job.tasks || part.tasks > job.tasks - part.first) return false;
     job.parts.push_back(std::move(part));
@@ -96,11 +96,11 @@
   job.failed.resize(job.tasks);
   job.home = TextAt(object, "home");
   job.plan = NumberAt(object, "plan");
-  const bool whole = DecodeAmount(ArrayAt(object, "each"), job.each) &&
-                     DecodeDone(ArrayAt(object, "done"), job.done) &&
-                     DecodeDone(ArrayAt(object, "failed"), job.failed) &&
+  const bool valid = DecodeAmount(ArrayAt(object, "each"), job.each) &&
+                     DecodeIndexRanges(ArrayAt(object, "done"), job.done) &&
+                     DecodeIndexRanges(ArrayAt(object, "failed"), job.failed) &&
                      DecodeParts(ArrayAt(object, "parts"), job);
-  if (!whole) return std::nullopt;
+  if (!valid) return std::nullopt;
   // Earlier versions wrote how many had failed, and not which.
   auto count = NumberAt<uint32_t>(object, "failed");
   for (size_t i = 0; i < job.done.size() && count > 0; ++i) {
@@ -146,7 +146,7 @@
                   job.each.memory_mb, ",", job.each.accelerators, ",");
   absl::StrAppend(&text, job.each.slots, "],\"run_ms\":", job.declared_run_time.count(),
                   ",\"at_ms\":", submitted.time_since_epoch().count());
-  if (const std::string failed = EncodeDone(job.failed); !failed.empty()) {
+  if (const std::string failed = EncodeIndexRanges(job.failed); !failed.empty()) {
     absl::StrAppend(&text, ",\"failed\":[", failed, "]");
   }
   if (!job.fault.empty()) absl::StrAppend(&text, ",\"fault\":", Quoted(job.fault));
@@ -158,12 +158,12 @@
   if (!job.parts.empty()) absl::StrAppend(&text, ",\"parts\":[", EncodeParts(job.parts), "]");
   if (job.plan != 0) absl::StrAppend(&text, ",\"plan\":", job.plan);
   if (!job.home.empty()) absl::StrAppend(&text, ",\"home\":", Quoted(job.home));
-  absl::StrAppend(&text, ",\"payload\":", Quoted(job.payload), ",\"done\":[", EncodeDone(job.done),
-                  "]}");
+  absl::StrAppend(&text, ",\"payload\":", Quoted(job.payload), ",\"done\":[",
+                  EncodeIndexRanges(job.done), "]}");
   return text;
 }
 
-bool NoteTaskEnd(durable_job& job, uint32_t index, bool failed, const std::string& text) {
+bool RecordTaskEnd(durable_job& job, uint32_t index, bool failed, const std::string& text) {
   if (index >= job.done.size() || job.done[index]) return false;
   job.failed.resize(job.done.size());
   job.done[index] = true;
--- a/src/process/durable_job.h
+++ b/src/process/durable_job.h
@@ -56,7 +56,7 @@
 };
 
 // Takes the end of one task into the record. False when it was there already.
-bool NoteTaskEnd(durable_job& job, uint32_t index, bool failed, const std::string& text);
+bool RecordTaskEnd(durable_job& job, uint32_t index, bool failed, const std::string& text);
 
 std::string EncodeJob(const durable_job& job);
 std::string EncodeTaskDone(const request_id& id, uint32_t index, bool failed,
--- a/src/process/evacuation.cc
+++ b/src/process/evacuation.cc
@@ -21,29 +21,29 @@
 
 evacuation_size CountJobs(const std::vector<store_item>& items) {
   std::set<request_id> jobs;
-  std::set<request_id> once;
+  std::set<request_id> not_repeatable;
   for (const store_item& item : items) {
     const std::optional<log_segment> segment = DecodeSegment(item.value);
     if (!segment) continue;
     for (const log_entry& entry : segment->entries) {
       if (entry.kind == log_entry_kind::kJob) {
         jobs.insert(entry.job.id);
-        if (!entry.job.repeatable) once.insert(entry.job.id);
+        if (!entry.job.repeatable) not_repeatable.insert(entry.job.id);
       } else if (entry.kind == log_entry_kind::kJobDone) {
         jobs.erase(entry.id);
-        once.erase(entry.id);
+        not_repeatable.erase(entry.id);
       }
     }
   }
-  return {static_cast<uint32_t>(jobs.size()), static_cast<uint32_t>(once.size())};
+  return {static_cast<uint32_t>(jobs.size()), static_cast<uint32_t>(not_repeatable.size())};
 }
 
 evacuation::evacuation(evacuation_options options, call_tags& tags)
     : options_(std::move(options)), tags_(tags), shards_(options_.shards) {}
 
-void evacuation::Stop(std::string why) {
+void evacuation::Stop(std::string reason) {
   if (IsOver()) return;
-  why_ = std::move(why);
+  stop_reason_ = std::move(reason);
   state_ = evacuation_state::kStopped;
 }
 
@@ -54,11 +54,11 @@
 }
 
 void evacuation::Tick(monotonic_time now, std::vector<store_request>& out) {
-  if (open_tag_ != 0 || now < next_try_) return;
-  if (repeat_) {
-    repeat_ = false;
+  if (call_tag_ != 0 || now < next_try_) return;
+  if (resend_) {
+    resend_ = false;
     call_.tag = tags_.Next();
-    open_tag_ = call_.tag;
+    call_tag_ = call_.tag;
     out.push_back(call_);
     return;
   }
@@ -72,8 +72,8 @@
     case evacuation_state::kReadingShards:
       Range(ShardPrefix(options_.failure_domain), out);
       return;
-    case evacuation_state::kRaising:
-      Raise(out);
+    case evacuation_state::kRaisingEpochs:
+      RaiseEpoch(out);
       return;
     case evacuation_state::kWaiting:
       if (now >= ready_at_) state_ = evacuation_state::kReady;
@@ -85,35 +85,35 @@
 
 void evacuation::Range(const std::string& prefix, std::vector<store_request>& out) {
   call_ = {};
-  call_.kind = ownership_call_kind::kRange;
+  call_.kind = store_call_kind::kRange;
   call_.tag = tags_.Next();
   call_.key = prefix;
-  open_tag_ = call_.tag;
+  call_tag_ = call_.tag;
   out.push_back(call_);
 }
 
-void evacuation::Raise(std::vector<store_request>& out) {
-  const shard_state& shard = shards_[raising_];
+void evacuation::RaiseEpoch(std::vector<store_request>& out) {
+  const shard_state& shard = shards_[next_shard_];
   call_ = {};
-  call_.kind = ownership_call_kind::kSwap;
+  call_.kind = store_call_kind::kSwap;
   call_.tag = tags_.Next();
-  call_.key = ShardKey(options_.failure_domain, raising_);
+  call_.key = ShardKey(options_.failure_domain, next_shard_);
   call_.expect = shard.revision;
   call_.value =
       ToText(shard_record{kOwnerPrefix + options_.entry, options_.incarnation, shard.epoch});
   call_.write_id = absl::StrCat(options_.entry, ":", options_.incarnation, ":evacuate:", call_.tag);
-  open_tag_ = call_.tag;
+  call_tag_ = call_.tag;
   out.push_back(call_);
 }
 
 bool evacuation::OnReply(uint64_t tag, const store_reply& reply, monotonic_time now) {
-  if (tag == 0 || tag != open_tag_) return false;
-  open_tag_ = 0;
+  if (tag == 0 || tag != call_tag_) return false;
+  call_tag_ = 0;
   if (IsOver()) return true;
   const bool definite =
       reply.status != store_status::kUnavailable && reply.status != store_status::kUnknown;
   if (!definite) {
-    repeat_ = true;
+    resend_ = true;
     next_try_ = now + options_.retry_after;
     return true;
   }
@@ -128,8 +128,8 @@
     case evacuation_state::kReadingShards:
       OnShards(reply);
       break;
-    case evacuation_state::kRaising:
-      OnRaised(reply, now);
+    case evacuation_state::kRaisingEpochs:
+      OnEpochRaised(reply, now);
       break;
     default:
       break;
@@ -155,17 +155,17 @@
     shards_[*number] = {item.revision, record->epoch};
   }
   for (shard_state& shard : shards_) ++shard.epoch;
-  state_ = evacuation_state::kRaising;
+  state_ = evacuation_state::kRaisingEpochs;
 }
 
-void evacuation::OnRaised(const store_reply& reply, monotonic_time now) {
+void evacuation::OnEpochRaised(const store_reply& reply, monotonic_time now) {
   const bool ours = reply.status == store_status::kConflict && !reply.items.empty() &&
                     call_.value == reply.items.front().value;
   if (reply.status != store_status::kDone && !ours) {
     Stop("another entry has taken one of its shards meanwhile");
     return;
   }
-  if (++raising_ < shards_.size()) return;
+  if (++next_shard_ < shards_.size()) return;
   state_ = evacuation_state::kWaiting;
   ready_at_ = now + options_.lease_wait;
 }
--- a/src/process/evacuation.h
+++ b/src/process/evacuation.h
@@ -37,7 +37,7 @@
   kReadingMembers,
   kReadingJobs,
   kReadingShards,
-  kRaising,
+  kRaisingEpochs,
   kWaiting,  // for the tasks' leases to lapse
   kReady,    // the logs may be taken over
   kCounted,  // a dry run is over
@@ -60,13 +60,13 @@
   // False when the tag is not of this object.
   bool OnReply(uint64_t tag, const store_reply& reply, monotonic_time now);
   // An entry of the domain is heard, or owns a shard of it.
-  void Stop(std::string why);
+  void Stop(std::string reason);
 
   evacuation_state State() const { return state_; }
   bool IsOver() const {
     return state_ == evacuation_state::kCounted || state_ == evacuation_state::kStopped;
   }
-  const std::string& Why() const { return why_; }
+  const std::string& StopReason() const { return stop_reason_; }
   const evacuation_size& Size() const { return size_; }
   std::chrono::milliseconds TimeLeft(monotonic_time now) const;
   // Ours, of the shard with that number; from kWaiting on.
@@ -80,21 +80,21 @@
   };
 
   void Range(const std::string& prefix, std::vector<store_request>& out);
-  void Raise(std::vector<store_request>& out);
+  void RaiseEpoch(std::vector<store_request>& out);
   void OnMembers(const store_reply& reply);
   void OnShards(const store_reply& reply);
-  void OnRaised(const store_reply& reply, monotonic_time now);
+  void OnEpochRaised(const store_reply& reply, monotonic_time now);
 
   evacuation_options options_;
   call_tags& tags_;
   evacuation_state state_ = evacuation_state::kReadingMembers;
-  std::string why_;
+  std::string stop_reason_;
   evacuation_size size_;
   std::vector<shard_state> shards_;
-  uint32_t raising_ = 0;  // the shard whose record is written now
-  store_request call_;    // the last one: sent again as it is when its reply is lost
-  uint64_t open_tag_ = 0;
-  bool repeat_ = false;
+  uint32_t next_shard_ = 0;  // the shard whose record is written now
+  store_request call_;       // the last one: sent again as it is when its reply is lost
+  uint64_t call_tag_ = 0;
+  bool resend_ = false;
   monotonic_time next_try_{};
   monotonic_time ready_at_{};
 };
--- a/src/process/gang_policy.cc
+++ b/src/process/gang_policy.cc
@@ -10,7 +10,7 @@
 constexpr uint32_t kProbes = 256;  // candidates looked at before all are
 
 // Puts as many of the missing tasks on one endpoint as fit. False when none are missing any more.
-bool Fill(const shard_floor& floor, const resources& each, endpoint_index endpoint,
+bool Fill(const shard_capacity& floor, const resources& each, endpoint_index endpoint,
           uint32_t& missing, std::vector<endpoint_index>& out) {
   const uint32_t here = std::min(missing, CountFitting(each, floor[endpoint].Free()));
   out.insert(out.end(), here, endpoint);
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-bool gang_policy::Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+bool gang_policy::Choose(const shard_capacity& floor, const job_record& job, uint32_t count,
                          std::vector<endpoint_index>& out) const {
   const resources& each = job.request.each;
   const free_index& open = floor.Open();
--- a/src/process/incarnation_keeper.cc
+++ b/src/process/incarnation_keeper.cc
@@ -36,78 +36,79 @@
 
 }  // namespace
 
-incarnation_keeper::incarnation_keeper(std::string writer, sender send)
+incarnation_store::incarnation_store(std::string writer, sender send)
     : writer_(std::move(writer)), send_(std::move(send)) {}
 
-void incarnation_keeper::OnGained(const shard& of, monotonic_time now) {
-  held_value held;
-  held.generation = ++generation_;
-  held.next_call = now;
-  held_[of.Name()] = std::move(held);
+void incarnation_store::OnGained(const shard& owned, monotonic_time now) {
+  shard_value value;
+  value.generation = ++generation_;
+  value.next_call = now;
+  values_[owned.Name()] = std::move(value);
 }
 
-void incarnation_keeper::Tick(shard& of, monotonic_time now) {
-  const auto found = held_.find(of.Name());
-  if (found == held_.end()) return;
-  held_value& held = found->second;
-  if (held.read && !held.given) {
-    held.given = true;
-    of.SetIncarnations(held.known, now);
+void incarnation_store::Tick(shard& owned, monotonic_time now) {
+  const auto found = values_.find(owned.Name());
+  if (found == values_.end()) return;
+  shard_value& value = found->second;
+  if (value.read && !value.delivered) {
+    value.delivered = true;
+    owned.SetIncarnations(value.known, now);
   }
   // Not one by one while the endpoints are being listed.
-  const bool waits = held.read && !of.AllListed();
-  if (held.in_flight || waits || now < held.next_call) return;
+  const bool waits = value.read && !owned.AllListed();
+  if (value.in_flight || waits || now < value.next_call) return;
   store_request call;
-  call.key = KeyOf(of.Name());
-  if (!held.read) {
-    call.kind = ownership_call_kind::kRange;
-    Call(of.Name(), held, std::move(call));
+  call.key = KeyOf(owned.Name());
+  if (!value.read) {
+    call.kind = store_call_kind::kRange;
+    Call(owned.Name(), value, std::move(call));
     return;
   }
-  held.written = of.Incarnations(now);
-  if (held.written == held.known) return;
-  held.next_call = now + kWriteInterval;
-  call.kind = ownership_call_kind::kSwap;
-  call.expect = held.revision;
-  call.value = ToText(held.written);
-  Call(of.Name(), held, std::move(call));
+  value.written = owned.Incarnations(now);
+  if (value.written == value.known) return;
+  value.next_call = now + kWriteInterval;
+  call.kind = store_call_kind::kSwap;
+  call.expect = value.revision;
+  call.value = ToText(value.written);
+  Call(owned.Name(), value, std::move(call));
 }
 
-void incarnation_keeper::Call(const std::string& shard_name, held_value& held, store_request call) {
+void incarnation_store::Call(const std::string& shard_name, shard_value& value,
+                             store_request call) {
   call.tag = tags_.Next();
-  call.write_id = absl::StrCat(writer_, ":", shard_name, ":", held.generation, ":", call.tag);
-  held.in_flight = true;
-  send_(call, [this, shard_name, generation = held.generation](const store_reply& reply,
-                                                               monotonic_time now) {
-    const auto found = held_.find(shard_name);
-    if (found == held_.end() || found->second.generation != generation) return;
+  call.write_id = absl::StrCat(writer_, ":", shard_name, ":", value.generation, ":", call.tag);
+  value.in_flight = true;
+  send_(call, [this, shard_name, generation = value.generation](const store_reply& reply,
+                                                                monotonic_time now) {
+    const auto found = values_.find(shard_name);
+    if (found == values_.end() || found->second.generation != generation) return;
     OnReply(shard_name, found->second, reply, now);
   });
 }
 
 // A lost reply needs no rule of its own: the next write then conflicts and learns what is there.
-void incarnation_keeper::OnReply(const std::string& shard_name, held_value& held,
-                                 const store_reply& reply, monotonic_time now) {
-  held.in_flight = false;
+void incarnation_store::OnReply(const std::string& shard_name, shard_value& value,
+                                const store_reply& reply, monotonic_time now) {
+  value.in_flight = false;
   const bool answered =
       reply.status == store_status::kDone || reply.status == store_status::kConflict;
   if (!answered) {
-    held.next_call = now + kRetry;
+    value.next_call = now + kRetry;
     return;
   }
-  const bool is_read = !held.read;
-  held.read = true;
-  held.given = false;
-  if (!is_read) held.revision = reply.revision;
+  const bool is_read = !value.read;
+  value.read = true;
+  value.delivered = false;
+  if (!is_read) value.revision = reply.revision;
   if (!is_read && reply.status == store_status::kDone) {
-    held.known = held.written;
+    value.known = value.written;
     return;
   }
-  held.known.clear();
+  value.known.clear();
   for (const store_item& item : reply.items) {
     if (is_read && item.key != KeyOf(shard_name)) continue;  // shard 10, read with shard 1
-    if (is_read) held.revision = item.revision;
-    held.known = Parse(item.value);
+    if (is_read) value.revision = item.revision;
+    value.known = Parse(item.value);
   }
 }
 
--- a/src/process/incarnation_keeper.h
+++ b/src/process/incarnation_keeper.h
@@ -19,41 +19,41 @@
 
 namespace catkinford {
 
-class incarnation_keeper {
+class incarnation_store {
  public:
   // Sends a call to the store; the reply comes on the core thread.
   using sender =
       std::function<void(const store_request&, std::function<void(store_reply, monotonic_time)>)>;
 
-  incarnation_keeper(std::string writer, sender send);
+  incarnation_store(std::string writer, sender send);
 
   // Reads the shard's value.
-  void OnGained(const shard& of, monotonic_time now);
-  void OnLost(const std::string& shard_name) { held_.erase(shard_name); }
+  void OnGained(const shard& owned, monotonic_time now);
+  void OnLost(const std::string& shard_name) { values_.erase(shard_name); }
   // Gives the shard what was read, and writes what it wants recorded.
-  void Tick(shard& of, monotonic_time now);
+  void Tick(shard& owned, monotonic_time now);
 
  private:
-  struct held_value {
+  struct shard_value {
     uint64_t generation = 0;
     uint64_t revision = 0;
     incarnations known;
     incarnations written;  // by the call under way
     bool read = false;
     bool in_flight = false;
-    bool given = false;  // the shard has `known`
+    bool delivered = false;  // the shard has `known`
     monotonic_time next_call{};
   };
 
-  void Call(const std::string& shard_name, held_value& held, store_request call);
-  void OnReply(const std::string& shard_name, held_value& held, const store_reply& reply,
+  void Call(const std::string& shard_name, shard_value& value, store_request call);
+  void OnReply(const std::string& shard_name, shard_value& value, const store_reply& reply,
                monotonic_time now);
 
   std::string writer_;
   sender send_;
   call_tags tags_;
   uint64_t generation_ = 0;
-  std::map<std::string, held_value> held_;
+  std::map<std::string, shard_value> values_;
 };
 
 }  // namespace catkinford
--- a/src/process/interactive_policy.cc
+++ b/src/process/interactive_policy.cc
@@ -10,7 +10,7 @@
 
 }  // namespace
 
-bool interactive_policy::Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+bool interactive_policy::Choose(const shard_capacity& floor, const job_record& job, uint32_t count,
                                 std::vector<endpoint_index>& out) const {
   if (count != 1) return false;
   const resources& need = job.request.each;
--- a/src/process/job_keeper.cc
+++ b/src/process/job_keeper.cc
@@ -64,10 +64,10 @@
 
 }  // namespace
 
-job_keeper::job_keeper(std::string writer, sender send)
+job_store::job_store(std::string writer, sender send)
     : writer_(std::move(writer)), send_(std::move(send)) {}
 
-void job_keeper::OnGained(uint32_t number, const std::string& shard_name, uint64_t epoch) {
+void job_store::OnGained(uint32_t number, const std::string& shard_name, uint64_t epoch) {
   job_log_options options;
   options.prefix = absl::StrCat("jobs/", shard_name, "/");
   options.writer = writer_;
@@ -79,17 +79,17 @@
   logs_[number] = std::move(held);
 }
 
-void job_keeper::OnLost(uint32_t number) { logs_.erase(number); }
+void job_store::OnLost(uint32_t number) { logs_.erase(number); }
 
-std::vector<opened_log> job_keeper::Tick(monotonic_time now) {
+std::vector<opened_log> job_store::Tick(monotonic_time now) {
   std::vector<opened_log> opened;
   for (auto& [number, held] : logs_) {
     std::vector<store_request> calls;
     held.log->Tick(now, calls);
     for (const store_request& call : calls) {
-      send_(call, [this, of = number, generation = held.generation, tag = call.tag](
+      send_(call, [this, shard_number = number, generation = held.generation, tag = call.tag](
                       const store_reply& reply, monotonic_time at) {
-        const auto found = logs_.find(of);
+        const auto found = logs_.find(shard_number);
         if (found == logs_.end() || found->second.generation != generation) return;
         found->second.log->OnReply(tag, reply, at);
       });
@@ -103,7 +103,7 @@
   return opened;
 }
 
-bool job_keeper::TakeNotices(uint32_t number, shard& to, monotonic_time now) {
+bool job_store::TakeNotices(uint32_t number, shard& to, monotonic_time now) {
   const auto found = logs_.find(number);
   if (found == logs_.end()) return false;
   const std::vector<job_notice> notices = found->second.log->TakeNotices();
@@ -117,8 +117,8 @@
   return !notices.empty();
 }
 
-void job_keeper::Record(uint32_t number, const record_action& what, shard& from,
-                        monotonic_time now) {
+void job_store::Record(uint32_t number, const record_action& what, shard& from,
+                       monotonic_time now) {
   const auto found = logs_.find(number);
   const place_message* place = from.SpecOf(what.job);
   append_result result = append_result::kNotReady;
@@ -133,13 +133,13 @@
   }
 }
 
-void job_keeper::Withdraw(uint32_t number, const request_id& id, shard& from, monotonic_time now) {
+void job_store::Withdraw(uint32_t number, const request_id& id, shard& from, monotonic_time now) {
   const auto found = logs_.find(number);
   if (found != logs_.end() && found->second.log->Withdraw(id)) from.OnRecorded(id, false, now);
 }
 
-void job_keeper::Complete(uint32_t number, const complete_action& what, shard& from,
-                          monotonic_time now) {
+void job_store::Complete(uint32_t number, const complete_action& what, shard& from,
+                         monotonic_time now) {
   const auto found = logs_.find(number);
   if (found == logs_.end()) return;
   job_log& log = *found->second.log;
@@ -147,7 +147,8 @@
     if (log.FinishJob(what.task.job) == append_result::kKnown) from.OnEndRecorded(what.task.job);
     return;
   }
-  const append_result result = log.Complete(what.task.job, what.task.index, !what.well, what.text);
+  const append_result result =
+      log.Complete(what.task.job, what.task.index, !what.succeeded, what.text);
   if (result == append_result::kKnown) {
     from.OnCompletionRecorded(what.task.job, what.task.index, now);
   }
--- a/src/process/job_keeper.h
+++ b/src/process/job_keeper.h
@@ -31,13 +31,13 @@
   std::vector<restored_job> jobs;
 };
 
-class job_keeper {
+class job_store {
  public:
   // Sends a call to the store; the reply comes on the core thread.
   using sender =
       std::function<void(const store_request&, std::function<void(store_reply, monotonic_time)>)>;
 
-  job_keeper(std::string writer, sender send);
+  job_store(std::string writer, sender send);
 
   void OnGained(uint32_t number, const std::string& shard_name, uint64_t epoch);
   void OnLost(uint32_t number);
--- a/src/process/job_log.cc
+++ b/src/process/job_log.cc
@@ -24,16 +24,16 @@
 }
 
 void job_log::Tick(monotonic_time now, std::vector<store_request>& out) {
-  const bool over = state_ == job_log_state::kSuperseded || state_ == job_log_state::kDamaged;
-  if (over || open_tag_ != 0 || now < next_try_) return;
-  if (repeat_) {
-    repeat_ = false;
+  const bool stopped = state_ == job_log_state::kSuperseded || state_ == job_log_state::kDamaged;
+  if (stopped || call_tag_ != 0 || now < next_try_) return;
+  if (resend_) {
+    resend_ = false;
     call_.tag = tags_.Next();
-    open_tag_ = call_.tag;
+    call_tag_ = call_.tag;
     out.push_back(call_);
   } else if (state_ == job_log_state::kReading) {
     Read(out);
-  } else if (state_ == job_log_state::kShuttingOut) {
+  } else if (state_ == job_log_state::kFencing) {
     Rewrite(out);
   } else {
     Commit(now, out);
@@ -41,13 +41,13 @@
 }
 
 bool job_log::OnReply(uint64_t tag, const store_reply& reply, monotonic_time now) {
-  if (tag == 0 || tag != open_tag_) return false;
-  open_tag_ = 0;
+  if (tag == 0 || tag != call_tag_) return false;
+  call_tag_ = 0;
   const bool definite =
       reply.status != store_status::kUnavailable && reply.status != store_status::kUnknown;
   if (!definite) {
-    repeat_ = true;
-    maybe_done_ = maybe_done_ || reply.status == store_status::kUnknown;
+    resend_ = true;
+    reply_lost_ = reply_lost_ || reply.status == store_status::kUnknown;
     next_try_ = now + options_.retry_after;
     return true;
   }
@@ -68,90 +68,90 @@
 void job_log::Swap(call_purpose purpose, uint64_t number, uint64_t expect,
                    std::optional<std::string> value, std::vector<store_request>& out) {
   call_ = {};
-  call_.kind = ownership_call_kind::kSwap;
+  call_.kind = store_call_kind::kSwap;
   call_.tag = tags_.Next();
   call_.key = KeyOf(number);
   call_.expect = expect;
   call_.value = std::move(value);
   call_.write_id = absl::StrCat(options_.writer, ":", call_.tag);
   purpose_ = purpose;
-  open_tag_ = call_.tag;
-  maybe_done_ = false;
+  call_tag_ = call_.tag;
+  reply_lost_ = false;
   out.push_back(call_);
 }
 
 append_result job_log::Append(const durable_job& job) {
   if (state_ != job_log_state::kReady) return append_result::kNotReady;
-  if (jobs_.contains(job.id)) return Repeated(job.id);
+  if (jobs_.contains(job.id)) return DuplicateResult(job.id);
   std::string text = EncodeJob(job);
   if (text.size() > options_.record_bytes) return append_result::kTooLarge;
   known_job& known = jobs_[job.id];
   known.record = job;
   known.record.done.resize(job.tasks);
   Push(std::move(text), {log_entry_kind::kJob, job.id, 0}, true);
-  return append_result::kTaken;
+  return append_result::kQueued;
 }
 
 append_result job_log::Replace(const durable_job& job) {
   if (state_ != job_log_state::kReady) return append_result::kNotReady;
   const auto found = jobs_.find(job.id);
-  if (found == jobs_.end()) return Repeated(job.id);
+  if (found == jobs_.end()) return DuplicateResult(job.id);
   durable_job& record = found->second.record;
   record.parts = job.parts;
   record.plan = job.plan;
   std::string text = EncodeJob(record);
   if (text.size() > options_.record_bytes) return append_result::kTooLarge;
   Push(std::move(text), {log_entry_kind::kJob, job.id, 0}, true);
-  return append_result::kTaken;
+  return append_result::kQueued;
 }
 
 append_result job_log::Complete(const request_id& id, uint32_t index, bool failed,
                                 const std::string& text) {
   if (state_ != job_log_state::kReady) return append_result::kNotReady;
   const auto found = jobs_.find(id);
-  if (found == jobs_.end()) return Repeated(id);
+  if (found == jobs_.end()) return DuplicateResult(id);
   // A longer answer is not kept: each commit sends the whole last segment again.
   const std::string kept = text.size() <= options_.text_bytes ? text : std::string();
-  if (!NoteTaskEnd(found->second.record, index, failed, kept)) return Repeated(id);
+  if (!RecordTaskEnd(found->second.record, index, failed, kept)) return DuplicateResult(id);
   Push(EncodeTaskDone(id, index, failed, kept), {log_entry_kind::kTaskDone, id, index}, true);
-  return append_result::kTaken;
+  return append_result::kQueued;
 }
 
 append_result job_log::FinishJob(const request_id& id) {
   if (state_ != job_log_state::kReady) return append_result::kNotReady;
-  if (!jobs_.contains(id)) return Repeated(id);
+  if (!jobs_.contains(id)) return DuplicateResult(id);
   RemoveJob(id);
   Push(EncodeJobDone(id), {log_entry_kind::kJobDone, id, 0}, true);
-  return append_result::kTaken;
+  return append_result::kQueued;
 }
 
 bool job_log::Withdraw(const request_id& id) {
   const auto found =
       std::find_if(pending_.begin(), pending_.end(), [&](const pending_entry& entry) {
-        return entry.tells && entry.notice.kind == log_entry_kind::kJob && entry.notice.id == id;
+        return entry.notifies && entry.notice.kind == log_entry_kind::kJob && entry.notice.id == id;
       });
   if (found == pending_.end()) return false;
   const bool in_call = static_cast<size_t>(found - pending_.begin()) < in_commit_;
   if (in_call) {
-    if (open_tag_ != 0 || maybe_done_) return false;
+    if (call_tag_ != 0 || reply_lost_) return false;
     // The store refused the commit each time it was sent; the next one is put together anew.
-    repeat_ = false;
+    resend_ = false;
     purpose_ = call_purpose::kNone;
     in_commit_ = 0;
   }
-  if (--unsettled_[id] == 0) unsettled_.erase(id);
+  if (--unwritten_[id] == 0) unwritten_.erase(id);
   RemoveJob(id);
   pending_.erase(found);
   return true;
 }
 
-append_result job_log::Repeated(const request_id& id) const {
-  return unsettled_.contains(id) ? append_result::kPending : append_result::kKnown;
+append_result job_log::DuplicateResult(const request_id& id) const {
+  return unwritten_.contains(id) ? append_result::kPending : append_result::kKnown;
 }
 
-void job_log::Push(std::string text, const job_notice& notice, bool tells) {
-  ++unsettled_[notice.id];
-  pending_.push_back({std::move(text), notice, tells});
+void job_log::Push(std::string text, const job_notice& notice, bool notifies) {
+  ++unwritten_[notice.id];
+  pending_.push_back({std::move(text), notice, notifies});
 }
 
 bool job_log::Durable(const request_id& id) const {
@@ -165,8 +165,8 @@
 
 void job_log::Commit(monotonic_time now, std::vector<store_request>& out) {
   if (now < next_commit_) return;
-  if (retiring_ == 0) StartRetiring();
-  if (retiring_ != 0 && copies_left_ == 0) {
+  if (compacting_ == 0) StartCompaction();
+  if (compacting_ != 0 && pending_copies_ == 0) {
     DeleteOldest(out);
     return;
   }
@@ -223,16 +223,16 @@
   open.bytes = committed_entries_.size();
   open_entries_ = std::exchange(committed_entries_, {});
   for (; in_commit_ > 0; --in_commit_) {
-    Settle(pending_.front());
+    OnEntryWritten(pending_.front());
     pending_.pop_front();
   }
 }
 
-void job_log::Settle(const pending_entry& entry) {
-  if (entry.tells) notices_.push_back(entry.notice);
-  if (!entry.tells) --copies_left_;
-  const auto unsettled = unsettled_.find(entry.notice.id);
-  if (--unsettled->second == 0) unsettled_.erase(unsettled);
+void job_log::OnEntryWritten(const pending_entry& entry) {
+  if (entry.notifies) notices_.push_back(entry.notice);
+  if (!entry.notifies) --pending_copies_;
+  const auto unwritten = unwritten_.find(entry.notice.id);
+  if (--unwritten->second == 0) unwritten_.erase(unwritten);
   if (entry.notice.kind != log_entry_kind::kJob) return;
   const auto found = jobs_.find(entry.notice.id);
   if (found == jobs_.end()) return;  // it was over before its record was written
--- a/src/process/job_log.h
+++ b/src/process/job_log.h
@@ -41,15 +41,15 @@
 };
 
 enum class job_log_state : uint8_t {
-  kReading,      // the log of earlier owners is being read
-  kShuttingOut,  // its end is being rewritten under our epoch
+  kReading,  // the log of earlier owners is being read
+  kFencing,  // its end is being rewritten under our epoch
   kReady,
   kSuperseded,  // another owner has rewritten the end: nothing more gets durable here
   kDamaged,     // a segment is not readable: its jobs would be lost by going on
 };
 
 enum class append_result : uint8_t {
-  kTaken,    // a notice will come
+  kQueued,   // a notice will come
   kPending,  // taken before, and not durable yet
   kKnown,    // durable already, or of a job that is over
   kTooLarge,
@@ -109,7 +109,7 @@
   struct pending_entry {
     std::string text;
     job_notice notice;
-    bool tells = true;  // false: a copy made by compaction
+    bool notifies = true;  // false: a copy made by compaction
   };
   enum class call_purpose : uint8_t { kNone, kRead, kRewrite, kCommit, kCreateNext, kDelete };
 
@@ -127,12 +127,12 @@
   void CreateNext(std::vector<store_request>& out);
   void OnCommitted(const store_reply& reply);
   void OnCreated(const store_reply& reply);
-  void Settle(const pending_entry& entry);
-  void Push(std::string text, const job_notice& notice, bool tells);
-  append_result Repeated(const request_id& id) const;
+  void OnEntryWritten(const pending_entry& entry);
+  void Push(std::string text, const job_notice& notice, bool notifies);
+  append_result DuplicateResult(const request_id& id) const;
 
   // Compaction.
-  void StartRetiring();
+  void StartCompaction();
   void DeleteOldest(std::vector<store_request>& out);
   void OnDeleted(const store_reply& reply);
   void AddJobBytes(known_job& job, uint64_t number, size_t bytes);
@@ -151,25 +151,25 @@
   absl::flat_hash_map<request_id, known_job> jobs_;
   std::map<uint64_t, segment> segments_;  // the last one is empty, the one before it is open
   size_t total_bytes_ = 0;
-  size_t total_live_ = 0;     // of whole records of jobs that are not over
+  size_t live_bytes_ = 0;     // of whole records of jobs that are not over
   std::string open_entries_;  // of the open segment, encoded
   std::string last_entries_;  // of the last segment while it is rewritten
   std::deque<pending_entry> pending_;
-  absl::flat_hash_map<request_id, uint32_t> unsettled_;  // entries of pending_ by job
+  absl::flat_hash_map<request_id, uint32_t> unwritten_;  // entries of pending_ by job
   std::vector<job_notice> notices_;
 
   // The one call under way. A lost reply is followed by the very same call: it is answered by the
   // new revision, or by a conflict that shows our own value, or by one that shows another's.
   call_purpose purpose_ = call_purpose::kNone;
-  uint64_t open_tag_ = 0;
+  uint64_t call_tag_ = 0;
   store_request call_;
   size_t in_commit_ = 0;           // entries of pending_ that the call writes
   std::string committed_entries_;  // what the open segment holds once it is done
-  bool repeat_ = false;            // the call is to be sent again
-  bool maybe_done_ = false;        // a reply to the call is lost
+  bool resend_ = false;            // the call is to be sent again
+  bool reply_lost_ = false;        // a reply to the call is lost
   uint64_t rewritten_ = 0;         // the last segment that was rewritten on taking over
-  uint64_t retiring_ = 0;          // the segment that is being compacted away
-  size_t copies_left_ = 0;         // of its jobs, not durable yet
+  uint64_t compacting_ = 0;        // the segment that is being compacted away
+  size_t pending_copies_ = 0;      // of its jobs, not durable yet
   monotonic_time next_commit_{};
   monotonic_time next_try_{};
 };
--- a/src/process/job_log_upkeep.cc
+++ b/src/process/job_log_upkeep.cc
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr uint64_t kFirstSegment = 1;
-constexpr size_t kDeadFactor = 2;      // a log this many times its live records is compacted
-constexpr size_t kSlackSegments = 2;   // and this many segments more
-constexpr size_t kFewestSegments = 3;  // a full one, the open one, the empty one
+constexpr size_t kMaxGarbageRatio = 2;  // a log this many times its live records is compacted
+constexpr size_t kExtraSegments = 2;    // and this many segments more
+constexpr size_t kMinSegments = 3;      // a full one, the open one, the empty one
 
 }  // namespace
 
@@ -21,11 +21,11 @@
 
 void job_log::Read(std::vector<store_request>& out) {
   call_ = {};
-  call_.kind = ownership_call_kind::kRange;
+  call_.kind = store_call_kind::kRange;
   call_.tag = tags_.Next();
   call_.key = options_.prefix;
   purpose_ = call_purpose::kRead;
-  open_tag_ = call_.tag;
+  call_tag_ = call_.tag;
   out.push_back(call_);
 }
 
@@ -33,7 +33,7 @@
   jobs_.clear();
   segments_.clear();
   total_bytes_ = 0;
-  total_live_ = 0;
+  live_bytes_ = 0;
   std::map<uint64_t, const store_item*> items;
   for (const store_item& item : reply.items) {
     const std::optional<uint64_t> number = NumberOf(item.key);
@@ -48,7 +48,7 @@
     Replay(number, *content, *item);
   }
   for (auto& [id, job] : jobs_) job.durable = true;
-  state_ = job_log_state::kShuttingOut;
+  state_ = job_log_state::kFencing;
 }
 
 void job_log::Replay(uint64_t number, const log_segment& content, const store_item& item) {
@@ -74,7 +74,7 @@
   }
   const auto found = jobs_.find(entry.id);
   if (found == jobs_.end()) return;
-  NoteTaskEnd(found->second.record, entry.index, entry.failed, entry.text);
+  RecordTaskEnd(found->second.record, entry.index, entry.failed, entry.text);
 }
 
 // An earlier owner may have been paused with a commit in its hands, for as long as it likes. It can
@@ -114,39 +114,39 @@
 // now; then the segment is deleted. Nothing that it says is needed after that: records of jobs that
 // are over, and the ends of tasks, are either older than a copy or of jobs that no segment has.
 
-void job_log::StartRetiring() {
-  const size_t allowed = kDeadFactor * total_live_ + kSlackSegments * options_.segment_bytes;
-  if (segments_.size() < kFewestSegments || total_bytes_ <= allowed) return;
-  retiring_ = segments_.begin()->first;
+void job_log::StartCompaction() {
+  const size_t allowed = kMaxGarbageRatio * live_bytes_ + kExtraSegments * options_.segment_bytes;
+  if (segments_.size() < kMinSegments || total_bytes_ <= allowed) return;
+  compacting_ = segments_.begin()->first;
   for (const auto& [id, job] : jobs_) {
-    if (job.segment != retiring_) continue;
-    ++copies_left_;
+    if (job.segment != compacting_) continue;
+    ++pending_copies_;
     Push(EncodeJob(job.record), {log_entry_kind::kJob, id, 0}, false);
   }
 }
 
 void job_log::DeleteOldest(std::vector<store_request>& out) {
-  Swap(call_purpose::kDelete, retiring_, segments_[retiring_].revision, std::nullopt, out);
+  Swap(call_purpose::kDelete, compacting_, segments_[compacting_].revision, std::nullopt, out);
 }
 
 void job_log::OnDeleted(const store_reply& /*reply*/) {
   // Done, gone already, or changed by another owner that will delete it: it is not ours to keep.
-  total_bytes_ -= segments_[retiring_].bytes;
-  segments_.erase(retiring_);
-  retiring_ = 0;
+  total_bytes_ -= segments_[compacting_].bytes;
+  segments_.erase(compacting_);
+  compacting_ = 0;
 }
 
 void job_log::AddJobBytes(known_job& job, uint64_t number, size_t bytes) {
-  total_live_ -= job.bytes;
+  live_bytes_ -= job.bytes;
   job.segment = number;
   job.bytes = bytes;
-  total_live_ += bytes;
+  live_bytes_ += bytes;
 }
 
 void job_log::RemoveJob(const request_id& id) {
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return;
-  total_live_ -= found->second.bytes;
+  live_bytes_ -= found->second.bytes;
   jobs_.erase(found);
 }
 
--- a/src/process/job_status.cc
+++ b/src/process/job_status.cc
@@ -27,19 +27,19 @@
 
 }  // namespace
 
-void job_status::Ask(std::set<std::string> shards) {
-  open_ = std::move(shards);
-  heard_.clear();
+void job_status::Start(std::set<std::string> shards) {
+  unanswered_ = std::move(shards);
+  answers_.clear();
 }
 
-void job_status::Hear(const status_answer& answer) {
-  open_.erase(answer.shard);
-  if (answer.known) heard_[answer.shard] = answer;
+void job_status::OnAnswer(const status_answer& answer) {
+  unanswered_.erase(answer.shard);
+  if (answer.known) answers_[answer.shard] = answer;
 }
 
 const status_answer* job_status::Home() const {
   const status_answer* home = nullptr;
-  for (const auto& [shard, answer] : heard_) {
+  for (const auto& [shard, answer] : answers_) {
     // A request that one shard turned away and another took is known to both.
     const bool better = home == nullptr || (home->ended && !answer.ended);
     if (answer.home.empty() && better) home = &answer;
@@ -47,31 +47,32 @@
   return home;
 }
 
-bool job_status::IsWhole() const {
-  if (open_.empty()) return true;
+bool job_status::IsComplete() const {
+  if (unanswered_.empty()) return true;
   const status_answer* home = Home();
   return home != nullptr &&
          std::none_of(home->parts.begin(), home->parts.end(),
-                      [&](const job_part& part) { return open_.contains(part.shard); });
+                      [&](const job_part& part) { return unanswered_.contains(part.shard); });
 }
 
 std::vector<job_part> job_status::Parts() const {
   const status_answer* home = Home();
   if (home != nullptr) return home->parts;
-  return heard_.empty() ? std::vector<job_part>{} : heard_.begin()->second.parts;
+  return answers_.empty() ? std::vector<job_part>{} : answers_.begin()->second.parts;
 }
 
 http_response job_status::Response(const request_id& id) const {
   const status_answer* home = Home();
   job_progress all;
-  for (const auto& [shard, answer] : heard_) Add(answer.progress, all);
+  for (const auto& [shard, answer] : answers_) Add(answer.progress, all);
   json parts = json::array();
   for (const job_part& part : Parts()) {
-    const auto heard = heard_.find(part.shard);
-    json one = {{"shard", part.shard}, {"replicas", part.tasks}, {"heard", heard != heard_.end()}};
-    if (heard != heard_.end()) one["tasks"] = ToJson(heard->second.progress);
+    const auto found = answers_.find(part.shard);
+    json one = {
+        {"shard", part.shard}, {"replicas", part.tasks}, {"heard", found != answers_.end()}};
+    if (found != answers_.end()) one["tasks"] = ToJson(found->second.progress);
     // Said for the replicas of a shard that was not heard: nothing is known of them.
-    if (heard == heard_.end()) all.waiting += part.tasks;
+    if (found == answers_.end()) all.waiting += part.tasks;
     parts.push_back(std::move(one));
   }
   const bool ended = home != nullptr && home->ended;
--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -12,26 +12,26 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kMissedBeats = 4;             // overdue by this many: suspect
-constexpr int kMissedTurns = 2;             // of another domain, both ways: suspect
+constexpr int kMissedHeartbeats = 4;        // overdue by this many: suspect
+constexpr int kMissedRounds = 2;            // of another domain, both ways: suspect
 constexpr int kDownFactor = 2;              // overdue by this many times that: down
 constexpr milliseconds kHopAllowance{5};    // age that a word gains on its way
 constexpr seconds kForgetAfter{60};         // silent and not in the list
 constexpr size_t kMaxMembers = 1024;        // bounds what a faulty peer can make us keep
 constexpr uint32_t kNearShareOfBudget = 2;  // near heartbeats take at most one part in two
-constexpr uint32_t kLeastFarShare = 8;      // and far ones get at least one part in eight
+constexpr uint32_t kMinFarShare = 8;        // and far ones get at least one part in eight
 constexpr int64_t kMillisPerSecond = 1000;
 // Bytes on the wire, measured with real processes: a call and its reply over the JSON-RPC library
 // with the heads of our texts, and the word of an owner of one shard.
 constexpr uint32_t kExchangeBytes = 472 + 120;
-constexpr uint32_t kWordBytes = 125;
+constexpr uint32_t kEntryStatusBytes = 125;
 
 }  // namespace
 
 membership::membership(membership_options options) : options_(std::move(options)) {}
 
-member& membership::Have(const std::string& name, const std::string& failure_domain,
-                         const std::string& address) {
+member& membership::FindOrAdd(const std::string& name, const std::string& failure_domain,
+                              const std::string& address) {
   member& one = members_[name];
   one.name = name;
   if (!failure_domain.empty()) one.failure_domain = failure_domain;
@@ -41,23 +41,25 @@
 
 // The platform's list says how an entry is reached from here, so its address goes before the one
 // that the entry gives itself.
-bool membership::Heard(const entry_word& word, const std::string& failure_domain,
-                       monotonic_time now) {
-  if (word.name == options_.name || word.name.empty() || word.incarnation == 0) return false;
-  const auto known = members_.find(word.name);
+bool membership::ApplyStatus(const entry_status& status, const std::string& failure_domain,
+                             monotonic_time now) {
+  if (status.name == options_.name || status.name.empty() || status.incarnation == 0) return false;
+  const auto known = members_.find(status.name);
   if (known == members_.end() && members_.size() >= kMaxMembers) return false;
   if (known != members_.end()) {
-    const entry_word& last = known->second.word;
-    const auto number = [](const entry_word& one) { return std::pair(one.incarnation, one.beat); };
-    if (number(word) <= number(last)) return false;
+    const entry_status& last = known->second.status;
+    const auto number = [](const entry_status& one) {
+      return std::pair(one.incarnation, one.heartbeat);
+    };
+    if (number(status) <= number(last)) return false;
   }
   const bool listed = known != members_.end() && known->second.listed;
-  member& one = Have(word.name, failure_domain, listed ? "" : word.address);
-  const bool is_new_process = one.word.incarnation != word.incarnation;
-  const monotonic_time at = word.age.count() == 0 ? now : now - word.age - kHopAllowance;
-  one.heard = is_new_process ? at : std::max(one.heard, at);
-  one.word = word;
-  const auto silent = silent_.find(word.name);
+  member& one = FindOrAdd(status.name, failure_domain, listed ? "" : status.address);
+  const bool is_new_process = one.status.incarnation != status.incarnation;
+  const monotonic_time at = status.age.count() == 0 ? now : now - status.age - kHopAllowance;
+  one.last_heard = is_new_process ? at : std::max(one.last_heard, at);
+  one.status = status;
+  const auto silent = silent_.find(status.name);
   if (silent != silent_.end() && (at > silent->second || is_new_process)) silent_.erase(silent);
   return true;
 }
@@ -66,9 +68,9 @@
   for (auto& [name, one] : members_) one.listed = false;
   for (const instance& listed : instances) {
     if (listed.role != instance_role::kEntry || listed.name == options_.name) continue;
-    member& one = Have(listed.name, listed.failure_domain, listed.address);
+    member& one = FindOrAdd(listed.name, listed.failure_domain, listed.address);
     one.listed = true;
-    one.withdrawn = listed.leaving;
+    one.listed_leaving = listed.leaving;
   }
   Forget(now);
 }
@@ -78,23 +80,24 @@
   for (const auto& [name, record] : members) {
     if (name == options_.name) continue;
     const member* known = Find(name);
-    const bool is_unheard = known == nullptr || known->word.incarnation == 0;
-    if (!is_unheard || (known != nullptr && known->listed)) continue;
-    Have(name, options_.failure_domain, record.address).heard = now;  // not forgotten meanwhile
+    const bool is_unknown = known == nullptr || known->status.incarnation == 0;
+    if (!is_unknown || (known != nullptr && known->listed)) continue;
+    FindOrAdd(name, options_.failure_domain, record.address).last_heard =
+        now;  // not forgotten meanwhile
   }
   Forget(now);
 }
 
-std::vector<std::string> membership::OnHeartbeat(const heartbeat_message& beat,
+std::vector<std::string> membership::OnHeartbeat(const heartbeat_message& heartbeat,
                                                  monotonic_time now) {
-  std::vector<std::string> news;
-  for (const entry_word& word : beat.words) {
-    if (Heard(word, beat.failure_domain, now)) news.push_back(word.name);
+  std::vector<std::string> updated;
+  for (const entry_status& status : heartbeat.entries) {
+    if (ApplyStatus(status, heartbeat.failure_domain, now)) updated.push_back(status.name);
     // The sender itself has said something later: the network held this back, and the ages in it
     // are too low. A neighbour that died meanwhile would seem to be alive.
-    if (news.empty()) break;
+    if (updated.empty()) break;
   }
-  return news;
+  return updated;
 }
 
 void membership::OnSilent(const std::string& name, monotonic_time now) {
@@ -104,8 +107,8 @@
 bool membership::OnSilent(const silent_message& silent, monotonic_time now) {
   const member* one = Find(silent.name);
   if (one == nullptr) return false;
-  const auto number = std::pair(one->word.incarnation, one->word.beat);
-  if (number > std::pair(silent.incarnation, silent.beat)) return false;
+  const auto number = std::pair(one->status.incarnation, one->status.heartbeat);
+  if (number > std::pair(silent.incarnation, silent.heartbeat)) return false;
   OnSilent(silent.name, now);
   return true;
 }
@@ -115,12 +118,12 @@
   return found == members_.end() ? nullptr : &found->second;
 }
 
-member_state membership::StateOf(const member& one, bool sends_to_us, const patience& silences,
+member_state membership::StateOf(const member& one, bool sends_to_us, const silence_limits& limits,
                                  monotonic_time now) const {
-  if (one.word.incarnation == 0) return member_state::kDown;
-  const milliseconds near = sends_to_us ? silences.predecessor : silences.near;
-  const milliseconds silence = IsNear(one) ? near : silences.far;
-  const auto overdue = now - one.heard;
+  if (one.status.incarnation == 0) return member_state::kDown;
+  const milliseconds near = sends_to_us ? limits.predecessor : limits.near;
+  const milliseconds silence = IsNear(one) ? near : limits.far;
+  const auto overdue = now - one.last_heard;
   if (overdue >= silence * kDownFactor) return member_state::kDown;
   if (overdue >= silence || silent_.contains(one.name)) return member_state::kSuspect;
   return member_state::kUp;
@@ -128,9 +131,9 @@
 
 void membership::Tick(monotonic_time now, std::vector<member_change>& out) {
   const member* predecessor = Predecessor();
-  const patience silences{NearPeriod() * kMissedBeats, NearSilence(), FarSilence()};
+  const silence_limits limits{NearPeriod() * kMissedHeartbeats, NearTimeout(), FarTimeout()};
   for (auto& [name, one] : members_) {
-    const member_state state = StateOf(one, &one == predecessor, silences, now);
+    const member_state state = StateOf(one, &one == predecessor, limits, now);
     if (state == one.state) continue;
     out.push_back({name, one.failure_domain, state, one.state});
     one.state = state;
@@ -162,7 +165,7 @@
 void membership::Forget(monotonic_time now) {
   absl::erase_if(members_, [&](const auto& item) {
     const member& one = item.second;
-    const bool forgotten = !one.listed && now - one.heard >= kForgetAfter;
+    const bool forgotten = !one.listed && now - one.last_heard >= kForgetAfter;
     if (forgotten) silent_.erase(one.name);
     return forgotten;
   });
@@ -184,19 +187,19 @@
 }
 
 uint32_t membership::NearBytes() const {
-  return kExchangeBytes + static_cast<uint32_t>(CountNear() + 1) * kWordBytes;
+  return kExchangeBytes + static_cast<uint32_t>(CountNear() + 1) * kEntryStatusBytes;
 }
 
 uint32_t membership::FarBytes() const {
-  return kExchangeBytes + 2 * static_cast<uint32_t>(CountNear() + 1) * kWordBytes;
+  return kExchangeBytes + 2 * static_cast<uint32_t>(CountNear() + 1) * kEntryStatusBytes;
 }
 
 // Successors on the ring of the domain that get each heartbeat: at least one, all in a small
 // domain. What we send others send to us, so half of the budget is for sending.
 size_t membership::NearTargets() const {
   const uint32_t sending = options_.bytes_per_second / 2 / kNearShareOfBudget;
-  const auto beats = kMillisPerSecond / options_.heartbeat.count();
-  const auto fit = static_cast<size_t>(sending / (beats * NearBytes()));
+  const auto heartbeats = kMillisPerSecond / options_.heartbeat.count();
+  const auto fit = static_cast<size_t>(sending / (heartbeats * NearBytes()));
   return std::min(CountNear(), std::max<size_t>(fit, 1));
 }
 
@@ -217,24 +220,24 @@
   const int64_t near =
       static_cast<int64_t>(NearTargets()) * NearBytes() * kMillisPerSecond / NearPeriod().count();
   const int64_t half = options_.bytes_per_second / 2;
-  const int64_t left = std::max<int64_t>(half - near, half / kLeastFarShare);
+  const int64_t left = std::max<int64_t>(half - near, half / kMinFarShare);
   const milliseconds affordable{FarBytes() * kMillisPerSecond / left};
   return std::max(affordable, options_.far_heartbeat / far);
 }
 
 // News of a neighbour that does not send to us comes round the ring.
-milliseconds membership::NearSilence() const {
+milliseconds membership::NearTimeout() const {
   const size_t targets = std::max<size_t>(NearTargets(), 1);
   const auto hops = static_cast<int>((CountNear() + targets - 1) / targets);
-  return NearPeriod() * (kMissedBeats + std::max(hops - 1, 0));
+  return NearPeriod() * (kMissedHeartbeats + std::max(hops - 1, 0));
 }
 
 // Each exchange with a domain brings news of all its entries, so a far entry is overdue when its
 // domain's turn has come round without it.
-milliseconds membership::FarSilence() const {
+milliseconds membership::FarTimeout() const {
   const auto domains = static_cast<int>(std::max<size_t>(CountFarDomains(), 1));
-  const milliseconds turn = std::max(options_.far_heartbeat, FarPeriod() * domains);
-  return turn * kMissedTurns + NearSilence();
+  const milliseconds round = std::max(options_.far_heartbeat, FarPeriod() * domains);
+  return round * kMissedRounds + NearTimeout();
 }
 
 std::vector<heartbeat_target> membership::DueHeartbeats(monotonic_time now) {
@@ -279,7 +282,7 @@
   size_t wanted = NearTargets();
   for (size_t i = 0; i < ring.size() && wanted > 0; ++i) {
     const bool down = ring[i]->state == member_state::kDown;
-    if (down && i != 0 && ring[i]->word.incarnation != 0) continue;
+    if (down && i != 0 && ring[i]->status.incarnation != 0) continue;
     out.push_back({ring[i]->name, ring[i]->address, true});
     if (!down) --wanted;
   }
@@ -313,18 +316,18 @@
 
 // To a neighbour, and to another domain: all that has been heard of the own domain. What others
 // have said of theirs is not passed on: each exchange with a domain brings all of its entries.
-heartbeat_message membership::Heartbeat(entry_word own, monotonic_time now) const {
-  heartbeat_message beat;
-  beat.failure_domain = options_.failure_domain;
-  beat.words.push_back(std::move(own));
+heartbeat_message membership::Heartbeat(entry_status own, monotonic_time now) const {
+  heartbeat_message heartbeat;
+  heartbeat.failure_domain = options_.failure_domain;
+  heartbeat.entries.push_back(std::move(own));
   for (const auto& [name, one] : members_) {
     if (!IsNear(one) || one.state != member_state::kUp) continue;
-    entry_word word = one.word;
-    word.age = std::chrono::ceil<milliseconds>(now - one.heard);
-    word.address = one.listed ? "" : one.address;
-    beat.words.push_back(std::move(word));
+    entry_status status = one.status;
+    status.age = std::chrono::ceil<milliseconds>(now - one.last_heard);
+    status.address = one.listed ? "" : one.address;
+    heartbeat.entries.push_back(std::move(status));
   }
-  return beat;
+  return heartbeat;
 }
 
 }  // namespace catkinford
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -44,13 +44,13 @@
   std::string name;
   std::string failure_domain;
   std::string address;  // as the platform's list says, else as the entry itself says
-  entry_word word;      // its last; incarnation zero: not heard of yet
+  entry_status status;  // its last; incarnation zero: not heard of yet
   member_state state = member_state::kDown;
-  monotonic_time heard{};  // when it said its last word, first or second hand
-  bool listed = false;     // in the platform's list
-  bool withdrawn = false;  // the platform's list says that it is leaving
+  monotonic_time last_heard{};  // when it said its last word, first or second hand
+  bool listed = false;          // in the platform's list
+  bool listed_leaving = false;  // the platform's list says that it is leaving
 
-  bool Leaving() const { return word.leaving || withdrawn; }
+  bool Leaving() const { return status.leaving || listed_leaving; }
 };
 
 struct member_change {
@@ -74,7 +74,7 @@
   void OnStoreMembers(const absl::btree_map<std::string, member_record>& members,
                       monotonic_time now);
   // A heartbeat, or the reply to one. Returns the names of those whose words are news.
-  std::vector<std::string> OnHeartbeat(const heartbeat_message& beat, monotonic_time now);
+  std::vector<std::string> OnHeartbeat(const heartbeat_message& heartbeat, monotonic_time now);
   // A call to it could not be sent, or a heartbeat got no answer.
   void OnSilent(const std::string& name, monotonic_time now);
   // Another entry says so. False when we have heard of it since.
@@ -85,7 +85,7 @@
   // Whom to send a heartbeat to now.
   std::vector<heartbeat_target> DueHeartbeats(monotonic_time now);
   // This entry's own word with what it has heard of its domain.
-  heartbeat_message Heartbeat(entry_word own, monotonic_time now) const;
+  heartbeat_message Heartbeat(entry_status own, monotonic_time now) const;
 
   // All but this entry, by name.
   const absl::btree_map<std::string, member>& Members() const { return members_; }
@@ -102,20 +102,21 @@
   uint32_t NearBytes() const;  // of one exchange
   uint32_t FarBytes() const;
   std::chrono::milliseconds FarPeriod() const;  // between heartbeats to any far entry
-  std::chrono::milliseconds NearSilence() const;
-  std::chrono::milliseconds FarSilence() const;
+  std::chrono::milliseconds NearTimeout() const;
+  std::chrono::milliseconds FarTimeout() const;
 
  private:
-  member& Have(const std::string& name, const std::string& failure_domain,
-               const std::string& address);
-  bool Heard(const entry_word& word, const std::string& failure_domain, monotonic_time now);
+  member& FindOrAdd(const std::string& name, const std::string& failure_domain,
+                    const std::string& address);
+  bool ApplyStatus(const entry_status& status, const std::string& failure_domain,
+                   monotonic_time now);
   // How long a sign of life may be overdue, worked out once for all members.
-  struct patience {
+  struct silence_limits {
     std::chrono::milliseconds predecessor;  // sends to us itself
     std::chrono::milliseconds near;
     std::chrono::milliseconds far;
   };
-  member_state StateOf(const member& one, bool sends_to_us, const patience& silences,
+  member_state StateOf(const member& one, bool sends_to_us, const silence_limits& limits,
                        monotonic_time now) const;
   const member* Predecessor() const;
   std::vector<const member*> Ring() const;
--- a/src/process/message.cc
+++ b/src/process/message.cc
@@ -12,15 +12,15 @@
 
 // Fields are read with a default: a peer of another version may leave one out.
 template <typename T>
-T Read(const json& from, const char* name, T otherwise = {}) {
+T Read(const json& from, const char* name, T fallback = {}) {
   const auto found = from.find(name);
-  if (found == from.end()) return otherwise;
+  if (found == from.end()) return fallback;
   if constexpr (std::is_same_v<T, std::string>) {
-    return found->is_string() ? found->get<std::string>() : otherwise;
+    return found->is_string() ? found->get<std::string>() : fallback;
   } else if constexpr (std::is_same_v<T, bool>) {
-    return found->is_boolean() ? found->get<bool>() : otherwise;
+    return found->is_boolean() ? found->get<bool>() : fallback;
   } else {
-    return found->is_number() ? found->get<T>() : otherwise;
+    return found->is_number() ? found->get<T>() : fallback;
   }
 }
 
@@ -120,17 +120,17 @@
   return report;
 }
 
-json Encode(const entry_word& word, const std::string& failure_domain) {
+json Encode(const entry_status& status, const std::string& failure_domain) {
   json shards = json::array();
-  for (const shard_report& report : word.shards) shards.push_back(Encode(report, failure_domain));
-  const int64_t age = std::max<int64_t>(word.age.count(), 0);
-  json item = json::array({word.name, word.incarnation, word.beat, age, word.config_version,
-                           word.leaving ? 1 : 0, std::move(shards)});
-  if (!word.address.empty()) item.push_back(word.address);
+  for (const shard_report& report : status.shards) shards.push_back(Encode(report, failure_domain));
+  const int64_t age = std::max<int64_t>(status.age.count(), 0);
+  json item = json::array({status.name, status.incarnation, status.heartbeat, age,
+                           status.config_version, status.leaving ? 1 : 0, std::move(shards)});
+  if (!status.address.empty()) item.push_back(status.address);
   return item;
 }
 
-std::optional<entry_word> DecodeWord(const json& from, const std::string& failure_domain) {
+std::optional<entry_status> DecodeEntryStatus(const json& from, const std::string& failure_domain) {
   constexpr size_t kFields = 7;
   const bool has_address =
       from.is_array() && from.size() == kFields + 1 && from[kFields].is_string();
@@ -140,13 +140,14 @@
                      from[4].is_number_unsigned() && from[5].is_number_unsigned() &&
                      from[6].is_array();
   if (!whole) return std::nullopt;
-  entry_word word{from[0], "",           from[1], from[2], milliseconds(from[3].get<int64_t>()),
-                  from[4], from[5] != 0, {}};
-  if (has_address) word.address = from[kFields];
+  entry_status status{from[0], "",           from[1], from[2], milliseconds(from[3].get<int64_t>()),
+                      from[4], from[5] != 0, {}};
+  if (has_address) status.address = from[kFields];
   for (const json& item : from[6]) {
-    if (auto report = DecodeReport(item, failure_domain)) word.shards.push_back(*std::move(report));
+    if (auto report = DecodeReport(item, failure_domain))
+      status.shards.push_back(*std::move(report));
   }
-  return word;
+  return status;
 }
 
 json EncodeBody(const place_message& place) {
@@ -273,22 +274,25 @@
   return answer;
 }
 
-json EncodeBody(const heartbeat_message& beat) {
-  json words = json::array();
-  for (const entry_word& word : beat.words) words.push_back(Encode(word, beat.failure_domain));
-  json body = {{"type", "beat"}, {"domain", beat.failure_domain}, {"words", std::move(words)}};
-  if (beat.wants_reply) body["reply"] = true;
+json EncodeBody(const heartbeat_message& heartbeat) {
+  json entries = json::array();
+  for (const entry_status& status : heartbeat.entries)
+    entries.push_back(Encode(status, heartbeat.failure_domain));
+  json body = {
+      {"type", "beat"}, {"domain", heartbeat.failure_domain}, {"words", std::move(entries)}};
+  if (heartbeat.wants_reply) body["reply"] = true;
   return body;
 }
 
 heartbeat_message DecodeHeartbeat(const json& from) {
-  heartbeat_message beat;
-  beat.failure_domain = Read<std::string>(from, "domain");
-  beat.wants_reply = Read<bool>(from, "reply");
+  heartbeat_message heartbeat;
+  heartbeat.failure_domain = Read<std::string>(from, "domain");
+  heartbeat.wants_reply = Read<bool>(from, "reply");
   for (const json& item : from.value("words", json::array())) {
-    if (auto word = DecodeWord(item, beat.failure_domain)) beat.words.push_back(*std::move(word));
+    if (auto status = DecodeEntryStatus(item, heartbeat.failure_domain))
+      heartbeat.entries.push_back(*std::move(status));
   }
-  return beat;
+  return heartbeat;
 }
 
 json EncodeBody(const usage_message& usage) {
@@ -363,7 +367,7 @@
   return {{"type", "silent"},
           {"name", silent.name},
           {"incarnation", silent.incarnation},
-          {"beat", silent.beat}};
+          {"beat", silent.heartbeat}};
 }
 
 json EncodeBody(const config_message& config) {
@@ -389,11 +393,11 @@
   return {std::move(step)};
 }
 
-json EncodeBody(const ask_owner_message& ask) {
+json EncodeBody(const owner_query_message& ask) {
   return {{"type", "ask_owner"}, {"shard", ask.shard}};
 }
 
-json EncodeBody(const owner_alive_message& alive) {
+json EncodeBody(const owner_answer_message& alive) {
   return {{"type", "owner_alive"}, {"shard", alive.shard}, {"holds", alive.holds}};
 }
 
@@ -427,8 +431,8 @@
   }
   if (type == "config_step") return DecodeStep(from);
   const auto number = Read<uint32_t>(from, "shard");
-  if (type == "ask_owner") return ask_owner_message{number};
-  if (type == "owner_alive") return owner_alive_message{number, Read<bool>(from, "holds")};
+  if (type == "ask_owner") return owner_query_message{number};
+  if (type == "owner_alive") return owner_answer_message{number, Read<bool>(from, "holds")};
   if (type == "not_owner") return not_owner_message{ReadId(from, "id"), shard};
   if (type == "release") return release_message{};
   return std::nullopt;
--- a/src/process/message.h
+++ b/src/process/message.h
@@ -103,11 +103,11 @@
 };
 
 // What an entry says of itself: by itself, or passed on by another entry of its failure domain.
-struct entry_word {
+struct entry_status {
   std::string name;
   std::string address;               // of the peer port; empty where the platform's list has it
   uint64_t incarnation = 0;          // grows with each start of the process
-  uint64_t beat = 0;                 // grows with each word of one process
+  uint64_t heartbeat = 0;            // grows with each word of one process
   std::chrono::milliseconds age{0};  // a duration, so that clocks need not agree
   uint64_t config_version = 0;
   bool leaving = false;
@@ -115,9 +115,9 @@
 };
 
 struct heartbeat_message {
-  std::string failure_domain;     // of all that it tells of
-  bool wants_reply = false;       // the call's answer brings the other failure domain's words
-  std::vector<entry_word> words;  // the sender's own first
+  std::string failure_domain;         // of all that it tells of
+  bool wants_reply = false;           // the call's answer brings the other failure domain's words
+  std::vector<entry_status> entries;  // the sender's own first
 };
 
 // Running work of one team, for shares over the whole cell.
@@ -145,7 +145,7 @@
 struct silent_message {
   std::string name;
   uint64_t incarnation = 0;
-  uint64_t beat = 0;  // its last word that the sender has heard
+  uint64_t heartbeat = 0;  // its last word that the sender has heard
 };
 
 struct config_message {
@@ -159,11 +159,11 @@
 };
 
 // To an owner that looks lapsed, before its shard is taken over.
-struct ask_owner_message {
+struct owner_query_message {
   uint32_t shard = 0;  // number within the failure domain
 };
 
-struct owner_alive_message {
+struct owner_answer_message {
   uint32_t shard = 0;
   bool holds = false;
 };
@@ -180,7 +180,7 @@
 using message_body =
     std::variant<place_message, outcome_message, cancel_message, part_answer_message, status_query,
                  status_answer, heartbeat_message, config_message, config_step_message,
-                 ask_owner_message, owner_alive_message, not_owner_message, release_message,
+                 owner_query_message, owner_answer_message, not_owner_message, release_message,
                  usage_message, silent_message, instances_message>;
 
 struct peer_message {
--- a/src/process/node.cc
+++ b/src/process/node.cc
@@ -331,18 +331,18 @@
     if (to != nullptr) to->Status(from, *query, now);
   } else if (const auto* answer = std::get_if<status_answer>(&body)) {
     OnStatusAnswer(*answer, now);
-  } else if (const auto* beat = std::get_if<heartbeat_message>(&body)) {
-    OnHeartbeat(from, *beat, now);
+  } else if (const auto* heartbeat = std::get_if<heartbeat_message>(&body)) {
+    OnHeartbeat(from, *heartbeat, now);
   } else if (const auto* config = std::get_if<config_message>(&body)) {
     versions_.Offer(config->version, config->text, version_origin::kPeer, now);
     SayVersion(from, now);
   } else if (const auto* message = std::get_if<config_step_message>(&body)) {
     OnStep(message->step, now);
     SayVersion(from, now);
-  } else if (const auto* ask = std::get_if<ask_owner_message>(&body)) {
-    const owner_answer holds = ownership_.OnAsked(ask->shard, now);
-    Send(from, owner_alive_message{ask->shard, holds.holds}, now);
-  } else if (const auto* alive = std::get_if<owner_alive_message>(&body)) {
+  } else if (const auto* ask = std::get_if<owner_query_message>(&body)) {
+    const owner_answer holds = ownership_.OnOwnerQuery(ask->shard, now);
+    Send(from, owner_answer_message{ask->shard, holds.holds}, now);
+  } else if (const auto* alive = std::get_if<owner_answer_message>(&body)) {
     ownership_.OnOwnerAnswer(from, alive->shard, alive->holds, now);
   } else if (std::holds_alternative<release_message>(body)) {
     ownership_.OnHandedOver(now);
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -134,7 +134,7 @@
                     std::vector<message_body> lost);
   void Send(const std::string& entry, message_body body, monotonic_time now);
   void DeliverLocal(monotonic_time now);
-  void OnHeartbeat(const std::string& from, const heartbeat_message& beat, monotonic_time now);
+  void OnHeartbeat(const std::string& from, const heartbeat_message& heartbeat, monotonic_time now);
   void OnWord(const member& of, monotonic_time now);
   void OnSilent(const std::string& peer, monotonic_time now);
   void OnSilent(const silent_message& silent, monotonic_time now);
@@ -142,7 +142,7 @@
   // To every other entry, at once: who owns what, that we leave. By turns they would hear of it
   // many seconds later.
   void Announce(monotonic_time now);
-  entry_word OwnWord();
+  entry_status OwnWord();
   void PrepareReply(monotonic_time now);
   std::optional<heartbeat_message> Reply();
   void FollowMembers(monotonic_time now);
@@ -305,8 +305,8 @@
   membership members_;
   usage_spread usage_;
   instance_turns turns_;
-  job_keeper jobs_;
-  incarnation_keeper lives_;
+  job_store jobs_;
+  incarnation_store lives_;
   std::vector<opened_log> opened_;  // of shards that wait for their parts of the limits
   std::map<uint32_t, std::unique_ptr<shard>> shards_;
   std::map<std::string, peer_notes> notes_;
--- a/src/process/node_calls.cc
+++ b/src/process/node_calls.cc
@@ -202,7 +202,7 @@
                        {"failure_domain", one.failure_domain},
                        {"address", one.address},
                        {"state", one.Leaving() ? "leaving" : state},
-                       {"config_version", one.word.config_version},
+                       {"config_version", one.status.config_version},
                        {"owns", owned(name)}});
   }
   for (const auto& [name, route] : routes_.Routes()) {
--- a/src/process/node_evacuate.cc
+++ b/src/process/node_evacuate.cc
@@ -152,7 +152,7 @@
   std::vector<open_cancel> still;
   for (const open_cancel& operators : open.waiting) {
     if (state == evacuation_state::kStopped) {
-      front_.Respond(operators.token, ErrorResponse(409, "domain_alive", work.Why()));
+      front_.Respond(operators.token, ErrorResponse(409, "domain_alive", work.StopReason()));
     } else if (has_begun || state == evacuation_state::kCounted) {
       if (!open.told && has_begun) {
         log_.Emit(event_code::kEvacuationBegun, now, {}, work.Epoch(0),
@@ -178,8 +178,8 @@
     const evacuation_counts& counts = held->second->Evacuated();
     sum.moved += counts.moved;
     sum.unknown += counts.unknown;
-    sum.given_back += counts.given_back;
-    sum.left += counts.left;
+    sum.returned += counts.returned;
+    sum.still_waiting += counts.still_waiting;
   }
   const json body = {{"failure_domain", open.work.Options().failure_domain},
                      {"dry_run", open.work.Options().dry_run},
@@ -188,9 +188,9 @@
                      {"not_repeatable", open.work.Size().unknown},
                      {"moves_after_ms", open.work.TimeLeft(now).count()},
                      {"moved", sum.moved},
-                     {"given_back", sum.given_back},
+                     {"given_back", sum.returned},
                      {"unknown", sum.unknown},
-                     {"left", sum.left}};
+                     {"left", sum.still_waiting}};
   return body.dump();
 }
 
--- a/src/process/node_peers.cc
+++ b/src/process/node_peers.cc
@@ -19,9 +19,10 @@
 
 // ---- Heartbeats ----------------------------------------------------------------------------
 
-void node::OnHeartbeat(const std::string& from, const heartbeat_message& beat, monotonic_time now) {
+void node::OnHeartbeat(const std::string& from, const heartbeat_message& heartbeat,
+                       monotonic_time now) {
   if (from == config_.name) return;
-  const std::vector<std::string> news = members_.OnHeartbeat(beat, now);
+  const std::vector<std::string> news = members_.OnHeartbeat(heartbeat, now);
   if (news.empty()) return;
   FollowMembers(now);
   TakeChanges(now);
@@ -34,20 +35,20 @@
 
 // First or second hand.
 void node::OnWord(const member& of, monotonic_time now) {
-  if (std::exchange(notes_[of.name].incarnation, of.word.incarnation) != of.word.incarnation) {
+  if (std::exchange(notes_[of.name].incarnation, of.status.incarnation) != of.status.incarnation) {
     usage_.OnLost(of.name);  // a new process, which knows nothing
     notes_[of.name].lags_since = now;
   }
-  for (const shard_report& report : of.word.shards) {
+  for (const shard_report& report : of.status.shards) {
     const shard_route* route = routes_.Route(report.shard);
     const std::string before = route == nullptr ? "" : route->owner;
-    routes_.OnReport(of.name, report, of.heard);
+    routes_.OnReport(of.name, report, of.last_heard);
     if (route == nullptr || route->owner == before) continue;
     table_.OnNewOwner(report.shard, now);
     for (auto& [number, held] : shards_) held->OnNewOwner(report.shard, now);
   }
-  if (!of.word.shards.empty()) routes_.OnRoundTrip(of.name, mailbox_.RoundTrip(of.name));
-  versions_.Order().OnPeerVersion(of.name, of.word.config_version);
+  if (!of.status.shards.empty()) routes_.OnRoundTrip(of.name, mailbox_.RoundTrip(of.name));
+  versions_.Order().OnPeerVersion(of.name, of.status.config_version);
 }
 
 void node::OnSilent(const std::string& peer, monotonic_time now) {
@@ -57,7 +58,7 @@
   members_.OnSilent(peer, now);
   TakeChanges(now);
   if (!was_up || one->failure_domain != config_.failure_domain) return;
-  const silent_message silent{peer, one->word.incarnation, one->word.beat};
+  const silent_message silent{peer, one->status.incarnation, one->status.heartbeat};
   for (const std::string& name : members_.LiveNeighbours()) Send(name, silent, now);
 }
 
@@ -84,30 +85,30 @@
   }
 }
 
-entry_word node::OwnWord() {
-  entry_word word;
-  word.name = config_.name;
-  word.address = absl::StrCat("http://", config_.listen.address, ":", config_.listen.peer_port);
-  word.incarnation = incarnation_;
-  word.beat = ++beat_;
-  word.config_version = versions_.Order().Version();
-  word.leaving = shutting_down_;
-  for (const auto& [number, held] : shards_) word.shards.push_back(held->Report());
-  return word;
+entry_status node::OwnWord() {
+  entry_status status;
+  status.name = config_.name;
+  status.address = absl::StrCat("http://", config_.listen.address, ":", config_.listen.peer_port);
+  status.incarnation = incarnation_;
+  status.heartbeat = ++beat_;
+  status.config_version = versions_.Order().Version();
+  status.leaving = shutting_down_;
+  for (const auto& [number, held] : shards_) status.shards.push_back(held->Report());
+  return status;
 }
 
 void node::Announce(monotonic_time now) {
-  const heartbeat_message beat{config_.failure_domain, false, {OwnWord()}};
-  for (const auto& [name, one] : members_.Members()) Send(name, beat, now);
+  const heartbeat_message heartbeat{config_.failure_domain, false, {OwnWord()}};
+  for (const auto& [name, one] : members_.Members()) Send(name, heartbeat, now);
 }
 
 void node::SendHeartbeats(monotonic_time now) {
   const std::vector<heartbeat_target> targets = members_.DueHeartbeats(now);
   if (targets.empty()) return;
-  heartbeat_message beat = members_.Heartbeat(OwnWord(), now);
+  heartbeat_message heartbeat = members_.Heartbeat(OwnWord(), now);
   for (const heartbeat_target& target : targets) {
-    beat.wants_reply = !target.near;
-    Send(target.name, beat, now);
+    heartbeat.wants_reply = !target.near;
+    Send(target.name, heartbeat, now);
   }
 }
 
@@ -122,10 +123,10 @@
 std::optional<heartbeat_message> node::Reply() {
   const monotonic_time now = std::chrono::steady_clock::now();
   const std::lock_guard lock(reply_mutex_);
-  if (reply_.words.empty()) return std::nullopt;
+  if (reply_.entries.empty()) return std::nullopt;
   heartbeat_message reply = reply_;
   const auto since = std::chrono::ceil<milliseconds>(now - reply_made_);
-  for (entry_word& word : reply.words) word.age += since;
+  for (entry_status& status : reply.entries) status.age += since;
   return reply;
 }
 
@@ -140,8 +141,8 @@
     members_.OnStoreMembers(ownership_.Members(), now);
     FollowMembers(now);
     if (turns_.HasList()) ForgetDrains(now);
-    routes_.SetAgeLimits(std::max(kLeastAgeLimit, members_.NearSilence()),
-                         std::max(kLeastAgeLimit, members_.FarSilence()));
+    routes_.SetAgeLimits(std::max(kLeastAgeLimit, members_.NearTimeout()),
+                         std::max(kLeastAgeLimit, members_.FarTimeout()));
   }
   TakeChanges(now);
   SendHeartbeats(now);
@@ -164,11 +165,11 @@
     if (one.address.empty()) continue;
     mailbox_.SetPeer(name, one.address);
     const bool is_new = notes_.try_emplace(name).second;
-    if (is_new && one.word.incarnation == 0) strangers.push_back(name);
+    if (is_new && one.status.incarnation == 0) strangers.push_back(name);
   }
   if (!strangers.empty()) {
-    const heartbeat_message beat{config_.failure_domain, true, {OwnWord()}};
-    for (const std::string& name : strangers) Send(name, beat, now);
+    const heartbeat_message heartbeat{config_.failure_domain, true, {OwnWord()}};
+    for (const std::string& name : strangers) Send(name, heartbeat, now);
   }
   std::erase_if(notes_, [this](const auto& item) {
     const bool is_gone = members_.Find(item.first) == nullptr;
@@ -197,8 +198,8 @@
     std::optional<monotonic_time> latest;
     for (const auto& [name, one] : members_.Members()) {
       const bool has_it = one.failure_domain == domain && members_.IsUp(name) &&
-                          one.word.config_version == versions_.Order().Version();
-      if (has_it) latest = std::max(latest.value_or(one.heard), one.heard);
+                          one.status.config_version == versions_.Order().Version();
+      if (has_it) latest = std::max(latest.value_or(one.last_heard), one.last_heard);
     }
     if (!latest) return std::nullopt;
     confirmed = std::min(confirmed.value_or(*latest), *latest);
--- a/src/process/node_shards.cc
+++ b/src/process/node_shards.cc
@@ -30,17 +30,17 @@
     });
   };
   switch (call.kind) {
-    case ownership_call_kind::kGrantLease:
+    case store_call_kind::kGrantLease:
       store_.GrantLease(call.ttl, std::move(on_reply));
       break;
-    case ownership_call_kind::kKeepLease:
+    case store_call_kind::kKeepLease:
       store_.KeepLease(call.lease, std::move(on_reply));
       break;
-    case ownership_call_kind::kSwap:
+    case store_call_kind::kSwap:
       store_.CompareAndSwap(call.key, call.expect, call.value, call.write_id, call.lease,
                             std::move(on_reply));
       break;
-    case ownership_call_kind::kRange:
+    case store_call_kind::kRange:
       store_.Range(call.key, std::move(on_reply));
       break;
   }
@@ -56,10 +56,10 @@
     case ownership_event_kind::kLost:
       LoseShard(event.shard, now);
       break;
-    case ownership_event_kind::kAskOwner:
-      Send(event.peer, ask_owner_message{event.shard}, now);
+    case ownership_event_kind::kQueryOwner:
+      Send(event.peer, owner_query_message{event.shard}, now);
       break;
-    case ownership_event_kind::kTellHeir:
+    case ownership_event_kind::kNotifySuccessor:
       Send(event.peer, release_message{}, now);
       break;
   }
--- a/src/process/node_status.cc
+++ b/src/process/node_status.cc
@@ -57,7 +57,7 @@
   for (const auto& [name, route] : routes_.Routes()) {
     if (routes_.OwnerOf(name, now)) asked.insert(name);
   }
-  open.heard.Ask(asked);
+  open.heard.Start(asked);
   for (const std::string& name : asked) {
     Send(*routes_.OwnerOf(name, now), status_query{open.id, name, query}, now);
   }
@@ -70,14 +70,14 @@
   status_answer heard = answer;
   // Another team's job is as unknown to this caller as one that never was.
   heard.known = answer.known && (open.team.empty() || open.team == answer.team);
-  open.heard.Hear(heard);
+  open.heard.OnAnswer(heard);
   const status_answer* home = open.heard.Home();
   if (open.cancel && home != nullptr) {
     SendCancel(open, *home, now);
     statuses_.erase(found);
     return;
   }
-  if (!open.heard.IsWhole()) return;
+  if (!open.heard.IsComplete()) return;
   if (home != nullptr && !home->ended && now < open.wait_until) {
     open.next_ask = now + kStatusInterval;
     open.give_up = monotonic_time::max();
--- a/src/process/ownership.cc
+++ b/src/process/ownership.cc
@@ -10,10 +10,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kSuspicionPoll{250};  // reads of the store while something looks wrong
-constexpr milliseconds kPoll{1000};          // reads of the store otherwise
-constexpr milliseconds kYieldAfter{3000};    // cut off from a store that others reach
-constexpr milliseconds kAskedLately{1000};   // questions further apart belong to different troubles
+constexpr milliseconds kFastPoll{250};     // reads of the store while something looks wrong
+constexpr milliseconds kPoll{1000};        // reads of the store otherwise
+constexpr milliseconds kYieldAfter{3000};  // cut off from a store that others reach
+constexpr milliseconds kQueryGap{1000};    // questions further apart belong to different troubles
 
 }  // namespace
 
@@ -35,7 +35,7 @@
   if (registration_.Left()) return;
   if (was_paused) next_poll_ = now;
   registration_.Tick(now, tags_, out.calls);
-  const milliseconds period = Suspicious() ? kSuspicionPoll : kPoll;
+  const milliseconds period = NeedsFastPoll() ? kFastPoll : kPoll;
   const bool poll_open = poll_.members_tag != 0 || poll_.shards_tag != 0;
   if (!poll_open && (now >= next_poll_ || now - poll_.sent >= period)) StartPoll(now, out);
 }
@@ -49,7 +49,7 @@
   }
   if (OnPollReply(tag, reply, now, out)) return;
   for (uint32_t shard = 0; shard < shards_.size(); ++shard) {
-    if (tag != 0 && shards_[shard].open_tag == tag) OnSwapReply(shard, reply, now, out);
+    if (tag != 0 && shards_[shard].swap_tag == tag) OnSwapReply(shard, reply, now, out);
   }
 }
 
@@ -66,22 +66,22 @@
 // A peer that reads the store asks because our lease has lapsed there. After an outage that hits
 // everybody this is harmless, since we register again at once. When only we are cut off from the
 // store, we could accept no durable job, so after a while the peer gets the shard.
-owner_answer ownership::OnAsked(uint32_t shard, monotonic_time now) {
+owner_answer ownership::OnOwnerQuery(uint32_t shard, monotonic_time now) {
   if (shard >= shards_.size() || shards_[shard].held_epoch == 0) return {};
   shard_state& state = shards_[shard];
-  registration_.Hurry();
-  const bool asked_lately = now - state.last_asked_of_us < kAskedLately;
-  const bool answered_since = registration_.LastAnswer() > state.first_asked_of_us;
-  if (!asked_lately || answered_since) state.first_asked_of_us = now;
-  state.last_asked_of_us = now;
-  return {now - state.first_asked_of_us < kYieldAfter, state.held_epoch};
+  registration_.RetryAtNextTick();
+  const bool queried_recently = now - state.last_query_received < kQueryGap;
+  const bool answered_since = registration_.LastAnswer() > state.first_query_received;
+  if (!queried_recently || answered_since) state.first_query_received = now;
+  state.last_query_received = now;
+  return {now - state.first_query_received < kYieldAfter, state.held_epoch};
 }
 
 void ownership::OnOwnerAnswer(const std::string& peer, uint32_t shard, bool holds,
                               monotonic_time now) {
   if (shard >= shards_.size() || shards_[shard].record.owner != peer) return;
   if (holds) {
-    shards_[shard].vouched = now;
+    shards_[shard].confirmed = now;
   } else {
     shards_[shard].yielded_epoch = shards_[shard].record.epoch;
     next_poll_ = now;
@@ -110,10 +110,10 @@
 
 bool ownership::CannotHandOver(monotonic_time now) const {
   if (!releasing_ || Released()) return false;
-  const bool heirless =
-      heirless_since_ != monotonic_time{} && now - heirless_since_ >= options_.hand_over_patience;
-  return heirless ||
-         now - std::max(release_begun_, LastStoreAnswer()) >= options_.hand_over_patience;
+  const bool no_successor = no_successor_since_ != monotonic_time{} &&
+                            now - no_successor_since_ >= options_.hand_over_timeout;
+  return no_successor ||
+         now - std::max(release_begun_, LastStoreAnswer()) >= options_.hand_over_timeout;
 }
 
 bool ownership::MayStart(uint32_t shard, monotonic_time now) const {
@@ -123,7 +123,7 @@
   // counted from when its renewal was sent, which is earlier than the store's own count; a shard
   // that was confirmed under an earlier lease may have been taken since.
   const shard_state& state = shards_[shard];
-  const bool handing_over = state.open_tag != 0 || state.unresolved;
+  const bool handing_over = state.swap_tag != 0 || state.unresolved;
   const bool lease_good = registration_.Registered() && state.held_lease == registration_.Lease() &&
                           now + options_.clock_margin < registration_.ValidUntil();
   return lease_good && !handing_over && now >= state.start_after;
@@ -153,7 +153,7 @@
   return {options_.name, options_.incarnation, epoch};
 }
 
-bool ownership::Suspicious() const {
+bool ownership::NeedsFastPoll() const {
   if (!registration_.Registered() || releasing_) return true;
   return std::any_of(shards_.begin(), shards_.end(), [this](const shard_state& state) {
     if (state.unresolved || state.is_free || state.revision == 0) return true;
@@ -219,7 +219,7 @@
     const std::optional<shard_record> record = ParseShardRecord(item.value);
     if (!shard || !record || *shard >= shards_.size()) continue;
     present[*shard] = true;
-    TakeRecord(*shard, *record, item.revision, {}, now, out);
+    ApplyRecord(*shard, *record, item.revision, {}, now, out);
   }
   for (size_t shard = 0; shard < shards_.size(); ++shard) {
     if (!present[shard]) shards_[shard].revision = 0;
@@ -227,8 +227,8 @@
 }
 
 // `lease`: ours when the call that shows this was sent, if that call was a write.
-void ownership::TakeRecord(uint32_t shard, const shard_record& record, uint64_t revision,
-                           const std::string& lease, monotonic_time now, ownership_actions& out) {
+void ownership::ApplyRecord(uint32_t shard, const shard_record& record, uint64_t revision,
+                            const std::string& lease, monotonic_time now, ownership_actions& out) {
   shard_state& state = shards_[shard];
   // Each change raises the epoch, so a lower one is from before a change that we know of.
   if (record.epoch < state.record.epoch) return;
@@ -253,7 +253,7 @@
   state.held_lease = lease;
   // Writing our own record again must not cut short the wait for the last owner's starts.
   if (!from_self) state.start_after = now + options_.flight_margin;
-  state.first_asked_of_us = {};
+  state.first_query_received = {};
   out.events.push_back({ownership_event_kind::kGained, shard, state.held_epoch, options_.name});
 }
 
@@ -261,8 +261,8 @@
   shard_state& state = shards_[shard];
   const uint64_t epoch = state.held_epoch;
   state.held_epoch = 0;
-  const std::string heir = IsSelf(state.record) ? std::string{} : state.record.owner;
-  out.events.push_back({ownership_event_kind::kLost, shard, epoch, heir});
+  const std::string successor = IsSelf(state.record) ? std::string{} : state.record.owner;
+  out.events.push_back({ownership_event_kind::kLost, shard, epoch, successor});
 }
 
 }  // namespace catkinford
--- a/src/process/ownership.h
+++ b/src/process/ownership.h
@@ -38,14 +38,14 @@
   std::chrono::milliseconds flight_margin{500};
   // A leaving owner that for this long had no answer of the store, or no member to hand a shard to,
   // stops waiting for one. As long as a call to the store may take: one more would time out, too.
-  std::chrono::milliseconds hand_over_patience{2000};
+  std::chrono::milliseconds hand_over_timeout{2000};
 };
 
 enum class ownership_event_kind : uint8_t {
-  kGained,    // fence and list the shard's endpoints under `epoch`, then start there
-  kLost,      // start nothing there any more; `peer` is the new owner, if known
-  kAskOwner,  // ask `peer` whether it still owns `shard`: answer by OnOwnerAnswer()
-  kTellHeir,  // tell `peer` that it owns `shard` now: it calls OnHandedOver()
+  kGained,           // fence and list the shard's endpoints under `epoch`, then start there
+  kLost,             // start nothing there any more; `peer` is the new owner, if known
+  kQueryOwner,       // ask `peer` whether it still owns `shard`: answer by OnOwnerAnswer()
+  kNotifySuccessor,  // tell `peer` that it owns `shard` now: it calls OnHandedOver()
 };
 
 struct ownership_event {
@@ -84,7 +84,7 @@
   void OnPeerAlive(const std::string& peer, monotonic_time now);
   void OnPeerSilent(const std::string& peer, monotonic_time now);
   // From the peer mailbox.
-  owner_answer OnAsked(uint32_t shard, monotonic_time now);
+  owner_answer OnOwnerQuery(uint32_t shard, monotonic_time now);
   void OnOwnerAnswer(const std::string& peer, uint32_t shard, bool holds, monotonic_time now);
   void OnHandedOver(monotonic_time now);
   // An endpoint refused our epoch for a higher one.
@@ -118,18 +118,18 @@
     uint64_t held_epoch = 0;       // zero: not ours
     std::string held_lease;        // our lease when it was last confirmed ours
     monotonic_time start_after{};  // without fencing: when the old owner's starts have arrived
-    uint64_t open_tag = 0;         // of a compare-and-swap under way
-    shard_record open_record;      // what it writes
-    std::string open_lease;        // our lease when it was sent
+    uint64_t swap_tag = 0;         // of a compare-and-swap under way
+    shard_record swap_record;      // what it writes
+    std::string swap_lease;        // our lease when it was sent
     bool unresolved = false;       // a swap's reply was lost, so it may still take effect
     monotonic_time free_since{};   // when it was first seen without a living owner
     bool is_free = false;
-    monotonic_time asked{};  // when its owner was first asked; zero: not asked
-    monotonic_time next_ask{};
-    monotonic_time vouched{};    // when its owner last answered that it holds it
+    monotonic_time first_query{};  // when its owner was first asked; zero: not asked
+    monotonic_time next_query{};
+    monotonic_time confirmed{};  // when its owner last answered that it holds it
     uint64_t yielded_epoch = 0;  // the owner said that it no longer holds this epoch
-    monotonic_time first_asked_of_us{};
-    monotonic_time last_asked_of_us{};
+    monotonic_time first_query_received{};
+    monotonic_time last_query_received{};
   };
 
   struct peer_state {
@@ -149,14 +149,14 @@
                    ownership_actions& out);
   void ReadMembers(const std::vector<store_item>& items, monotonic_time now);
   void ReadShards(monotonic_time now, ownership_actions& out);
-  void TakeRecord(uint32_t shard, const shard_record& record, uint64_t revision,
-                  const std::string& lease, monotonic_time now, ownership_actions& out);
-  bool Suspicious() const;
+  void ApplyRecord(uint32_t shard, const shard_record& record, uint64_t revision,
+                   const std::string& lease, monotonic_time now, ownership_actions& out);
+  bool NeedsFastPoll() const;
 
   // Deciding, always on a fresh poll.
   void Decide(monotonic_time now, ownership_actions& out);
-  bool OwnerGone(uint32_t shard, monotonic_time now, ownership_actions& out);
-  bool OwnerSilent(uint32_t shard, monotonic_time now, ownership_actions& out);
+  bool OwnerIsLost(uint32_t shard, monotonic_time now, ownership_actions& out);
+  bool OwnerIsSilent(uint32_t shard, monotonic_time now, ownership_actions& out);
   void ClaimFree(monotonic_time now, ownership_actions& out);
   void ReconfirmHeld(ownership_actions& out);
   void Balance(monotonic_time now, ownership_actions& out);
@@ -186,7 +186,8 @@
   monotonic_time members_changed_{};
   monotonic_time last_poll_done_{};
   monotonic_time release_begun_{};
-  monotonic_time heirless_since_{};  // epoch of the clock: there is an heir, or none was looked for
+  monotonic_time
+      no_successor_since_{};  // epoch of the clock: there is an heir, or none was looked for
   bool releasing_ = false;
 };
 
--- a/src/process/ownership_decisions.cc
+++ b/src/process/ownership_decisions.cc
@@ -10,13 +10,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kAskAgain{250};      // between questions to an owner that looks lapsed
-constexpr milliseconds kAnswerWithin{400};  // an owner that has not answered by then is gone
-constexpr milliseconds kVouchedFor{1000};   // how long an owner's own word counts
-constexpr milliseconds kClaimAnyway{800};   // when the member that should claim does not
-constexpr milliseconds kReadBack{50};       // from a lost or refused write to the next read
-constexpr milliseconds kSettled{5000};      // members unchanged for this long before balancing
-constexpr uint32_t kImbalance = 2;          // difference of shards that is worth a hand-over
+constexpr milliseconds kQueryInterval{250};       // between questions to an owner that looks lapsed
+constexpr milliseconds kAnswerTimeout{400};       // an owner that has not answered by then is gone
+constexpr milliseconds kConfirmationValid{1000};  // how long an owner's own word counts
+constexpr milliseconds kClaimFallback{800};       // when the member that should claim does not
+constexpr milliseconds kReadBackDelay{50};        // from a lost or refused write to the next read
+constexpr milliseconds kBalanceDelay{5000};  // members unchanged for this long before balancing
+constexpr uint32_t kMinImbalance = 2;        // difference of shards that is worth a hand-over
 
 }  // namespace
 
@@ -27,9 +27,9 @@
   }
   for (uint32_t shard = 0; shard < shards_.size(); ++shard) {
     shard_state& state = shards_[shard];
-    const bool gone = state.held_epoch == 0 && OwnerGone(shard, now, out);
-    if (gone && !state.is_free) state.free_since = now;
-    state.is_free = gone;
+    const bool lost = state.held_epoch == 0 && OwnerIsLost(shard, now, out);
+    if (lost && !state.is_free) state.free_since = now;
+    state.is_free = lost;
   }
   if (releasing_) {
     Balance(now, out);
@@ -42,37 +42,38 @@
 }
 
 // Whether the shard's recorded owner surely or very likely no longer acts for it.
-bool ownership::OwnerGone(uint32_t shard, monotonic_time now, ownership_actions& out) {
+bool ownership::OwnerIsLost(uint32_t shard, monotonic_time now, ownership_actions& out) {
   shard_state& state = shards_[shard];
   const bool fenced_off = IsSelf(state.record);  // we held it, and an endpoint knew better
   if (state.revision == 0 || fenced_off) return true;
   const auto member = members_.find(state.record.owner);
   if (member != members_.end()) {
-    state.asked = {};
+    state.first_query = {};
     return member->second.incarnation != state.record.incarnation;
   }
   if (state.record.owner == options_.name) return true;  // an earlier process of our name
-  return OwnerSilent(shard, now, out);
+  return OwnerIsSilent(shard, now, out);
 }
 
 // The owner's lease has lapsed. That may be the store's doing: after an outage all leases are
 // gone while all owners are well, and taking over then would list every endpoint for nothing. So
 // the owner is asked, unless its heartbeats have stopped as well.
-bool ownership::OwnerSilent(uint32_t shard, monotonic_time now, ownership_actions& out) {
+bool ownership::OwnerIsSilent(uint32_t shard, monotonic_time now, ownership_actions& out) {
   shard_state& state = shards_[shard];
   const auto peer = peers_.find(state.record.owner);
   if (peer != peers_.end() && peer->second.silent) return true;
   if (state.yielded_epoch == state.record.epoch) return true;
-  if (state.asked == monotonic_time{}) state.asked = now;
-  if (now >= state.next_ask) {
-    state.next_ask = now + kAskAgain;
+  if (state.first_query == monotonic_time{}) state.first_query = now;
+  if (now >= state.next_query) {
+    state.next_query = now + kQueryInterval;
     out.events.push_back(
-        {ownership_event_kind::kAskOwner, shard, state.record.epoch, state.record.owner});
+        {ownership_event_kind::kQueryOwner, shard, state.record.epoch, state.record.owner});
   }
-  const bool vouched = state.vouched >= state.asked && now - state.vouched < kVouchedFor;
-  const bool waited = now - std::max(state.asked, state.vouched) >= kAnswerWithin;
-  if (!waited) next_poll_ = std::min(next_poll_, now + kAskAgain);
-  return waited && !vouched;
+  const bool confirmed =
+      state.confirmed >= state.first_query && now - state.confirmed < kConfirmationValid;
+  const bool waited = now - std::max(state.first_query, state.confirmed) >= kAnswerTimeout;
+  if (!waited) next_poll_ = std::min(next_poll_, now + kQueryInterval);
+  return waited && !confirmed;
 }
 
 // Members that can take a shard, with how many they have.
@@ -101,8 +102,8 @@
     if (!state.is_free) continue;
     member_load* chosen = ChooseOwner(loads, ShardKey(options_.failure_domain, shard));
     ++chosen->shards;
-    const bool ours = chosen->name == options_.name || now - state.free_since >= kClaimAnyway;
-    if (ours && state.open_tag == 0) Swap(shard, ClaimOf(state), out);
+    const bool ours = chosen->name == options_.name || now - state.free_since >= kClaimFallback;
+    if (ours && state.swap_tag == 0) Swap(shard, ClaimOf(state), out);
   }
 }
 
@@ -113,17 +114,17 @@
   for (uint32_t shard = 0; shard < shards_.size(); ++shard) {
     const shard_state& state = shards_[shard];
     const bool stale = state.held_lease != registration_.Lease() || state.unresolved;
-    if (state.held_epoch != 0 && stale && state.open_tag == 0) Swap(shard, ClaimOf(state), out);
+    if (state.held_epoch != 0 && stale && state.swap_tag == 0) Swap(shard, ClaimOf(state), out);
   }
 }
 
 // Moves one shard at a time to a member that has clearly fewer, once membership is at rest, or
 // all of them when leaving.
 void ownership::Balance(monotonic_time now, ownership_actions& out) {
-  const bool settled = now - members_changed_ >= kSettled;
+  const bool settled = now - members_changed_ >= kBalanceDelay;
   if (!releasing_ && !settled) return;
-  const auto is_open = [](const shard_state& state) { return state.open_tag != 0; };
-  if (!releasing_ && std::any_of(shards_.begin(), shards_.end(), is_open)) return;
+  const auto is_pending = [](const shard_state& state) { return state.swap_tag != 0; };
+  if (!releasing_ && std::any_of(shards_.begin(), shards_.end(), is_pending)) return;
   uint32_t held = 0;
   for (const shard_state& state : shards_) held += state.held_epoch != 0 ? 1 : 0;
   if (releasing_ && held == 0) {
@@ -133,16 +134,16 @@
   std::vector<member_load> loads = Loads(false);
   for (uint32_t shard = 0; shard < shards_.size(); ++shard) {
     shard_state& state = shards_[shard];
-    if (state.held_epoch == 0 || state.open_tag != 0) continue;
-    member_load* heir = ChooseOwner(loads, ShardKey(options_.failure_domain, shard));
-    if (heir == nullptr) {
-      if (heirless_since_ == monotonic_time{}) heirless_since_ = now;
+    if (state.held_epoch == 0 || state.swap_tag != 0) continue;
+    member_load* successor = ChooseOwner(loads, ShardKey(options_.failure_domain, shard));
+    if (successor == nullptr) {
+      if (no_successor_since_ == monotonic_time{}) no_successor_since_ = now;
       return;
     }
-    heirless_since_ = {};
-    if (!releasing_ && held < heir->shards + kImbalance) return;
-    ++heir->shards;
-    const member_record& member = members_.at(heir->name);
+    no_successor_since_ = {};
+    if (!releasing_ && held < successor->shards + kMinImbalance) return;
+    ++successor->shards;
+    const member_record& member = members_.at(successor->name);
     Swap(shard, {member.name, member.incarnation, ClaimOf(state).epoch}, out);
     if (!releasing_) return;
   }
@@ -153,27 +154,28 @@
 void ownership::Swap(uint32_t shard, const shard_record& record, ownership_actions& out) {
   shard_state& state = shards_[shard];
   store_request call;
-  call.kind = ownership_call_kind::kSwap;
+  call.kind = store_call_kind::kSwap;
   call.tag = tags_.Next();
   call.key = ShardKey(options_.failure_domain, shard);
   call.expect = state.revision;
   call.value = ToText(record);
   call.write_id = absl::StrCat(options_.name, ":", options_.incarnation, ":", call.tag);
-  state.open_tag = call.tag;
-  state.open_record = record;
-  state.open_lease = registration_.Lease();
+  state.swap_tag = call.tag;
+  state.swap_record = record;
+  state.swap_lease = registration_.Lease();
   out.calls.push_back(std::move(call));
 }
 
 void ownership::OnSwapReply(uint32_t shard, const store_reply& reply, monotonic_time now,
                             ownership_actions& out) {
   shard_state& state = shards_[shard];
-  state.open_tag = 0;
+  state.swap_tag = 0;
   if (reply.status == store_status::kDone) {
-    const shard_record written = state.open_record;
-    TakeRecord(shard, written, reply.revision, state.open_lease, now, out);
+    const shard_record written = state.swap_record;
+    ApplyRecord(shard, written, reply.revision, state.swap_lease, now, out);
     if (!IsSelf(written)) {
-      out.events.push_back({ownership_event_kind::kTellHeir, shard, written.epoch, written.owner});
+      out.events.push_back(
+          {ownership_event_kind::kNotifySuccessor, shard, written.epoch, written.owner});
     }
     return;
   }
@@ -181,10 +183,10 @@
   // write with the same expected revision will get a definite answer; until then nothing is
   // concluded from it.
   if (reply.status == store_status::kUnknown) state.unresolved = true;
-  if (reply.status != store_status::kUnavailable) next_poll_ = now + kReadBack;
+  if (reply.status != store_status::kUnavailable) next_poll_ = now + kReadBackDelay;
   if (reply.status != store_status::kConflict || reply.items.empty()) return;
   const std::optional<shard_record> present = ParseShardRecord(reply.items.front().value);
-  if (present) TakeRecord(shard, *present, reply.revision, {}, now, out);
+  if (present) ApplyRecord(shard, *present, reply.revision, {}, now, out);
 }
 
 }  // namespace catkinford
--- a/src/process/part_keeper.h
+++ b/src/process/part_keeper.h
@@ -28,18 +28,18 @@
   bool is_cancel = false;
 };
 
-enum class part_news : uint8_t {
+enum class part_event : uint8_t {
   kNone,     // not of a part that is open, known already, or an answer to an earlier message
   kPlaced,   // its record is durable there
   kRefused,  // it surely does not live there and never will: free to live elsewhere
   kOver,     // nothing of it runs any more
 };
 
-class part_keeper {
+class part_tracker {
  public:
   // How long an answer is waited for before the message is sent again; each time twice as long, to
   // a limit, since an answer that always comes after the next sending would never count.
-  explicit part_keeper(std::chrono::milliseconds resend) : resend_(resend) {}
+  explicit part_tracker(std::chrono::milliseconds resend) : resend_(resend) {}
 
   // Parts in these shards are to be placed; those that are placed already are placed again, with
   // what the job's record says of them now. `first_send`: of this owner; the numbers of an earlier
@@ -50,10 +50,10 @@
   // A shard has changed hands: each part there is placed again. Mostly the new owner has read its
   // record; but one that has given the part up, since its domain is evacuated, says so only then.
   void OnNewOwner(const std::string& shard, monotonic_time now);
-  part_news OnAnswer(const part_answer_message& answer);
+  part_event OnAnswer(const part_answer_message& answer);
   void Close(const request_id& id);
 
-  bool Has(const request_id& id) const { return books_.contains(id); }
+  bool Has(const request_id& id) const { return jobs_.contains(id); }
   bool AllOver(const request_id& id) const;
   // Shards whose word on their part is still missing; empty when all are placed.
   std::vector<std::string> Unplaced(const request_id& id) const;
@@ -62,14 +62,14 @@
   monotonic_time NextWake() const;
 
  private:
-  enum class part_state : uint8_t { kOwed, kPlaced, kOver };
+  enum class part_state : uint8_t { kUnplaced, kPlaced, kOver };
   struct part {
     std::string shard;
-    part_state state = part_state::kOwed;
+    part_state state = part_state::kUnplaced;
     uint64_t first_send = 0;  // that carries what is owed now
     uint64_t last_send = 0;
   };
-  struct book {
+  struct tracked_job {
     std::vector<part> parts;
     uint64_t sends = 0;
     bool cancelled = false;
@@ -77,11 +77,11 @@
     monotonic_time next = monotonic_time::max();
   };
 
-  static bool Waits(const book& of, const part& one);
-  void Schedule(const request_id& id, book& of, monotonic_time when);
+  static bool NeedsSend(const tracked_job& job, const part& one);
+  void Schedule(const request_id& id, tracked_job& job, monotonic_time when);
 
   std::chrono::milliseconds resend_;
-  absl::flat_hash_map<request_id, book> books_;
+  absl::flat_hash_map<request_id, tracked_job> jobs_;
   std::set<std::pair<monotonic_time, request_id>> schedule_;
 };
 
--- a/src/process/peer_mailbox.cc
+++ b/src/process/peer_mailbox.cc
@@ -11,21 +11,21 @@
 using std::chrono::microseconds;
 using std::chrono::steady_clock;
 
-constexpr size_t kGatheredLimit = 8192;  // messages that wait for one peer
+constexpr size_t kMaxQueued = 8192;  // messages that wait for one peer
 constexpr int kServerThreads = 4;
-constexpr size_t kLargestBatch = 1000;
+constexpr size_t kMaxBatchSize = 1000;
 // A batch leaves this often where the round trip is long, so that a message waits about half as
 // long for its turn. Measured in docs/design/021-peers-far-away.md.
-constexpr microseconds kBatchStep{2000};
-constexpr size_t kMostBatches = 32;  // under way to one peer
-constexpr int kRoundTripWeight = 8;  // of the past against the last call
+constexpr microseconds kRoundTripPerBatch{2000};
+constexpr size_t kMaxBatchesInFlight = 32;  // under way to one peer
+constexpr int kRoundTripWeight = 8;         // of the past against the last call
 
-constexpr char kTaken[] = "ok";  // the answer of a call that has no other
-constexpr char kRefused[] = "refused";
+constexpr char kAccepted[] = "ok";  // the answer of a call that has no other
+constexpr char kRejected[] = "refused";
 
 bool WantsReply(const peer_message& message) {
-  const auto* beat = std::get_if<heartbeat_message>(&message.body);
-  return beat != nullptr && beat->wants_reply;
+  const auto* heartbeat = std::get_if<heartbeat_message>(&message.body);
+  return heartbeat != nullptr && heartbeat->wants_reply;
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
       failed_(std::move(failed)),
       reply_(std::move(reply)),
       server_(port, kServerThreads, [this](const std::string& text) { return Receive(text); }),
-      client_(kMostBatches) {}
+      client_(kMaxBatchesInFlight) {}
 
 peer_mailbox::~peer_mailbox() { Stop(); }
 
@@ -53,7 +53,7 @@
   Flush();
   {
     std::unique_lock lock(mutex_);
-    idle_.wait_for(lock, 2 * call_timeout_, [this] { return under_way_ == 0; });
+    idle_.wait_for(lock, 2 * call_timeout_, [this] { return in_flight_ == 0; });
   }
   client_.Stop();
   server_.Stop();
@@ -62,21 +62,21 @@
 std::string peer_mailbox::Receive(const std::string& text) {
   counters_.bytes_received += text.size();
   const std::optional<std::string> batch = auth_.Open(own_name_, text);
-  if (!batch) return kRefused;
+  if (!batch) return kRejected;
   std::vector<peer_message> messages = DecodeBatch(*batch);
   const bool wants_reply = std::any_of(messages.begin(), messages.end(), WantsReply);
   const std::string from = messages.empty() ? std::string() : messages.front().from;
   received_(std::move(messages));
   std::optional<heartbeat_message> reply;
   if (wants_reply) reply = reply_();
-  if (!reply) return kTaken;
+  if (!reply) return kAccepted;
   std::string answer = auth_.Seal(from, EncodeBatch(own_name_, {*std::move(reply)}));
   counters_.bytes_sent += answer.size();
   return answer;
 }
 
-void peer_mailbox::TakeAnswer(const std::string& answer) {
-  if (answer == kTaken) return;
+void peer_mailbox::ApplyAnswer(const std::string& answer) {
+  if (answer == kAccepted) return;
   counters_.bytes_received += answer.size();
   const std::optional<std::string> batch = auth_.Open(own_name_, answer);
   if (batch) received_(DecodeBatch(*batch));
@@ -89,7 +89,7 @@
   auto added = std::make_shared<peer>();
   added->address = address;
   // The process at the old address is gone, or will be: what waits goes to the new one.
-  if (to != nullptr) added->gathered = std::move(to->gathered);
+  if (to != nullptr) added->queued = std::move(to->queued);
   to = std::move(added);
 }
 
@@ -98,7 +98,7 @@
   const std::lock_guard lock(mutex_);
   const auto found = peers_.find(name);
   if (found == peers_.end()) return;
-  found->second->gathered.clear();
+  found->second->queued.clear();
   peers_.erase(found);
 }
 
@@ -106,9 +106,9 @@
   const std::lock_guard lock(mutex_);
   const auto found = peers_.find(name);
   if (found == peers_.end()) return false;
-  std::vector<message_body>& gathered = found->second->gathered;
-  if (gathered.size() >= kGatheredLimit) return false;
-  gathered.push_back(std::move(message));
+  std::vector<message_body>& queued = found->second->queued;
+  if (queued.size() >= kMaxQueued) return false;
+  queued.push_back(std::move(message));
   return true;
 }
 
@@ -129,25 +129,26 @@
   return found == peers_.end() ? microseconds{0} : found->second->round_trip;
 }
 
-size_t peer_mailbox::MostUnderWay(const peer& to) {
-  return std::clamp<size_t>(static_cast<size_t>(to.round_trip / kBatchStep), 1, kMostBatches);
+size_t peer_mailbox::MaxInFlight(const peer& to) {
+  return std::clamp<size_t>(static_cast<size_t>(to.round_trip / kRoundTripPerBatch), 1,
+                            kMaxBatchesInFlight);
 }
 
 peer_mailbox::delivery_ptr peer_mailbox::NextBatch(const std::string& name, const peer_ptr& to) {
-  if (to->gathered.empty() || to->under_way >= MostUnderWay(*to)) return nullptr;
+  if (to->queued.empty() || to->in_flight >= MaxInFlight(*to)) return nullptr;
   auto next = std::make_shared<delivery>();
   next->name = name;
   next->to = to;
-  std::vector<message_body>& gathered = to->gathered;
-  if (gathered.size() <= kLargestBatch) {
-    next->batch = std::exchange(gathered, {});
+  std::vector<message_body>& queued = to->queued;
+  if (queued.size() <= kMaxBatchSize) {
+    next->batch = std::exchange(queued, {});
   } else {
-    const auto middle = gathered.begin() + kLargestBatch;
-    next->batch.assign(std::make_move_iterator(gathered.begin()), std::make_move_iterator(middle));
-    gathered.erase(gathered.begin(), middle);
+    const auto middle = queued.begin() + kMaxBatchSize;
+    next->batch.assign(std::make_move_iterator(queued.begin()), std::make_move_iterator(middle));
+    queued.erase(queued.begin(), middle);
   }
-  ++to->under_way;
-  ++under_way_;
+  ++to->in_flight;
+  ++in_flight_;
   return next;
 }
 
@@ -166,7 +167,7 @@
   http_call call{"POST", next->to->address, RpcRequestText("deliver", next->text)};
   call.timeout = call_timeout_;
   call.stall = call_timeout_;
-  call.fresh_connection = next->again;
+  call.fresh_connection = next->is_retry;
   client_.Send(std::move(call),
                [this, next](const http_result& result) { OnResult(next, result); });
 }
@@ -174,11 +175,11 @@
 void peer_mailbox::OnResult(const delivery_ptr& done, const http_result& result) {
   std::string answer;
   const bool read = result.status == transfer_status::kDone && ReadRpcResponse(result.body, answer);
-  const bool answered = read && answer != kRefused;
+  const bool answered = read && answer != kRejected;
   // Refused for its signature: none of it was taken.
   const transfer_status status = read && !answered ? transfer_status::kNotSent : result.status;
-  if (answered) TakeAnswer(answer);
-  if (answered || done->again) {
+  if (answered) ApplyAnswer(answer);
+  if (answered || done->is_retry) {
     const bool surely_not =
         done->first == transfer_status::kNotSent && status == transfer_status::kNotSent;
     if (!answered) {
@@ -189,7 +190,7 @@
     return;
   }
   done->first = status;
-  done->again = true;
+  done->is_retry = true;
   Try(done);
 }
 
@@ -198,14 +199,14 @@
   {
     const std::lock_guard lock(mutex_);
     peer& to = *done->to;
-    --to.under_way;
+    --to.in_flight;
     if (answered) {
       const auto took = std::chrono::duration_cast<microseconds>(steady_clock::now() - done->begun);
       const bool first = to.round_trip == microseconds{0};
       to.round_trip += first ? took : (took - to.round_trip) / kRoundTripWeight;
     }
     next = NextBatch(done->name, done->to);
-    if (--under_way_ == 0) idle_.notify_all();
+    if (--in_flight_ == 0) idle_.notify_all();
   }
   if (next != nullptr) Deliver(next);
 }
--- a/src/process/peer_mailbox.h
+++ b/src/process/peer_mailbox.h
@@ -72,8 +72,8 @@
  private:
   struct peer {
     std::string address;
-    std::vector<message_body> gathered;
-    size_t under_way = 0;  // batches
+    std::vector<message_body> queued;
+    size_t in_flight = 0;  // batches
     std::chrono::microseconds round_trip{0};
   };
   using peer_ptr = std::shared_ptr<peer>;  // shared with the calls that are under way
@@ -85,13 +85,13 @@
     std::string text;
     monotonic_time begun{};
     transfer_status first = transfer_status::kDone;  // how the first try ended
-    bool again = false;                              // this is the second try
+    bool is_retry = false;                           // this is the second try
   };
   using delivery_ptr = std::shared_ptr<delivery>;
 
   std::string Receive(const std::string& text);
-  void TakeAnswer(const std::string& answer);
-  static size_t MostUnderWay(const peer& to);
+  void ApplyAnswer(const std::string& answer);
+  static size_t MaxInFlight(const peer& to);
   // The next batch of a peer, or null when nothing has gathered. Under the lock.
   delivery_ptr NextBatch(const std::string& name, const peer_ptr& to);
   void Deliver(const delivery_ptr& next);
@@ -110,7 +110,7 @@
   mutable std::mutex mutex_;  // guards the peers, what they hold, and the count
   std::condition_variable idle_;
   std::map<std::string, peer_ptr> peers_;
-  size_t under_way_ = 0;  // batches, to all peers
+  size_t in_flight_ = 0;  // batches, to all peers
   mailbox_counters counters_;
 };
 
--- a/src/process/placement_policy.h
+++ b/src/process/placement_policy.h
@@ -15,7 +15,7 @@
 // appends nothing and returns false when they do not all find room now. It changes nothing.
 template <typename policy>
 concept placement_policy =
-    requires(const policy& p, const shard_floor& floor, const job_record& job, uint32_t count,
+    requires(const policy& p, const shard_capacity& floor, const job_record& job, uint32_t count,
              std::vector<endpoint_index>& out) {
       { p.Choose(floor, job, count, out) } -> std::same_as<bool>;
     };
--- a/src/process/registration.cc
+++ b/src/process/registration.cc
@@ -15,9 +15,9 @@
     : self_(std::move(self)), key_(std::move(key)), ttl_(ttl) {}
 
 void registration::Tick(monotonic_time now, call_tags& tags, std::vector<store_request>& out) {
-  if (state_ == state::kLeft || open_tag_ != 0 || now < next_call_) return;
+  if (state_ == state::kLeft || call_tag_ != 0 || now < next_call_) return;
   store_request call = NextCall(tags);
-  open_tag_ = call.tag;
+  call_tag_ = call.tag;
   sent_ = now;
   next_call_ = now + ttl_ / kKeepalivesPerLease;
   out.push_back(std::move(call));
@@ -31,10 +31,10 @@
   call.expect = revision_;
   call.write_id = absl::StrCat(self_.name, ":", self_.incarnation, ":", call.tag);
   call.ttl = ttl_;
-  if (state_ == state::kNoLease) call.kind = ownership_call_kind::kGrantLease;
-  if (state_ == state::kKept) call.kind = ownership_call_kind::kKeepLease;
+  if (state_ == state::kNoLease) call.kind = store_call_kind::kGrantLease;
+  if (state_ == state::kRegistered) call.kind = store_call_kind::kKeepLease;
   if (state_ == state::kUnwritten || state_ == state::kLeaving) {
-    call.kind = ownership_call_kind::kSwap;
+    call.kind = store_call_kind::kSwap;
   }
   if (state_ == state::kUnwritten) call.value = ToText(self_);
   if (state_ == state::kLeaving) call.lease.clear();
@@ -42,26 +42,26 @@
 }
 
 bool registration::OnReply(uint64_t tag, const store_reply& reply, monotonic_time now) {
-  if (tag == 0 || tag != open_tag_) return false;
-  open_tag_ = 0;
+  if (tag == 0 || tag != call_tag_) return false;
+  call_tag_ = 0;
   const bool definite =
       reply.status != store_status::kUnavailable && reply.status != store_status::kUnknown;
   // An outage or a lost reply changes nothing: the same step is tried again at the next period.
   if (!definite) return true;
   last_answer_ = now;
   if (state_ == state::kNoLease) {
-    OnGranted(reply, now);
+    OnLeaseGranted(reply, now);
   } else if (state_ == state::kUnwritten) {
-    OnWritten(reply, now);
-  } else if (state_ == state::kKept) {
-    OnKept(reply, now);
+    OnKeyWritten(reply, now);
+  } else if (state_ == state::kRegistered) {
+    OnKeepAliveReply(reply, now);
   } else if (state_ == state::kLeaving) {
     OnDeleted(reply, now);
   }
   return true;
 }
 
-void registration::OnGranted(const store_reply& reply, monotonic_time now) {
+void registration::OnLeaseGranted(const store_reply& reply, monotonic_time now) {
   if (reply.status != store_status::kDone || reply.lease.empty()) return;
   self_.lease = reply.lease;
   valid_until_ = sent_ + ttl_;
@@ -69,7 +69,7 @@
   next_call_ = now;
 }
 
-void registration::OnKept(const store_reply& reply, monotonic_time now) {
+void registration::OnKeepAliveReply(const store_reply& reply, monotonic_time now) {
   if (reply.status == store_status::kDone) {
     valid_until_ = sent_ + ttl_;
     return;
@@ -79,12 +79,12 @@
   next_call_ = now;
 }
 
-void registration::OnWritten(const store_reply& reply, monotonic_time now) {
+void registration::OnKeyWritten(const store_reply& reply, monotonic_time now) {
   if (reply.status == store_status::kDone) {
     revision_ = reply.revision;
     registered_ = true;
     replaced_ = false;
-    state_ = state::kKept;
+    state_ = state::kRegistered;
     return;
   }
   if (reply.status == store_status::kAbsent) {  // the lease lapsed before the key was written
@@ -99,7 +99,7 @@
   if (!present) return;
   if (*present == self_) {  // an earlier write of ours, whose reply was lost
     registered_ = true;
-    state_ = state::kKept;
+    state_ = state::kRegistered;
     return;
   }
   // An instance was replaced by one of the same name while this process was paused. Writing over
@@ -128,28 +128,28 @@
 }
 
 void registration::OnKeyMissing() {
-  if (state_ != state::kKept) return;
+  if (state_ != state::kRegistered) return;
   state_ = state::kUnwritten;
   registered_ = false;
   revision_ = 0;
-  open_tag_ = 0;
+  call_tag_ = 0;
   next_call_ = {};
 }
 
 void registration::MarkLeaving() {
   if (self_.leaving) return;
   self_.leaving = true;
-  if (state_ != state::kKept) return;
+  if (state_ != state::kRegistered) return;
   state_ = state::kUnwritten;
-  open_tag_ = 0;  // of a keepalive: its reply would be taken for the write's
+  call_tag_ = 0;  // of a keepalive: its reply would be taken for the write's
   next_call_ = {};
 }
 
 void registration::Leave() {
-  const bool nothing_written = state_ == state::kNoLease && open_tag_ == 0;
+  const bool nothing_written = state_ == state::kNoLease && call_tag_ == 0;
   state_ = nothing_written ? state::kLeft : state::kLeaving;
   registered_ = false;
-  open_tag_ = 0;  // a late reply must not put the key back
+  call_tag_ = 0;  // a late reply must not put the key back
   next_call_ = {};
 }
 
--- a/src/process/registration.h
+++ b/src/process/registration.h
@@ -15,11 +15,11 @@
 
 namespace catkinford {
 
-enum class ownership_call_kind : uint8_t { kGrantLease, kKeepLease, kSwap, kRange };
+enum class store_call_kind : uint8_t { kGrantLease, kKeepLease, kSwap, kRange };
 
 // A call for the store adapter. Its reply comes back under the same tag.
 struct store_request {
-  ownership_call_kind kind = ownership_call_kind::kRange;
+  store_call_kind kind = store_call_kind::kRange;
   uint64_t tag = 0;
   std::string key;  // for kRange the prefix
   uint64_t expect = 0;
@@ -46,7 +46,7 @@
   // False when the tag is not of this object.
   bool OnReply(uint64_t tag, const store_reply& reply, monotonic_time now);
   // Tries again at the next Tick() instead of at the next period.
-  void Hurry() { next_call_ = {}; }
+  void RetryAtNextTick() { next_call_ = {}; }
   // A read that began after the registration did not show the key: it is written again.
   void OnKeyMissing();
   // Writes into the key that this entry takes no more shards.
@@ -66,12 +66,12 @@
   monotonic_time LastAnswer() const { return last_answer_; }
 
  private:
-  enum class state : uint8_t { kNoLease, kUnwritten, kKept, kLeaving, kLeft };
+  enum class state : uint8_t { kNoLease, kUnwritten, kRegistered, kLeaving, kLeft };
 
   store_request NextCall(call_tags& tags);
-  void OnGranted(const store_reply& reply, monotonic_time now);
-  void OnKept(const store_reply& reply, monotonic_time now);
-  void OnWritten(const store_reply& reply, monotonic_time now);
+  void OnLeaseGranted(const store_reply& reply, monotonic_time now);
+  void OnKeepAliveReply(const store_reply& reply, monotonic_time now);
+  void OnKeyWritten(const store_reply& reply, monotonic_time now);
   void OnDeleted(const store_reply& reply, monotonic_time now);
   void LoseLease();
 
@@ -82,7 +82,7 @@
   bool registered_ = false;
   bool replaced_ = false;
   uint64_t revision_ = 0;  // of the member key, as last seen
-  uint64_t open_tag_ = 0;  // zero: no call is open
+  uint64_t call_tag_ = 0;  // zero: no call is open
   monotonic_time sent_{};
   monotonic_time next_call_{};
   monotonic_time valid_until_{};
--- a/src/process/service_policy.cc
+++ b/src/process/service_policy.cc
@@ -15,7 +15,7 @@
   uint32_t on_endpoint = 0;
 };
 
-neighbours CountNeighbours(const shard_floor& floor, const job_record& job,
+neighbours CountNeighbours(const shard_capacity& floor, const job_record& job,
                            endpoint_index endpoint) {
   const endpoint_record& candidate = floor[endpoint];
   neighbours n;
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-bool service_policy::Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+bool service_policy::Choose(const shard_capacity& floor, const job_record& job, uint32_t count,
                             std::vector<endpoint_index>& out) const {
   if (count != 1) return false;
   const resources& need = job.request.each;
--- a/src/process/service_policy.h
+++ b/src/process/service_policy.h
@@ -10,7 +10,7 @@
 namespace catkinford {
 
 struct service_policy {
-  bool Choose(const shard_floor& floor, const job_record& job, uint32_t count,
+  bool Choose(const shard_capacity& floor, const job_record& job, uint32_t count,
               std::vector<endpoint_index>& out) const;
 };
 
--- a/src/process/shard.cc
+++ b/src/process/shard.cc
@@ -12,16 +12,16 @@
 constexpr int kAttemptBits = 12;
 // How long a job without a deadline is held back while an endpoint is not listed: not longer than
 // its caller waits to hear that it is accepted.
-constexpr milliseconds kLongestHold{8000};
+constexpr milliseconds kMaxDeferral{8000};
 // How long the word of another shard on a part is waited for before it is asked for again.
 constexpr milliseconds kPartResend{500};
 // How long a record may wait for the store before its caller is told. Longer than a change of the
 // store's leader; shorter than the time after which an entry would tell its caller `unknown`.
-constexpr milliseconds kRecordWait{5000};
-constexpr size_t kRefusals = 200000;        // remembered, of about 100 bytes each
-constexpr milliseconds kWithdrawAgain{20};  // while a call to the store was under way
+constexpr milliseconds kRecordTimeout{5000};
+constexpr size_t kMaxRejections = 200000;   // remembered, of about 100 bytes each
+constexpr milliseconds kWithdrawRetry{20};  // while a call to the store was under way
 // When a caller whose job was not recorded may come back.
-constexpr milliseconds kAskAgain{1000};
+constexpr milliseconds kRetryAfter{1000};
 
 core_options CoreOptions(const shard_options& options) {
   core_options core;
@@ -44,9 +44,10 @@
       core_(CoreOptions(options_)),
       identities_(IdentityOptions(options_)),
       parts_(kPartResend),
-      refusals_(options_.identity_window, kRefusals) {}
+      refusals_(options_.identity_window, kMaxRejections) {}
 
-void shard::Note(event_code code, const request_id& id, std::string subject, std::string detail) {
+void shard::AddEvent(event_code code, const request_id& id, std::string subject,
+                     std::string detail) {
   actions_.push_back(event_action{code, id, std::move(subject), std::move(detail)});
 }
 
@@ -77,7 +78,8 @@
     actions_.push_back(answer_action{entry, *refused});
     return;
   }
-  if (const job_state* known = Find(id); known != nullptr && ComesAgain(*known, place)) Forget(id);
+  if (const job_state* known = Find(id); known != nullptr && IsRetriedPart(*known, place))
+    Forget(id);
   if (job_state* job = Find(id)) {
     if (std::find(job->asks.begin(), job->asks.end(), place.ask) == job->asks.end()) {
       job->asks.push_back(place.ask);
@@ -87,7 +89,7 @@
       job->spec = std::move(place);
       job->has_spec = true;
     } else if (!job->ended && same_home) {
-      TakeMore(id, *job, std::move(place));
+      AddTasks(id, *job, std::move(place));
     }
     job->spec.send = std::max(job->spec.send, send);
     if (job->ended && !job->end_untold) {
@@ -97,20 +99,20 @@
     if (std::find(job->entries.begin(), job->entries.end(), entry) == job->entries.end()) {
       job->entries.push_back(entry);
     }
-    if (MayTellAccepted(id, *job, now)) Reply(entry, *job, Accepted(id));
+    if (CanSendAccepted(id, *job, now)) Reply(entry, *job, Accepted(id));
     return;
   }
-  if (options_.is_evacuated && TurnAwayEvacuated(entry, place)) return;
+  if (options_.is_evacuated && RejectEvacuated(entry, place)) return;
   // An identity that another owner may have started must not start again while an endpoint that
   // could be running it has not been listed: it would run in two places, seen as two start records
   // of one task. It waits for the lists, or is answered as unknown.
   if (!place.fresh && !AllListed()) {
     const bool has_deadline = place.deadline_left.count() > 0;
-    const monotonic_time until = now + (has_deadline ? place.deadline_left : kLongestHold);
-    held_.push_back({entry, std::move(place), until});
+    const monotonic_time until = now + (has_deadline ? place.deadline_left : kMaxDeferral);
+    deferred_.push_back({entry, std::move(place), until});
     return;
   }
-  if (!IsDurable(place.kind) && AnswerFromMemory(entry, place, now)) return;
+  if (!IsDurable(place.kind) && AnswerFromHistory(entry, place, now)) return;
   const bool may_have_run =
       IsDurable(place.kind) && !place.fresh && !place.repeatable && !identities_.Certain(now);
   if (may_have_run) {
@@ -119,21 +121,21 @@
     return;
   }
   if (closed_) {
-    TurnAway(entry, place, refusal_reason::kShuttingDown, "its owner is being stopped", now);
+    RejectNew(entry, place, refusal_reason::kShuttingDown, "its owner is being stopped", now);
     return;
   }
   job_state& job = Admit(entry, std::move(place), now);
   if (IsDurable(job.spec.kind)) {
     actions_.push_back(record_action{id});
-    unrecorded_jobs_.emplace(now + kRecordWait, id);
+    unrecorded_jobs_.emplace(now + kRecordTimeout, id);
     return;
   }
   Submit(id, job, now);
 }
 
-void shard::TurnAway(const std::string& entry, const place_message& place, refusal_reason reason,
-                     std::string detail, monotonic_time now) {
-  outcome refused = RefusedOutcome(place.id, reason, kAskAgain, std::move(detail));
+void shard::RejectNew(const std::string& entry, const place_message& place, refusal_reason reason,
+                      std::string detail, monotonic_time now) {
+  outcome refused = RefusedOutcome(place.id, reason, kRetryAfter, std::move(detail));
   refusals_.Add(place.id, place.ask, refused, now);
   if (!IsDurable(place.kind)) identities_.Finish(place.id, refused, now);
   actions_.push_back(answer_action{entry, std::move(refused)});
@@ -148,7 +150,7 @@
 }
 
 bool shard::HasCallers() const {
-  return !held_.empty() || std::any_of(jobs_.begin(), jobs_.end(), [](const auto& at) {
+  return !deferred_.empty() || std::any_of(jobs_.begin(), jobs_.end(), [](const auto& at) {
     const job_state& job = at.second;
     const bool told = job.accepted && IsDurable(job.spec.kind);
     return !job.ended && !told && !job.entries.empty();
@@ -156,8 +158,8 @@
 }
 
 // Answers an identity that has ended, or that may not start; else notes that it begins.
-bool shard::AnswerFromMemory(const std::string& entry, const place_message& place,
-                             monotonic_time now) {
+bool shard::AnswerFromHistory(const std::string& entry, const place_message& place,
+                              monotonic_time now) {
   identities_.SetUnlisted(unlisted_);
   // What may be repeated waits for the lists only: what an endpoint ran that was lost before it was
   // listed has ended with its lease.
@@ -172,7 +174,7 @@
           answer_action{entry, UnknownOutcome(place.id, "it may have run where it is lost")});
       return true;
     case identity_verdict::kFull:
-      TurnAway(entry, place, refusal_reason::kQueueFull, "no room to remember it", now);
+      RejectNew(entry, place, refusal_reason::kQueueFull, "no room to remember it", now);
       return true;
   }
   const std::optional<known_identity> known = identities_.Find(place.id);
@@ -201,7 +203,7 @@
   MarkElsewhere(job);
   if (job.spec.deadline_left.count() > 0) job.deadline = now + job.spec.deadline_left;
   if (!IsDurable(job.spec.kind)) deadlines_.emplace(job.deadline, job.spec.id);
-  Note(event_code::kRequestQueued, job.spec.id, job.spec.team);
+  AddEvent(event_code::kRequestQueued, job.spec.id, job.spec.team);
   return job;
 }
 
@@ -225,14 +227,14 @@
   const admission admitted = is_spread ? core_.SubmitPart(RequestOf(job, now), WaitingOf(job), now)
                                        : core_.Submit(RequestOf(job, now), now);
   if (!admitted.queued) {
-    Refuse(id, admitted.reason, admitted.retry_after, admitted.detail, now);
+    RejectJob(id, admitted.reason, admitted.retry_after, admitted.detail, now);
     return;
   }
   job.accepted = true;
   Track(id, job);
   if (!job.durable) return;
   OpenParts(id, job, now);
-  TellAccepted(id, job, now);
+  SendAccepted(id, job, now);
 }
 
 // A caller must not wait as long as the store is out. Only a record that surely is nowhere can be
@@ -244,7 +246,7 @@
     const job_state* job = Find(id);
     if (job == nullptr || job->ended || job->durable) continue;
     actions_.push_back(withdraw_action{id});
-    unrecorded_jobs_.emplace(now + kWithdrawAgain, id);
+    unrecorded_jobs_.emplace(now + kWithdrawRetry, id);
   }
 }
 
@@ -256,7 +258,8 @@
     return;
   }
   if (!durable) {
-    Refuse(id, refusal_reason::kNotDurable, kAskAgain, "the store did not take the record", now);
+    RejectJob(id, refusal_reason::kNotDurable, kRetryAfter, "the store did not take the record",
+              now);
     return;
   }
   job->durable = true;
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -82,7 +82,7 @@
 // The end of a task of a durable job, to be recorded before the endpoint may forget it.
 struct complete_action {
   task_id task;
-  bool well = false;
+  bool succeeded = false;
   bool job_ended = false;
   std::string text;  // what it said, if that is told of its job
 };
@@ -120,10 +120,10 @@
 
 // What became of the jobs of an evacuated shard so far.
 struct evacuation_counts {
-  uint32_t moved = 0;       // their unfinished tasks go to other shards
-  uint32_t unknown = 0;     // may have run, and may not run again
-  uint32_t given_back = 0;  // parts of jobs whose home is another shard, which takes them
-  uint32_t left = 0;        // wait here
+  uint32_t moved = 0;          // their unfinished tasks go to other shards
+  uint32_t unknown = 0;        // may have run, and may not run again
+  uint32_t returned = 0;       // parts of jobs whose home is another shard, which takes them
+  uint32_t still_waiting = 0;  // wait here
 };
 
 // A job as its durable record tells it.
@@ -231,82 +231,83 @@
     bool drained = false;     // by an operator
     uint32_t unrecorded = 0;  // ends told by it that are not durable yet
     monotonic_time added{};
-    monotonic_time forgot{};    // when it was last seen to have forgotten what it ran
-    uint64_t checked_life = 0;  // its incarnation, once compared with the recorded one
+    monotonic_time state_lost_at{};    // when it was last seen to have forgotten what it ran
+    uint64_t checked_incarnation = 0;  // its incarnation, once compared with the recorded one
   };
   // A place that has to wait until it is known what runs.
-  struct held_place {
+  struct deferred_place {
     std::string entry;
     place_message place;
     monotonic_time until;
   };
 
   void AddEndpoint(const instance& from, monotonic_time now);
-  void Listed(endpoint_record& at, monotonic_time now);
+  void MarkListed(endpoint_record& at, monotonic_time now);
   void SetCoreState(endpoint_index index, monotonic_time now);
-  void TakeList(endpoint_index index, uint64_t token, const endpoint_reply& reply,
-                monotonic_time now);
-  void RememberEnded(const task_status& status, monotonic_time now);
-  void TakeListed(endpoint_index index, const task_status& status, monotonic_time now);
+  void ApplyListing(endpoint_index index, uint64_t token, const endpoint_reply& reply,
+                    monotonic_time now);
+  void RecordEnded(const task_status& status, monotonic_time now);
+  void ApplyListedTask(endpoint_index index, const task_status& status, monotonic_time now);
   void DropUnlisted(endpoint_index index, const endpoint_reply& reply, bool restarted,
                     monotonic_time now);
   void LoseTask(const task_id& id, monotonic_time now);
   void LoseAllAt(endpoint_index index, monotonic_time now);
-  void SettleUnsure(endpoint_index index, uint64_t token, const std::vector<task_id>& unsure,
-                    monotonic_time now);
+  void ResolveUncertainStarts(endpoint_index index, uint64_t token,
+                              const std::vector<task_id>& uncertain, monotonic_time now);
   std::vector<task_id> TasksAt(endpoint_index index) const;
   // On an operator's word: get nothing new, what runs there is moved.
   void SetDrained(const std::vector<std::string>& names, monotonic_time now);
   bool IsSuperseded(const endpoint_reply& reply);
-  void CheckMemory(endpoint_record& at, monotonic_time now);
+  void CheckIncarnation(endpoint_record& at, monotonic_time now);
 
-  bool AnswerFromMemory(const std::string& entry, const place_message& place, monotonic_time now);
+  bool AnswerFromHistory(const std::string& entry, const place_message& place, monotonic_time now);
   job_state& Admit(const std::string& entry, place_message place, monotonic_time now);
   void Submit(const request_id& id, job_state& job, monotonic_time now);
   void TaskEnded(const task_id& id, task_result result, const std::string& answer,
                  std::chrono::milliseconds ran, monotonic_time now);
-  void StartDidNotTake(const task_id& id, bool endpoint_fault, monotonic_time now);
-  void Refuse(const request_id& id, refusal_reason reason, std::chrono::milliseconds retry_after,
-              std::string detail, monotonic_time now);
+  void OnStartFailed(const task_id& id, bool endpoint_fault, monotonic_time now);
+  void RejectJob(const request_id& id, refusal_reason reason, std::chrono::milliseconds retry_after,
+                 std::string detail, monotonic_time now);
   void End(const request_id& id, job_state& job, outcome result, monotonic_time now);
   void EndIfOver(const request_id& id, job_state& job, monotonic_time now);
   void Answer(const job_state& job, const outcome& result);
-  void TurnAway(const std::string& entry, const place_message& place, refusal_reason reason,
-                std::string detail, monotonic_time now);
+  void RejectNew(const std::string& entry, const place_message& place, refusal_reason reason,
+                 std::string detail, monotonic_time now);
   void Reply(const std::string& entry, const job_state& job, const outcome& result);
   // shard_parts.cc: jobs that are spread over shards.
   void MarkElsewhere(job_state& job);
   void OpenParts(const request_id& id, job_state& job, monotonic_time now);
-  void TellAccepted(const request_id& id, job_state& job, monotonic_time now);
-  bool MayTellAccepted(const request_id& id, const job_state& job, monotonic_time now) const;
+  void SendAccepted(const request_id& id, job_state& job, monotonic_time now);
+  bool CanSendAccepted(const request_id& id, const job_state& job, monotonic_time now) const;
   outcome Accepted(const request_id& id) const;
-  void TakeHome(const request_id& id, job_state& job, const std::string& from);
+  void ReturnPartToHome(const request_id& id, job_state& job, const std::string& from);
   void RecordPlan(const request_id& id, job_state& job);
   void OnPartsRecorded(const request_id& id, job_state& job, monotonic_time now);
-  bool ComesAgain(const job_state& job, const place_message& place) const;
+  bool IsRetriedPart(const job_state& job, const place_message& place) const;
   void Forget(const request_id& id);
-  void TakeMore(const request_id& id, job_state& job, place_message place);
+  void AddTasks(const request_id& id, job_state& job, place_message place);
   void PartIsOver(const part_answer_message& answer, job_state& job, monotonic_time now);
   // shard_evacuate.cc
   bool MoveTasks(const request_id& id, job_state& job, const task_split& split);
-  bool TurnAwayEvacuated(const std::string& entry, const place_message& place);
+  bool RejectEvacuated(const std::string& entry, const place_message& place);
   void CancelJob(const request_id& id, job_state& job, monotonic_time now);
   void CancelUnknownPart(const std::string& entry, const cancel_message& what, monotonic_time now);
-  void ActParts(monotonic_time now);
+  void SendPartCalls(monotonic_time now);
   void Track(const request_id& id, const job_state& job);
-  void ReleaseHeld(monotonic_time now);
+  void ReleaseDeferred(monotonic_time now);
   void ResumeRestored(monotonic_time now);
   void WithdrawUnrecorded(monotonic_time now);
   job_request RequestOf(const job_state& job, monotonic_time now) const;
   void ForgetOld(monotonic_time now);
-  void StopLate(monotonic_time now);
-  void TakeCommands(monotonic_time now);
-  void TakeStart(const command& next, start_action& start);
-  void TakeEnd(const command& end, monotonic_time now);
+  void EndExpired(monotonic_time now);
+  void ApplyCommands(monotonic_time now);
+  void AddStart(const command& next, start_action& start);
+  void ApplyJobEnd(const command& end, monotonic_time now);
   void CallEndpoints(monotonic_time now);
   job_state* Find(const request_id& id);
   task_progress* FindTask(const task_id& id, job_state*& job);
-  void Note(event_code code, const request_id& id, std::string subject, std::string detail = {});
+  void AddEvent(event_code code, const request_id& id, std::string subject,
+                std::string detail = {});
 
   shard_options options_;
   team_names& teams_;
@@ -319,17 +320,18 @@
   bool has_endpoints_ = false;
   bool has_incarnations_ = false;
   incarnations recorded_;
-  monotonic_time opened_{};  // when it got its first endpoints
+  monotonic_time opened_at_{};  // when it got its first endpoints
   bool closed_ = false;
   absl::flat_hash_map<request_id, job_state> jobs_;
   std::set<request_id> gangs_;     // that have not ended
   std::set<request_id> services_;  // that have not ended
   identity_memory identities_;     // of work that a caller waits for, beyond its job_state
-  part_keeper parts_;              // of the jobs whose home this is
-  std::set<std::pair<monotonic_time, request_id>> untold_;  // when each is told accepted at last
+  part_tracker parts_;             // of the jobs whose home this is
+  std::set<std::pair<monotonic_time, request_id>>
+      accept_timeouts_;  // when each is told accepted at last
   refusal_memory refusals_;
   evacuation_counts evacuated_;
-  std::vector<held_place> held_;
+  std::vector<deferred_place> deferred_;
   std::vector<request_id> restored_;  // not resumed yet: some endpoint is not listed
   std::set<std::pair<monotonic_time, request_id>> deadlines_;  // of work that runs for a caller
   std::set<std::pair<monotonic_time, request_id>> ended_;      // when each may be forgotten
--- a/src/process/shard_endpoints.cc
+++ b/src/process/shard_endpoints.cc
@@ -8,7 +8,7 @@
 namespace catkinford {
 
 void shard::SetEndpoints(const std::vector<instance>& endpoints, monotonic_time now) {
-  if (!has_endpoints_) opened_ = now;
+  if (!has_endpoints_) opened_at_ = now;
   for (endpoint_record& at : endpoints_) at.present = false;
   for (const instance& from : endpoints) {
     const auto found = endpoint_by_name_.find(from.name);
@@ -27,7 +27,7 @@
     if (at.leaving != from.leaving) {
       at.leaving = from.leaving;
       SetCoreState(found->second, now);
-      if (at.leaving) Note(event_code::kEndpointLeaving, {}, at.address.name);
+      if (at.leaving) AddEvent(event_code::kEndpointLeaving, {}, at.address.name);
     }
   }
   has_endpoints_ = true;
@@ -57,7 +57,8 @@
     if (at.drained == drained) continue;
     at.drained = drained;
     SetCoreState(index, now);
-    if (drained) Note(event_code::kEndpointLeaving, {}, at.address.name, "drained by an operator");
+    if (drained)
+      AddEvent(event_code::kEndpointLeaving, {}, at.address.name, "drained by an operator");
   }
 }
 
@@ -82,10 +83,10 @@
   for (endpoint_index index = 0; index < endpoints_.size(); ++index) {
     endpoint_record& at = endpoints_[index];
     if (at.link.BecomesGone(now)) {
-      Note(event_code::kEndpointGone, {}, at.address.name);
+      AddEvent(event_code::kEndpointGone, {}, at.address.name);
       if (!at.listed) identities_.OnListLost(now);
       LoseAllAt(index, now);
-      Listed(at, now);
+      MarkListed(at, now);
       SetCoreState(index, now);
     }
     if (at.link.State() == endpoint_link_state::kGone && !at.present) continue;
@@ -106,14 +107,14 @@
   monotonic_time wake = core_.NextWake();
   if (!deadlines_.empty()) wake = std::min(wake, deadlines_.begin()->first);
   if (!ended_.empty()) wake = std::min(wake, ended_.begin()->first);
-  if (!untold_.empty()) wake = std::min(wake, untold_.begin()->first);
+  if (!accept_timeouts_.empty()) wake = std::min(wake, accept_timeouts_.begin()->first);
   wake = std::min(wake, parts_.NextWake());
   if (!unrecorded_jobs_.empty()) wake = std::min(wake, unrecorded_jobs_.begin()->first);
   for (const endpoint_record& at : endpoints_) wake = std::min(wake, at.link.NextWake());
   return wake;
 }
 
-void shard::Listed(endpoint_record& at, monotonic_time /*now*/) {
+void shard::MarkListed(endpoint_record& at, monotonic_time /*now*/) {
   if (at.listed) return;
   at.listed = true;
   --unlisted_;
@@ -124,7 +125,7 @@
   if (has_incarnations_) return;
   has_incarnations_ = true;
   for (endpoint_record& at : endpoints_) {
-    if (at.link.Incarnation() != 0) CheckMemory(at, now);
+    if (at.link.Incarnation() != 0) CheckIncarnation(at, now);
   }
 }
 
@@ -132,10 +133,11 @@
   incarnations wanted;
   for (const endpoint_record& at : endpoints_) {
     if (!at.present) continue;
-    const bool whole = at.checked_life != 0 && (at.forgot == monotonic_time{} ||
-                                                now - at.forgot >= options_.identity_window);
+    const bool whole =
+        at.checked_incarnation != 0 && (at.state_lost_at == monotonic_time{} ||
+                                        now - at.state_lost_at >= options_.identity_window);
     const auto before = recorded_.find(at.address.name);
-    if (whole) wanted[at.address.name] = at.checked_life;
+    if (whole) wanted[at.address.name] = at.checked_incarnation;
     if (!whole && before != recorded_.end()) wanted[at.address.name] = before->second;
   }
   return wanted;
@@ -145,17 +147,18 @@
 // and its list looks complete. Taken for complete, work that is not to be repeated would run a
 // second time when its caller asks again, seen as two starts of one request in the endpoints'
 // records. An endpoint that joins an owner that has been at work for a window was in nobody's list.
-void shard::CheckMemory(endpoint_record& at, monotonic_time now) {
-  const uint64_t life = at.link.Incarnation();
-  if (!has_incarnations_ || life == at.checked_life) return;
-  const bool is_first = at.checked_life == 0;
-  at.checked_life = life;
+void shard::CheckIncarnation(endpoint_record& at, monotonic_time now) {
+  const uint64_t incarnation = at.link.Incarnation();
+  if (!has_incarnations_ || incarnation == at.checked_incarnation) return;
+  const bool is_first = at.checked_incarnation == 0;
+  at.checked_incarnation = incarnation;
   const auto before = recorded_.find(at.address.name);
-  const bool same = before != recorded_.end() && before->second == life;
+  const bool same = before != recorded_.end() && before->second == incarnation;
   const bool no_earlier_owner = options_.epoch == 1 && recorded_.empty();
-  const bool is_new = before == recorded_.end() && at.added - opened_ >= options_.identity_window;
+  const bool is_new =
+      before == recorded_.end() && at.added - opened_at_ >= options_.identity_window;
   if (is_first && (same || no_earlier_owner || is_new)) return;
-  at.forgot = now;
+  at.state_lost_at = now;
   // What we ourselves had started there is known, and lost.
   if (is_first) identities_.OnListLost(now);
 }
@@ -166,7 +169,7 @@
   const uint64_t epoch = OwnerEpochOf(reply.epoch);
   if (epoch <= options_.epoch) return false;
   actions_.push_back(superseded_action{epoch});
-  Note(event_code::kFencedOff, {}, options_.name);
+  AddEvent(event_code::kFencedOff, {}, options_.name);
   return true;
 }
 
@@ -181,42 +184,42 @@
   const uint64_t before = at.link.Incarnation();
   const bool restarted = before != 0 && before != reply.incarnation;
   at.link.OnFenced(reply.incarnation, now);
-  CheckMemory(at, now);
-  TakeList(index, token, reply, now);
+  CheckIncarnation(at, now);
+  ApplyListing(index, token, reply, now);
   if (at.listed) DropUnlisted(index, reply, restarted, now);
-  Listed(at, now);
+  MarkListed(at, now);
   SetCoreState(index, now);
-  Note(event_code::kEndpointFenced, {}, at.address.name);
+  AddEvent(event_code::kEndpointFenced, {}, at.address.name);
 }
 
-void shard::TakeList(endpoint_index index, uint64_t token, const endpoint_reply& reply,
-                     monotonic_time now) {
-  stop_action strays;
-  strays.endpoint = index;
-  strays.token = token;
+void shard::ApplyListing(endpoint_index index, uint64_t token, const endpoint_reply& reply,
+                         monotonic_time now) {
+  stop_action orphans;
+  orphans.endpoint = index;
+  orphans.token = token;
   for (const task_status& status : reply.tasks) {
     const job_state* job = Find(status.id.job);
     // A task that has moved to another shard while its failure domain was lost runs there now.
     const bool moved = job != nullptr && status.id.index < job->tasks.size() &&
                        job->tasks[status.id.index].phase == task_phase::kElsewhere;
     if (moved) {
-      if (!status.finished) strays.ids.push_back(status.id);
+      if (!status.finished) orphans.ids.push_back(status.id);
       continue;
     }
     // A durable job that the store does not know any more has ended: nothing of it may go on, and
     // a caller that asks for it again must not start it anew.
-    const bool stray = job == nullptr && IsDurable(status.kind);
-    if (!stray) {
-      TakeListed(index, status, now);
+    const bool is_orphan = job == nullptr && IsDurable(status.kind);
+    if (!is_orphan) {
+      ApplyListedTask(index, status, now);
       continue;
     }
-    if (!status.finished) strays.ids.push_back(status.id);
-    RememberEnded(status, now);
+    if (!status.finished) orphans.ids.push_back(status.id);
+    RecordEnded(status, now);
   }
-  if (!strays.ids.empty()) actions_.push_back(std::move(strays));
+  if (!orphans.ids.empty()) actions_.push_back(std::move(orphans));
 }
 
-void shard::RememberEnded(const task_status& status, monotonic_time now) {
+void shard::RecordEnded(const task_status& status, monotonic_time now) {
   job_state& job = jobs_[status.id.job];
   job.spec.id = status.id.job;
   job.spec.kind = status.kind;
@@ -225,12 +228,12 @@
   ended_.emplace(now + options_.identity_window, status.id.job);
 }
 
-void shard::TakeListed(endpoint_index index, const task_status& status, monotonic_time now) {
+void shard::ApplyListedTask(endpoint_index index, const task_status& status, monotonic_time now) {
   const task_id& id = status.id;
   const bool has_ended = status.finished && Find(id.job) == nullptr;
   if (has_ended) {
-    const bool well = status.result == task_result::kOk;
-    const outcome_kind kind = well ? outcome_kind::kCompleted : outcome_kind::kFailed;
+    const bool succeeded = status.result == task_result::kOk;
+    const outcome_kind kind = succeeded ? outcome_kind::kCompleted : outcome_kind::kFailed;
     const bool lapsed = status.result == task_result::kLeaseLapsed;
     identities_.LearnFinished(id.job, lapsed ? outcome_kind::kUnknown : kind, status.answer, now);
     return;
@@ -281,7 +284,7 @@
   }
   for (const auto& [id, phase] : missing) {
     if (phase == task_phase::kMaybe && !restarted) {
-      StartDidNotTake(id, false, now);
+      OnStartFailed(id, false, now);
     } else if (restarted || phase != task_phase::kSent) {
       LoseTask(id, now);
     }
@@ -311,7 +314,7 @@
   if (IsSuperseded(reply)) return;
   if (reply.status != endpoint_status::kDone) {
     if (at.link.OnSyncFailed(now)) {
-      Note(event_code::kEndpointSilent, {}, at.address.name);
+      AddEvent(event_code::kEndpointSilent, {}, at.address.name);
       SetCoreState(index, now);
     }
     return;
@@ -332,7 +335,7 @@
   if (reply.leaving && !at.leaving) {
     at.leaving = true;
     SetCoreState(index, now);
-    Note(event_code::kEndpointLeaving, {}, at.address.name);
+    AddEvent(event_code::kEndpointLeaving, {}, at.address.name);
   }
 }
 
@@ -344,7 +347,7 @@
                            reply.status == endpoint_status::kFenced;
   if (not_started) {
     const bool fault = reply.status == endpoint_status::kNotSent;
-    for (const start_task& task : sent) StartDidNotTake(task.id, fault, now);
+    for (const start_task& task : sent) OnStartFailed(task.id, fault, now);
     IsSuperseded(reply);
     return;
   }
@@ -355,7 +358,7 @@
     const bool took =
         result.result == call_result::kStarted || result.result == call_result::kAlready;
     if (!took) {
-      StartDidNotTake(result.id, result.result == call_result::kBroken, now);
+      OnStartFailed(result.id, result.result == call_result::kBroken, now);
       continue;
     }
     job_state* job = nullptr;
@@ -364,23 +367,23 @@
     task->phase = task_phase::kRunning;
     job->ever_ran = true;
     core_.Started(result.id, now);
-    Note(event_code::kTaskStarted, result.id.job, at.address.name);
+    AddEvent(event_code::kTaskStarted, result.id.job, at.address.name);
   }
-  std::vector<task_id> unsure;
+  std::vector<task_id> uncertain;
   for (const start_task& sent_task : sent) {
     job_state* job = nullptr;
     task_progress* task = FindTask(sent_task.id, job);
     if (decided.contains(sent_task.id) || task == nullptr) continue;
     if (task->phase != task_phase::kSent) continue;
     task->phase = task_phase::kMaybe;
-    unsure.push_back(sent_task.id);
+    uncertain.push_back(sent_task.id);
   }
-  if (!unsure.empty()) SettleUnsure(index, token, unsure, now);
+  if (!uncertain.empty()) ResolveUncertainStarts(index, token, uncertain, now);
 }
 
 // Only a list under a token that is higher than the start's tells whether the start took.
-void shard::SettleUnsure(endpoint_index index, uint64_t token, const std::vector<task_id>& unsure,
-                         monotonic_time now) {
+void shard::ResolveUncertainStarts(endpoint_index index, uint64_t token,
+                                   const std::vector<task_id>& uncertain, monotonic_time now) {
   endpoint_record& at = endpoints_[index];
   const bool raised_since = token != at.link.Token() && options_.endpoints_fence;
   if (!raised_since) {
@@ -391,7 +394,7 @@
   // That list has come: it would have shown the task as running or ended, and the token keeps the
   // start out from now on. Else it is under way, and settles the task when it comes.
   if (at.link.State() != endpoint_link_state::kOpen) return;
-  for (const task_id& id : unsure) StartDidNotTake(id, false, now);
+  for (const task_id& id : uncertain) OnStartFailed(id, false, now);
 }
 
 }  // namespace catkinford
--- a/src/process/shard_evacuate.cc
+++ b/src/process/shard_evacuate.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kComeBack{1000};
+constexpr milliseconds kRetryAfter{1000};
 
 // The same parts as ranges, from the shard of each task.
 std::vector<job_part> RangesOf(const std::vector<std::string>& where) {
@@ -29,22 +29,22 @@
     const bool open = job.durable && !job.ended && !job.cancelled;
     if (open && !WaitingOf(job).empty()) waiting.push_back(id);
   }
-  evacuated_.left = 0;
+  evacuated_.still_waiting = 0;
   for (const request_id& id : waiting) {
     job_state& job = jobs_.at(id);
     if (!job.spec.home.empty()) {
       // Its home places it again once it hears of this owner, and takes it back then.
-      ++evacuated_.given_back;
+      ++evacuated_.returned;
       job.ever_ran = true;
       End(id, job,
           RefusedOutcome(id, refusal_reason::kOwnerUnreachable, {}, "its domain was evacuated"),
           now);
     } else if (!job.spec.repeatable) {
       ++evacuated_.unknown;
-      Note(event_code::kJobGivenUp, id, options_.name);
+      AddEvent(event_code::kJobGivenUp, id, options_.name);
       End(id, job, UnknownOutcome(id, "its failure domain was lost, it may have run there"), now);
     } else if (!MoveTasks(id, job, split)) {
-      ++evacuated_.left;
+      ++evacuated_.still_waiting;
     }
   }
 }
@@ -71,13 +71,13 @@
   ++job.spec.plan;
   job.ever_ran = true;  // it may have run before the domain was lost
   ++evacuated_.moved;
-  Note(event_code::kJobMoved, id, to.front().shard);
+  AddEvent(event_code::kJobMoved, id, to.front().shard);
   RecordPlan(id, job);
   return true;
 }
 
 // Work that only this shard could take, or only it could know of. True when it is answered.
-bool shard::TurnAwayEvacuated(const std::string& entry, const place_message& place) {
+bool shard::RejectEvacuated(const std::string& entry, const place_message& place) {
   const bool can_move = IsDurable(place.kind) && place.repeatable && place.home.empty();
   if (can_move) return false;
   const bool surely_new = place.fresh || !place.home.empty();
@@ -87,7 +87,7 @@
   asked.spec.send = place.send;
   // Not fresh: the same identity may have run before the domain was lost.
   Reply(entry, asked,
-        surely_new ? RefusedOutcome(place.id, refusal_reason::kOwnerUnreachable, kComeBack, why)
+        surely_new ? RefusedOutcome(place.id, refusal_reason::kOwnerUnreachable, kRetryAfter, why)
                    : UnknownOutcome(place.id, why));
   return true;
 }
--- a/src/process/shard_floor.cc
+++ b/src/process/shard_floor.cc
@@ -7,11 +7,11 @@
 namespace catkinford {
 namespace {
 
-constexpr double kKeepOfAll = 0.999;  // about the last thousand runs of the shard count
+constexpr double kAllRunsDecay = 0.999;  // about the last thousand runs of the shard count
 
 }  // namespace
 
-void shard_floor::CountState(const endpoint_record& e, bool in) {
+void shard_capacity::CountState(const endpoint_record& e, bool in) {
   const uint32_t one = in ? 1U : UINT32_MAX;  // adds or takes one
   const auto count = [in](resources& sum, const resources& amount) {
     in ? sum += amount : sum -= amount;
@@ -28,7 +28,7 @@
   }
 }
 
-void shard_floor::CountShape(const resources& capacity, bool in) {
+void shard_capacity::CountShape(const resources& capacity, bool in) {
   for (shape_count& shape : shapes_) {
     if (shape.capacity != capacity) continue;
     shape.present += in ? 1U : UINT32_MAX;
@@ -38,8 +38,8 @@
   if (in) shapes_.push_back({capacity, 1, 1});
 }
 
-void shard_floor::SetEndpoint(endpoint_index endpoint, const endpoint_shape& shape,
-                              endpoint_state state) {
+void shard_capacity::SetEndpoint(endpoint_index endpoint, const endpoint_shape& shape,
+                                 endpoint_state state) {
   if (endpoint >= endpoints_.size()) endpoints_.resize(endpoint + 1);
   endpoint_record& e = endpoints_[endpoint];
   if (e.known) {
@@ -60,7 +60,7 @@
   Refresh(endpoint);
 }
 
-void shard_floor::SetState(endpoint_index endpoint, endpoint_state state) {
+void shard_capacity::SetState(endpoint_index endpoint, endpoint_state state) {
   endpoint_record& e = endpoints_[endpoint];
   if (e.state == state) return;
   CountState(e, false);
@@ -71,12 +71,12 @@
   Refresh(endpoint);
 }
 
-void shard_floor::Refresh(endpoint_index endpoint) {
+void shard_capacity::Refresh(endpoint_index endpoint) {
   endpoint_record& e = endpoints_[endpoint];
-  const bool in_turn = e.health.State() == health_state::kGood ||
-                       (e.health.State() == health_state::kProbation && e.tasks.empty());
-  const bool open =
-      e.state == endpoint_state::kOpen && in_turn && !e.cooling && e.reservation == kNoReservation;
+  const bool is_healthy = e.health.State() == health_state::kGood ||
+                          (e.health.State() == health_state::kProbation && e.tasks.empty());
+  const bool open = e.state == endpoint_state::kOpen && is_healthy && !e.cooling &&
+                    e.reservation == kNoReservation;
   if (!open) {
     open_.Remove(endpoint);
     preemptible_.Remove(endpoint);
@@ -89,11 +89,12 @@
   if (more) freed_.push_back(endpoint);
 }
 
-uint32_t shard_floor::Add(endpoint_index endpoint, const task_ref& task, const job_request& job) {
+uint32_t shard_capacity::Add(endpoint_index endpoint, const task_ref& task,
+                             const job_request& job) {
   endpoint_record& e = endpoints_[endpoint];
   e.used += job.each;
-  if (GivesWay(job)) e.preemptible += job.each;
-  if (Passes(job)) e.passing += job.each;
+  if (IsPreemptible(job)) e.preemptible += job.each;
+  if (EndsByItself(job)) e.self_ending += job.each;
   if (job.kind == workload_kind::kInteractive) {
     ++e.interactive;
     interactive_use_ += job.each;
@@ -105,11 +106,12 @@
   return static_cast<uint32_t>(e.tasks.size() - 1);
 }
 
-task_ref shard_floor::Remove(endpoint_index endpoint, uint32_t position, const job_request& job) {
+task_ref shard_capacity::Remove(endpoint_index endpoint, uint32_t position,
+                                const job_request& job) {
   endpoint_record& e = endpoints_[endpoint];
   e.used -= job.each;
-  if (GivesWay(job)) e.preemptible -= job.each;
-  if (Passes(job)) e.passing -= job.each;
+  if (IsPreemptible(job)) e.preemptible -= job.each;
+  if (EndsByItself(job)) e.self_ending -= job.each;
   if (job.kind == workload_kind::kInteractive) {
     --e.interactive;
     interactive_use_ -= job.each;
@@ -123,19 +125,19 @@
   return last ? task_ref{} : e.tasks[position];
 }
 
-void shard_floor::Reserve(endpoint_index endpoint, uint32_t reservation) {
+void shard_capacity::Reserve(endpoint_index endpoint, uint32_t reservation) {
   endpoints_[endpoint].reservation = reservation;
   Refresh(endpoint);
 }
 
-void shard_floor::Cool(endpoint_index endpoint, bool cooling) {
+void shard_capacity::SetCooling(endpoint_index endpoint, bool cooling) {
   endpoints_[endpoint].cooling = cooling;
   Refresh(endpoint);
 }
 
-bool shard_floor::NoteRun(endpoint_index endpoint, bool fault, monotonic_time now) {
+bool shard_capacity::RecordRun(endpoint_index endpoint, bool fault, monotonic_time now) {
   endpoint_record& e = endpoints_[endpoint];
-  all_runs_.Add(fault, kKeepOfAll);
+  all_runs_.Add(fault, kAllRunsDecay);
   const bool bad = e.health.Note(fault, all_runs_);
   const bool eject =
       bad && (e.health.State() == health_state::kProbation || ejected_ < EjectionLimit(present_));
@@ -147,7 +149,7 @@
   return eject;
 }
 
-void shard_floor::EndEjection(endpoint_index endpoint, monotonic_time now) {
+void shard_capacity::EndEjection(endpoint_index endpoint, monotonic_time now) {
   endpoint_record& e = endpoints_[endpoint];
   if (e.health.State() != health_state::kEjected || e.health.EjectedUntil() > now) return;
   --ejected_;
@@ -155,7 +157,7 @@
   Refresh(endpoint);
 }
 
-bool shard_floor::CanEverHold(const resources& each, uint32_t count) const {
+bool shard_capacity::CanEverHold(const resources& each, uint32_t count) const {
   uint64_t room = 0;
   for (const shape_count& shape : shapes_) {
     room += uint64_t{CountFitting(each, shape.capacity)} * shape.most;
@@ -163,7 +165,7 @@
   return room >= count;
 }
 
-std::string shard_floor::WhyNever(const resources& each) const {
+std::string shard_capacity::ExplainNeverFits(const resources& each) const {
   static constexpr std::array<const char*, kAmounts> kNames = {"cpu_milli", "memory_mb",
                                                                "accelerators", "slots"};
   for (size_t amount = 0; amount < kAmounts; ++amount) {
--- a/src/process/shard_floor.h
+++ b/src/process/shard_floor.h
@@ -19,7 +19,7 @@
   resources capacity;
   resources used;
   resources preemptible;  // the part of `used` that batch work would give back when asked
-  resources passing;      // the part of `used` that ends by itself: all but services and gangs
+  resources self_ending;  // the part of `used` that ends by itself: all but services and gangs
   uint32_t rack = 0;
   uint32_t failure_domain = 0;
   uint32_t interactive = 0;  // interactive tasks here
@@ -35,7 +35,9 @@
   resources FreeWithoutBatch() const {
     return SubtractOrZero(capacity, SubtractOrZero(used, preemptible));
   }
-  resources FreeInTime() const { return SubtractOrZero(capacity, SubtractOrZero(used, passing)); }
+  resources FreeEventually() const {
+    return SubtractOrZero(capacity, SubtractOrZero(used, self_ending));
+  }
 };
 
 // A kind of endpoint and the most of them that were there at one time.
@@ -45,7 +47,7 @@
   uint32_t most = 0;
 };
 
-class shard_floor {
+class shard_capacity {
  public:
   void SetEndpoint(endpoint_index endpoint, const endpoint_shape& shape, endpoint_state state);
   void SetState(endpoint_index endpoint, endpoint_state state);
@@ -65,17 +67,17 @@
   task_ref Remove(endpoint_index endpoint, uint32_t position, const job_request& job);
 
   void Reserve(endpoint_index endpoint, uint32_t reservation);
-  void Cool(endpoint_index endpoint, bool cooling);
+  void SetCooling(endpoint_index endpoint, bool cooling);
 
   // Notes a good or bad run; true when the endpoint was ejected now.
-  bool NoteRun(endpoint_index endpoint, bool fault, monotonic_time now);
+  bool RecordRun(endpoint_index endpoint, bool fault, monotonic_time now);
   void EndEjection(endpoint_index endpoint, monotonic_time now);
 
   // Whether the floor, empty, holds `count` tasks of `each` side by side. Shapes that were here
   // count as reachable: an endpoint that is down comes back or is replaced.
   bool CanEverHold(const resources& each, uint32_t count) const;
   // Which amount is too large for every endpoint, and the largest there is, in words.
-  std::string WhyNever(const resources& each) const;
+  std::string ExplainNeverFits(const resources& each) const;
 
   // Capacity of the endpoints that are not fenced yet: it counts against every team.
   const resources& Unfenced() const { return unfenced_; }
@@ -120,11 +122,11 @@
 };
 
 // Batch work that may be stopped and started again gives way to urgent work.
-inline bool GivesWay(const job_request& job) {
+inline bool IsPreemptible(const job_request& job) {
   return job.kind == workload_kind::kBatch && job.repeatable && !job.urgent;
 }
 
-inline bool Passes(const job_request& job) {
+inline bool EndsByItself(const job_request& job) {
   return job.kind == workload_kind::kBatch || job.kind == workload_kind::kInteractive;
 }
 
--- a/src/process/shard_parts.cc
+++ b/src/process/shard_parts.cc
@@ -14,8 +14,8 @@
 // How long an accepted job's caller waits for the records of its parts. Its home has recorded which
 // replicas it owes to whom, so it is durable before; the wait serves the answer alone, which names
 // the shards that have not confirmed.
-constexpr milliseconds kPartsAnswer{1500};
-constexpr milliseconds kPartMemory{600000};
+constexpr milliseconds kPartsConfirmWait{1500};
+constexpr milliseconds kPartRetention{600000};
 // Sendings of one owner; the next owner's numbers are higher.
 constexpr int kSendBits = 24;
 
@@ -42,11 +42,11 @@
   }
   if (shards.empty()) return;
   parts_.Open(id, shards, options_.epoch << kSendBits, now);
-  job.tell_accepted = now + kPartsAnswer;
-  untold_.emplace(job.tell_accepted, id);
+  job.tell_accepted = now + kPartsConfirmWait;
+  accept_timeouts_.emplace(job.tell_accepted, id);
 }
 
-bool shard::MayTellAccepted(const request_id& id, const job_state& job, monotonic_time now) const {
+bool shard::CanSendAccepted(const request_id& id, const job_state& job, monotonic_time now) const {
   if (!job.accepted || !job.durable || job.ended || job.unrecorded_plans > 0) return false;
   return parts_.Unplaced(id).empty() || now >= job.tell_accepted;
 }
@@ -60,23 +60,23 @@
   return accepted;
 }
 
-void shard::TellAccepted(const request_id& id, job_state& job, monotonic_time now) {
-  if (!MayTellAccepted(id, job, now)) return;
-  untold_.erase({job.tell_accepted, id});
+void shard::SendAccepted(const request_id& id, job_state& job, monotonic_time now) {
+  if (!CanSendAccepted(id, job, now)) return;
+  accept_timeouts_.erase({job.tell_accepted, id});
   Answer(job, Accepted(id));
 }
 
 void shard::OnPartAnswer(const part_answer_message& answer, monotonic_time now) {
   job_state* job = Find(answer.id);
   if (job == nullptr || job->ended) return;
-  const part_news news = parts_.OnAnswer(answer);
+  const part_event event = parts_.OnAnswer(answer);
   job->ever_ran = job->ever_ran || answer.ran;
-  if (news == part_news::kNone) return;
-  if (news == part_news::kPlaced) Note(event_code::kPartPlaced, answer.id, answer.shard);
-  if (news == part_news::kRefused) TakeHome(answer.id, *job, answer.shard);
-  if (news == part_news::kOver) PartIsOver(answer, *job, now);
+  if (event == part_event::kNone) return;
+  if (event == part_event::kPlaced) AddEvent(event_code::kPartPlaced, answer.id, answer.shard);
+  if (event == part_event::kRefused) ReturnPartToHome(answer.id, *job, answer.shard);
+  if (event == part_event::kOver) PartIsOver(answer, *job, now);
   if (job->ended) return;
-  TellAccepted(answer.id, *job, now);
+  SendAccepted(answer.id, *job, now);
   EndIfOver(answer.id, *job, now);
 }
 
@@ -97,22 +97,22 @@
     for (uint32_t i = part.first; i < part.first + part.tasks && i < job.tasks.size(); ++i) {
       if (job.tasks[i].phase != task_phase::kElsewhere) continue;
       const auto& failed = answer.failed;
-      const bool well = std::find(failed.begin(), failed.end(), i) == failed.end();
-      job.tasks[i].phase = well ? task_phase::kDone : task_phase::kFailed;
-      actions_.push_back(
-          complete_action{{answer.id, i, 0}, well, false, well ? result.answer : result.detail});
+      const bool succeeded = std::find(failed.begin(), failed.end(), i) == failed.end();
+      job.tasks[i].phase = succeeded ? task_phase::kDone : task_phase::kFailed;
+      actions_.push_back(complete_action{
+          {answer.id, i, 0}, succeeded, false, succeeded ? result.answer : result.detail});
     }
   }
 }
 
 // What another shard turned away waits here. Not before that is recorded: an owner that read the
 // old record would place the same replicas elsewhere once more.
-void shard::TakeHome(const request_id& id, job_state& job, const std::string& from) {
+void shard::ReturnPartToHome(const request_id& id, job_state& job, const std::string& from) {
   for (job_part& part : job.spec.parts) {
     if (part.shard == from) part.shard = options_.name;
   }
   ++job.spec.plan;
-  Note(event_code::kPartTakenHome, id, from);
+  AddEvent(event_code::kPartTakenHome, id, from);
   RecordPlan(id, job);
 }
 
@@ -132,12 +132,12 @@
     }
   }
   if (options_.is_evacuated) OpenParts(id, job, now);
-  TellAccepted(id, job, now);
+  SendAccepted(id, job, now);
 }
 
 // A part that was turned away here and that its home sends again, having recorded in between that
 // it was not here. The memory of the refusal is for placements from before that.
-bool shard::ComesAgain(const job_state& job, const place_message& place) const {
+bool shard::IsRetriedPart(const job_state& job, const place_message& place) const {
   return job.ended && !job.end_untold && !job.cancelled && !place.home.empty() &&
          job.spec.home == place.home && place.plan > job.spec.plan &&
          job.ended->kind == outcome_kind::kRefused;
@@ -151,7 +151,7 @@
 }
 
 // The home has moved further tasks of the job here.
-void shard::TakeMore(const request_id& id, job_state& job, place_message place) {
+void shard::AddTasks(const request_id& id, job_state& job, place_message place) {
   const bool grows = std::any_of(place.parts.begin(), place.parts.end(), [&](const job_part& part) {
     return part.shard == options_.name && HasElsewhere(job, part);
   });
@@ -172,17 +172,17 @@
   job.spec.send = what.send;
   job.cancelled = true;
   job.ended = RefusedOutcome(what.id, refusal_reason::kCancelled, {}, "");
-  job.forget_at = now + kPartMemory;
+  job.forget_at = now + kPartRetention;
   ended_.emplace(job.forget_at, what.id);
   Reply(entry, job, *job.ended);
 }
 
-void shard::ActParts(monotonic_time now) {
-  while (!untold_.empty() && untold_.begin()->first <= now) {
-    const request_id id = untold_.begin()->second;
-    untold_.erase(untold_.begin());
+void shard::SendPartCalls(monotonic_time now) {
+  while (!accept_timeouts_.empty() && accept_timeouts_.begin()->first <= now) {
+    const request_id id = accept_timeouts_.begin()->second;
+    accept_timeouts_.erase(accept_timeouts_.begin());
     job_state* job = Find(id);
-    if (job != nullptr) TellAccepted(id, *job, now);
+    if (job != nullptr) SendAccepted(id, *job, now);
   }
   std::vector<part_call> calls;
   parts_.Tick(now, calls);
--- a/src/process/shard_restore.cc
+++ b/src/process/shard_restore.cc
@@ -61,25 +61,25 @@
   }
 }
 
-void shard::ReleaseHeld(monotonic_time now) {
-  if (held_.empty()) return;
-  for (held_place& held : std::exchange(held_, {})) {
+void shard::ReleaseDeferred(monotonic_time now) {
+  if (deferred_.empty()) return;
+  for (deferred_place& deferred : std::exchange(deferred_, {})) {
     if (AllListed()) {
-      if (held.place.deadline_left.count() > 0) {
-        held.place.deadline_left = std::chrono::ceil<milliseconds>(held.until - now);
+      if (deferred.place.deadline_left.count() > 0) {
+        deferred.place.deadline_left = std::chrono::ceil<milliseconds>(deferred.until - now);
       }
-      if (held.until > now) {
-        Place(held.entry, std::move(held.place), now);
+      if (deferred.until > now) {
+        Place(deferred.entry, std::move(deferred.place), now);
         continue;
       }
     }
-    if (held.until > now) {
-      held_.push_back(std::move(held));
+    if (deferred.until > now) {
+      deferred_.push_back(std::move(deferred));
       continue;
     }
     const outcome answer =
-        UnknownOutcome(held.place.id, "an endpoint that may have run it has not been listed");
-    actions_.push_back(answer_action{held.entry, answer});
+        UnknownOutcome(deferred.place.id, "an endpoint that may have run it has not been listed");
+    actions_.push_back(answer_action{deferred.entry, answer});
   }
 }
 
--- a/src/process/shard_tasks.cc
+++ b/src/process/shard_tasks.cc
@@ -12,28 +12,28 @@
 using std::chrono::milliseconds;
 
 // How long the end of a durable job is remembered for its callers.
-constexpr milliseconds kDurableMemory{600000};
+constexpr milliseconds kDurableRetention{600000};
 // How long a task may outlast its request before its job's state is looked at again.
-constexpr milliseconds kLinger{1000};
+constexpr milliseconds kRunningRecheck{1000};
 // When a caller whose deadline passed in the queue may come back.
-constexpr milliseconds kComeBack{1000};
+constexpr milliseconds kRetryAfter{1000};
 
 }  // namespace
 
 void shard::Act(monotonic_time now, std::vector<shard_action>& out) {
   ForgetOld(now);
-  StopLate(now);
-  ReleaseHeld(now);
+  EndExpired(now);
+  ReleaseDeferred(now);
   ResumeRestored(now);
-  ActParts(now);
+  SendPartCalls(now);
   WithdrawUnrecorded(now);
-  TakeCommands(now);
+  ApplyCommands(now);
   CallEndpoints(now);
   std::move(actions_.begin(), actions_.end(), std::back_inserter(out));
   actions_.clear();
 }
 
-void shard::TakeCommands(monotonic_time now) {
+void shard::ApplyCommands(monotonic_time now) {
   commands_.clear();
   core_.Decide(now, commands_);
   std::map<endpoint_index, start_action> starts;
@@ -42,18 +42,18 @@
     if (next.kind == command_kind::kRefuse) {
       // Only its part here: the others are told on their own.
       if (parts_.AllOver(next.task.job))
-        Refuse(next.task.job, next.reason, next.retry_after, next.detail, now);
+        RejectJob(next.task.job, next.reason, next.retry_after, next.detail, now);
     } else if (next.kind == command_kind::kStop) {
       stop_action& stop = stops[{next.endpoint, next.checkpoint}];
       stop.endpoint = next.endpoint;
       stop.token = endpoints_[next.endpoint].link.Token();
       stop.checkpoint = next.checkpoint;
       stop.ids.push_back(next.task);
-      Note(event_code::kTaskStopSent, next.task.job, endpoints_[next.endpoint].address.name);
+      AddEvent(event_code::kTaskStopSent, next.task.job, endpoints_[next.endpoint].address.name);
     } else if (next.kind == command_kind::kEnded) {
-      TakeEnd(next, now);
+      ApplyJobEnd(next, now);
     } else {
-      TakeStart(next, starts[next.endpoint]);
+      AddStart(next, starts[next.endpoint]);
     }
   }
   for (auto& [index, start] : starts) {
@@ -65,7 +65,7 @@
 }
 
 // The core's word that nothing more of a job will be started. Mostly the tasks' ends have told so.
-void shard::TakeEnd(const command& end, monotonic_time now) {
+void shard::ApplyJobEnd(const command& end, monotonic_time now) {
   job_state* job = Find(end.task.job);
   if (job == nullptr || job->ended) return;
   EndIfOver(end.task.job, *job, now);
@@ -83,7 +83,7 @@
   End(end.task.job, *job, std::move(told), now);
 }
 
-void shard::TakeStart(const command& next, start_action& start) {
+void shard::AddStart(const command& next, start_action& start) {
   job_state* job = Find(next.task.job);
   if (job == nullptr || next.task.index >= job->tasks.size()) return;
   endpoint_record& at = endpoints_[next.endpoint];
@@ -101,20 +101,20 @@
   task.retain = options_.identity_window;
   if (!options_.endpoints_fence) task.not_after = options_.start_bound;
   start.tasks.push_back(std::move(task));
-  Note(event_code::kTaskStartSent, next.task.job, at.address.name);
+  AddEvent(event_code::kTaskStartSent, next.task.job, at.address.name);
 }
 
 void shard::OnStartNotSent(const start_action& start, monotonic_time now) {
-  for (const start_task& task : start.tasks) StartDidNotTake(task.id, false, now);
+  for (const start_task& task : start.tasks) OnStartFailed(task.id, false, now);
 }
 
-void shard::StartDidNotTake(const task_id& id, bool endpoint_fault, monotonic_time now) {
+void shard::OnStartFailed(const task_id& id, bool endpoint_fault, monotonic_time now) {
   job_state* job = nullptr;
   task_progress* task = FindTask(id, job);
   if (task == nullptr || IsOver(task->phase)) return;
   task->phase = task_phase::kWaiting;
   core_.StartFailed(id, endpoint_fault, now);
-  Note(event_code::kTaskStartFailed, id.job, endpoints_[task->endpoint].address.name);
+  AddEvent(event_code::kTaskStartFailed, id.job, endpoints_[task->endpoint].address.name);
   if (job->cancelled) EndIfOver(id.job, *job, now);
 }
 
@@ -128,7 +128,7 @@
     return;
   }
   const std::string& where = endpoints_[task->endpoint].address.name;
-  Note(event_code::kTaskFinished, id.job, where, answer.substr(0, 64));
+  AddEvent(event_code::kTaskFinished, id.job, where, answer.substr(0, 64));
   job->ever_ran = true;
   const bool stopped = result == task_result::kStopped || result == task_result::kCheckpointed;
   const bool restarts =
@@ -146,10 +146,10 @@
   if (result == task_result::kOk) job->answer = answer;
   if (result == task_result::kFailed && job->fault.empty()) job->fault = answer;
   if (job->durable && !job->ended) {
-    const bool well = task->phase == task_phase::kDone;
+    const bool succeeded = task->phase == task_phase::kDone;
     const job_progress progress = ProgressOf(*job);
     const bool is_last = progress.waiting == 0 && progress.running == 0;
-    actions_.push_back(complete_action{id, well, false, !well || is_last ? answer : ""});
+    actions_.push_back(complete_action{id, succeeded, false, !succeeded || is_last ? answer : ""});
     const bool is_new = unrecorded_.try_emplace({id.job, id.index}, task->endpoint).second;
     if (is_new) ++endpoints_[task->endpoint].unrecorded;
   }
@@ -216,7 +216,7 @@
   gangs_.erase(id);
   services_.erase(id);
   deadlines_.erase({job.deadline, id});
-  untold_.erase({job.tell_accepted, id});
+  accept_timeouts_.erase({job.tell_accepted, id});
   parts_.Close(id);
   job.end_untold = has_record && (job.cancelled || result.kind == outcome_kind::kRefused);
   job.ended = std::move(result);
@@ -232,7 +232,7 @@
   // A part that was turned away is remembered too: a placement that was sent before and comes late
   // must not start what its home has taken elsewhere since.
   const bool remembered = has_record || !job.spec.home.empty();
-  job.forget_at = remembered ? now + kDurableMemory : now;
+  job.forget_at = remembered ? now + kDurableRetention : now;
   ended_.emplace(job.forget_at, id);
 }
 
@@ -256,8 +256,8 @@
   if (std::optional<outcome> end = EndOf(job)) End(id, job, *std::move(end), now);
 }
 
-void shard::Refuse(const request_id& id, refusal_reason reason, milliseconds retry_after,
-                   std::string detail, monotonic_time now) {
+void shard::RejectJob(const request_id& id, refusal_reason reason, milliseconds retry_after,
+                      std::string detail, monotonic_time now) {
   job_state* job = Find(id);
   if (job == nullptr || job->ended) return;
   outcome refused = RefusedOutcome(id, reason, retry_after, std::move(detail));
@@ -277,7 +277,7 @@
     const job_state* job = Find(id);
     if (job == nullptr) continue;
     if (ProgressOf(*job).running > 0) {
-      ended_.emplace(now + kLinger, id);
+      ended_.emplace(now + kRunningRecheck, id);
       continue;
     }
     jobs_.erase(id);
@@ -285,7 +285,7 @@
 }
 
 // A caller that waits is answered at its deadline, whatever still runs.
-void shard::StopLate(monotonic_time now) {
+void shard::EndExpired(monotonic_time now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const request_id id = deadlines_.begin()->second;
     deadlines_.erase(deadlines_.begin());
@@ -294,7 +294,8 @@
     core_.Cancel(id, now);
     const job_progress progress = ProgressOf(*job);
     if (progress.running == 0) {
-      Refuse(id, refusal_reason::kDeadline, kComeBack, "the deadline passed in the queue", now);
+      RejectJob(id, refusal_reason::kDeadline, kRetryAfter, "the deadline passed in the queue",
+                now);
       continue;
     }
     // Its end may already stand at the endpoint and be on its way: "failed" could be untrue.
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -73,7 +73,7 @@
   // Between two bytes of a peer's answer: a configuration takes a narrow link a second and more.
   static constexpr std::chrono::milliseconds kPeerStall{1000};
   // Two looks of the balancer, a second apart, take an entry out of rotation.
-  static constexpr std::chrono::milliseconds kLinger{2300};
+  static constexpr std::chrono::milliseconds kRunningRecheck{2300};
   static constexpr std::chrono::milliseconds kShutdownMargin{1000};
   static constexpr std::chrono::milliseconds kSettleWait{400};
   // An answer to a question to a policy may take this much longer than the policy says.
@@ -352,7 +352,7 @@
   constexpr std::chrono::milliseconds kLook{20};
   while (BootNow() - begun < limit) {
     const bool idle = callers_->Waiting() == 0;
-    if (idle && BootNow() - begun >= kLinger) break;
+    if (idle && BootNow() - begun >= kRunningRecheck) break;
     std::this_thread::sleep_for(kLook);
   }
   log_.Write(site_event::kStopped, BootNow(), absl::StrCat("waiting=", callers_->Waiting()));
--- a/src/process/team_table.cc
+++ b/src/process/team_table.cc
@@ -121,7 +121,7 @@
 }
 
 bool team_table::WithinGrant(team_index team, const resources& each, uint32_t count,
-                             const shard_floor& floor) const {
+                             const shard_capacity& floor) const {
   const team_record* t = Find(team);
   if (t == nullptr || floor.UnfencedTasksUnbounded()) return false;
   const resources& unfenced = floor.Unfenced();
--- a/src/process/team_table.h
+++ b/src/process/team_table.h
@@ -54,7 +54,7 @@
   // fenced yet counts as if the team ran all of it: a former owner may have started it for anyone,
   // and the limit would be passed without anybody seeing it.
   bool WithinGrant(team_index team, const resources& each, uint32_t count,
-                   const shard_floor& floor) const;
+                   const shard_capacity& floor) const;
   // Whether the team is at or below the part of the cell that its weight gives it among the teams
   // that run or wait.
   bool WithinShare(team_index team) const { return !BeyondShare(team, 1.0); }
--- a/test/evacuation_test.cc
+++ b/test/evacuation_test.cc
@@ -76,7 +76,7 @@
   member.value = ToText(member_record{"otaru-1", 5, "http://a", "http://b", "lease", false});
   Answer(work, Call(work), store_status::kDone, {member});
   CHECK(work.State() == evacuation_state::kStopped);
-  CHECK(work.Why().find("otaru-1") != std::string::npos);
+  CHECK(work.StopReason().find("otaru-1") != std::string::npos);
   CHECK(IsQuiet(work));
 }
 
--- a/test/incarnation_test.cc
+++ b/test/incarnation_test.cc
@@ -36,7 +36,7 @@
     endpoint.address = "http://127.0.0.1:1";
     endpoint.shape = {16000, 32768, 0, 8};
     owner_->SetEndpoints({endpoint}, now_);
-    lives_ = std::make_unique<incarnation_keeper>(
+    lives_ = std::make_unique<incarnation_store>(
         "entry-a", [this](const store_request& call,
                           const std::function<void(store_reply, monotonic_time)>& done) {
           done(store_up_ ? store_.Apply(call, now_) : store_reply{}, now_);
@@ -89,7 +89,7 @@
   uint64_t life_ = 1;
   uint64_t asked_ = 0;
   std::unique_ptr<shard> owner_;
-  std::unique_ptr<incarnation_keeper> lives_;
+  std::unique_ptr<incarnation_store> lives_;
   std::vector<shard_action> actions_;
 };
 
--- a/test/job_log_test.cc
+++ b/test/job_log_test.cc
@@ -115,7 +115,7 @@
   job.home = "otaru/0";
   job.plan = 4;
   job.payload = "quote \" and \\ and ],\"entries\":[ in it";
-  CHECK(first_.log->Append(job) == append_result::kTaken);
+  CHECK(first_.log->Append(job) == append_result::kQueued);
   CHECK_FALSE(first_.log->Durable(job.id));
   first_.Run(2);
   CHECK(first_.log->Durable(job.id));
@@ -283,7 +283,7 @@
   }
   void FinishOne(log_writer& writer) {
     const std::optional<request_id> id = First(writer);
-    if (id && writer.log->FinishJob(*id) == append_result::kTaken) asked_over_.insert(*id);
+    if (id && writer.log->FinishJob(*id) == append_result::kQueued) asked_over_.insert(*id);
   }
   void TakeNotices(log_writer& writer) {
     for (const job_notice& notice : writer.notices) {
