--- a/test/membership_test.cc
+++ b/test/membership_test.cc
@@ -40,7 +40,7 @@
     uint64_t incarnation = 1;
     std::unique_ptr<membership> members;
     std::vector<member_change> changes;
-    uint64_t beat = 0;
+    uint64_t heartbeat = 0;
     uint64_t config_version = 123456;
     std::string shard;
     uint64_t epoch = 12;
@@ -82,18 +82,22 @@
     own.OnSilent(to, now_);
     const member* one = own.Find(to);
     if (!was_up || one == nullptr || one->failure_domain != nodes_[from].domain) return;
-    const silent_message silent{to, one->word.incarnation, one->word.beat};
+    const silent_message silent{to, one->status.incarnation, one->status.heartbeat};
     for (const std::string& name : own.LiveNeighbours()) {
       if (nodes_.contains(name)) nodes_[name].members->OnSilent(silent, now_);
     }
   }
 
-  entry_word WordOf(const std::string& name) {
+  entry_status WordOf(const std::string& name) {
     node& one = nodes_[name];
-    entry_word word{name,       absl::StrCat(name, ":1"), one.incarnation,
-                    ++one.beat, milliseconds{0},          one.config_version};
-    if (!one.shard.empty()) word.shards.push_back({one.shard, one.epoch, 78});
-    return word;
+    entry_status status{name,
+                        absl::StrCat(name, ":1"),
+                        one.incarnation,
+                        ++one.heartbeat,
+                        milliseconds{0},
+                        one.config_version};
+    if (!one.shard.empty()) status.shards.push_back({one.shard, one.epoch, 78});
+    return status;
   }
 
   // Returns what the text takes on the wire, where each quote is escaped.
@@ -197,7 +201,7 @@
   CHECK(Believers("d1-e0") == 5);
   membership& other = *nodes_.at("d1-e1").members;
   other.OnHeartbeat({"d1", false, {{"d1-e0", "elsewhere:1", 1, 99999, milliseconds{0}}}}, now_);
-  CHECK(other.Members().at("d1-e0").word.incarnation == kIncarnation + 7);
+  CHECK(other.Members().at("d1-e0").status.incarnation == kIncarnation + 7);
   CHECK(other.Members().at("d1-e0").address == "d1-e0:1");
 }
 
@@ -249,9 +253,9 @@
   nodes_.erase("d1-e0");
   Run(seconds{25});
   membership& other = *nodes_.at("d0-e0").members;
-  const std::vector<std::string> news = other.OnHeartbeat(late, now_);
+  const std::vector<std::string> updated = other.OnHeartbeat(late, now_);
   Run(milliseconds{100});
-  CHECK(news.empty());
+  CHECK(updated.empty());
   CHECK_FALSE(other.IsUp("d1-e0"));
 }
 
@@ -261,9 +265,9 @@
                  "[membership]") {
   membership& other = *nodes_.at("d4-e3").members;
   const member& one = *other.Find("d4-e2");
-  const silent_message early{"d4-e2", one.word.incarnation, one.word.beat - 1};
+  const silent_message early{"d4-e2", one.status.incarnation, one.status.heartbeat - 1};
   CHECK_FALSE(other.OnSilent(early, now_));
-  const silent_message now{"d4-e2", one.word.incarnation, one.word.beat};
+  const silent_message now{"d4-e2", one.status.incarnation, one.status.heartbeat};
   CHECK(other.OnSilent(now, now_));
   Run(seconds{3});
   CHECK(other.IsUp("d4-e2"));
@@ -278,11 +282,11 @@
   Run(seconds{20});
   for (const auto& [name, one] : nodes_) {
     if (name == "d3-e3") continue;
-    const entry_word& word = one.members->Find("d3-e3")->word;
-    CHECK(word.config_version == 123457);
-    REQUIRE(word.shards.size() == 1);
-    CHECK(word.shards[0].epoch == 13);
-    CHECK(word.shards[0].shard == nodes_.at("d3-e3").shard);
+    const entry_status& status = one.members->Find("d3-e3")->status;
+    CHECK(status.config_version == 123457);
+    REQUIRE(status.shards.size() == 1);
+    CHECK(status.shards[0].epoch == 13);
+    CHECK(status.shards[0].shard == nodes_.at("d3-e3").shard);
   }
 }
 
--- a/test/mutation_test.cc
+++ b/test/mutation_test.cc
@@ -179,14 +179,15 @@
   place_message place;
   place.shard = "otaru/0";
   place.payload = "{\"run_ms\":1}";
-  heartbeat_message beat;
-  beat.failure_domain = "otaru";
-  beat.words.push_back({"otaru-1", "http://127.0.0.1:1", 7, 8});
-  beat.words[0].shards.push_back({"otaru/0", 3, 17, {}});
+  heartbeat_message heartbeat;
+  heartbeat.failure_domain = "otaru";
+  heartbeat.entries.push_back({"otaru-1", "http://127.0.0.1:1", 7, 8});
+  heartbeat.entries[0].shards.push_back({"otaru/0", 3, 17, {}});
   const usage_message usage{7, 8, true, {{"booking", {1, 2, 3, 4}}}};
   config_step_message step;
   step.step = {5, 9, StepBetween("{\"a\":1}", "{\"a\":2}")};
-  const std::string batch = EncodeBatch("otaru-1", {place, beat, outcome_message{}, usage, step});
+  const std::string batch =
+      EncodeBatch("otaru-1", {place, heartbeat, outcome_message{}, usage, step});
   ledger_value ledger;
   ledger.entries.push_back({"booking", "otaru/0", {{1000, 1000, 0, 0}, 5}});
   const std::string ledger_text = ToText(ledger);
--- a/test/ownership_world.cc
+++ b/test/ownership_world.cc
@@ -18,17 +18,17 @@
   Lapse(now);
   store_reply reply;
   reply.status = store_status::kDone;
-  if (call.kind == ownership_call_kind::kGrantLease) {
+  if (call.kind == store_call_kind::kGrantLease) {
     reply.lease = absl::StrCat("L", next_lease_++);
     leases_[reply.lease] = {now + call.ttl, call.ttl};
-  } else if (call.kind == ownership_call_kind::kKeepLease) {
+  } else if (call.kind == store_call_kind::kKeepLease) {
     const auto lease = leases_.find(call.lease);
     if (lease == leases_.end()) {
       reply.status = store_status::kAbsent;
     } else {
       lease->second.first = now + lease->second.second;
     }
-  } else if (call.kind == ownership_call_kind::kSwap) {
+  } else if (call.kind == store_call_kind::kSwap) {
     return Swap(call);
   } else {
     for (const auto& [key, item] : items_) {
@@ -187,7 +187,7 @@
   Later([this, name, incarnation = from.incarnation, call, reachable] {
     store_reply reply;
     if (reachable && !store_down_) reply = store_.Apply(call, now_);
-    const bool writes = call.kind != ownership_call_kind::kRange;
+    const bool writes = call.kind != store_call_kind::kRange;
     if (writes && replies_to_lose_ > 0) {
       --replies_to_lose_;
       reply = {};
@@ -205,13 +205,13 @@
 
 void ownership_world::OnEvent(const std::string& name, const entry& from,
                               const ownership_event& event) {
-  if (event.kind == ownership_event_kind::kAskOwner) Ask(name, from, event);
+  if (event.kind == ownership_event_kind::kQueryOwner) Ask(name, from, event);
   if (event.kind == ownership_event_kind::kGained) Fence(name, from, event);
-  if (event.kind != ownership_event_kind::kTellHeir || peers_cut_) return;
+  if (event.kind != ownership_event_kind::kNotifySuccessor || peers_cut_) return;
   Later([this, peer = event.peer] {
-    const auto heir = entries_.find(peer);
-    if (heir == entries_.end()) return;
-    DeliverTo(peer, heir->second->incarnation,
+    const auto successor = entries_.find(peer);
+    if (successor == entries_.end()) return;
+    DeliverTo(peer, successor->second->incarnation,
               [this](entry& target) { target.machine->OnHandedOver(now_); });
   });
 }
@@ -223,7 +223,7 @@
     const auto asked = entries_.find(event.peer);
     if (asked == entries_.end()) return;
     DeliverTo(event.peer, asked->second->incarnation, [=, this](entry& target) {
-      const owner_answer answer = target.machine->OnAsked(event.shard, now_);
+      const owner_answer answer = target.machine->OnOwnerQuery(event.shard, now_);
       Later([=, this] {
         DeliverTo(name, incarnation, [=, this](entry& asker) {
           asker.machine->OnOwnerAnswer(event.peer, event.shard, answer.holds, now_);
--- a/test/parts_world.cc
+++ b/test/parts_world.cc
@@ -66,7 +66,7 @@
   Configure(site);
 }
 
-void parts_world::Ask(uint32_t replicas) {
+void parts_world::Start(uint32_t replicas) {
   place_message place;
   place.id = {7, 7};
   place.shard = sites_[0].name;
--- a/test/parts_world.h
+++ b/test/parts_world.h
@@ -29,7 +29,7 @@
 
   // A service of `replicas`, spread evenly, whose home is the first site. As often as a caller
   // asks.
-  void Ask(uint32_t replicas);
+  void Start(uint32_t replicas);
   void Cancel();
   // Lets all shards act, and carries out what they want.
   void Step(std::chrono::milliseconds time);
--- a/test/peer_mailbox_test.cc
+++ b/test/peer_mailbox_test.cc
@@ -71,7 +71,7 @@
     }
   }
   void Ask(uint32_t number) {
-    REQUIRE(from_.Send("to", ask_owner_message{number}));
+    REQUIRE(from_.Send("to", owner_query_message{number}));
     from_.Flush();
   }
   template <typename Condition>
--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -108,7 +108,7 @@
     "spread service, asked for, runs in every domain and is accepted when all have recorded it",
     "[parts]") {
   parts_world world(1);
-  world.Ask(kReplicas);
+  world.Start(kReplicas);
   CHECK(!world.Told(outcome_kind::kAccepted));
   Run(world, 10);
   CHECK(world.Told(outcome_kind::kAccepted));
@@ -126,7 +126,7 @@
 TEST_CASE("spread service, domain cut off, is accepted with its name and whole later", "[parts]") {
   parts_world world(2);
   world.CutOff(2, true);
-  world.Ask(kReplicas);
+  world.Start(kReplicas);
   Run(world, 60);
   REQUIRE(world.Told(outcome_kind::kAccepted));
   CHECK(world.Outcomes().front().detail.find("asahikawa/0") != std::string::npos);
@@ -141,7 +141,7 @@
 TEST_CASE("spread service, part turned away, runs at its home", "[parts]") {
   parts_world world(3);
   world.SetQueueLimit(1, 1);
-  world.Ask(kReplicas);
+  world.Start(kReplicas);
   Run(world, 20);
   CHECK(world.Told(outcome_kind::kAccepted));
   CHECK(EachRunsOnce(world, kReplicas));
@@ -157,7 +157,7 @@
 TEST_CASE("spread service, cancelled with a domain cut off, is over only when that has heard",
           "[parts]") {
   parts_world world(4);
-  world.Ask(kReplicas);
+  world.Start(kReplicas);
   Run(world, 20);
   world.CutOff(1, true);
   world.Cancel();
@@ -183,12 +183,12 @@
       world.SetQueueLimit(1 + static_cast<size_t>(world.Below(2)), 1);
     world.SetOdds(
         {world.Below(40), world.Below(40), world.Below(60), world.Below(30), world.Below(90)});
-    world.Ask(kReplicas);
+    world.Start(kReplicas);
     bool cancelled = false;
     for (int i = 0; i < 60; ++i) {
       const int fault = world.Below(40);
       if (fault < 3) world.ReplaceOwner(static_cast<size_t>(fault));
-      if (fault == 3 && !world.ToldOver()) world.Ask(kReplicas);
+      if (fault == 3 && !world.ToldOver()) world.Start(kReplicas);
       if (fault == 6 && with_losses) world.LoseAndEvacuate(static_cast<size_t>(world.Below(3)));
       if (fault == 4) world.CutOff(static_cast<size_t>(world.Below(3)), world.Below(2) == 0);
       if (fault == 5 && seed % 4 == 0) {
@@ -202,7 +202,7 @@
     if (with_losses) world.ReplaceOwner(static_cast<size_t>(world.Below(3)));
     // What its caller was told is over stays over, whoever owns the shards by then.
     const bool over = world.ToldOver();
-    if (!cancelled && !over) world.Ask(kReplicas);
+    if (!cancelled && !over) world.Start(kReplicas);
     if (cancelled && !over) world.Cancel();
     Run(world, kHealingSteps);
     const bool refused = world.Outcomes().back().kind == outcome_kind::kRefused;
@@ -219,22 +219,22 @@
 // word is late; the new owner has taken the part since. Believed, that word would have the home run
 // the same replicas once more.
 TEST_CASE("part keeper, refusal of an earlier sending, does not count", "[parts]") {
-  part_keeper keeper(milliseconds{500});
+  part_tracker tracker(milliseconds{500});
   const request_id id{1, 1};
   monotonic_time now = monotonic_time{} + std::chrono::hours{1};
-  keeper.Open(id, {"otaru/0"}, 100, now);
+  tracker.Open(id, {"otaru/0"}, 100, now);
   std::vector<part_call> calls;
-  keeper.Tick(now, calls);
-  keeper.Tick(now + milliseconds{500}, calls);
+  tracker.Tick(now, calls);
+  tracker.Tick(now + milliseconds{500}, calls);
   REQUIRE(calls.size() == 2);
   part_answer_message refusal;
   refusal.id = id;
   refusal.shard = "otaru/0";
   refusal.result = RefusedOutcome(id, refusal_reason::kNotDurable, {}, "");
   refusal.send = calls[0].send;
-  CHECK(keeper.OnAnswer(refusal) == part_news::kNone);
+  CHECK(tracker.OnAnswer(refusal) == part_event::kNone);
   refusal.send = calls[1].send;
-  CHECK(keeper.OnAnswer(refusal) == part_news::kRefused);
+  CHECK(tracker.OnAnswer(refusal) == part_event::kRefused);
 }
 
 // A service is cancelled while the placement of one part is still on its way. Coming after the
@@ -263,7 +263,7 @@
 TEST_CASE("spread service, domain evacuated, runs elsewhere and stays there", "[parts]") {
   const auto lost = GENERATE(size_t{0}, size_t{1});
   parts_world world(6);
-  world.Ask(kReplicas);
+  world.Start(kReplicas);
   Run(world, 20);
   world.LoseAndEvacuate(lost);
   Run(world, 40);
@@ -342,10 +342,10 @@
 // of an entry of another one. Left out of the message, all replicas would stand in one domain, and
 // those of the evacuated one nowhere.
 TEST_CASE("heartbeat, report of free room and of a shard elsewhere, arrives whole", "[parts]") {
-  entry_word word;
-  word.name = "otaru-0";
-  word.incarnation = 1;
-  word.beat = 1;
+  entry_status status;
+  status.name = "otaru-0";
+  status.incarnation = 1;
+  status.heartbeat = 1;
   shard_report own;
   own.shard = "otaru/0";
   own.epoch = 4;
@@ -353,34 +353,34 @@
   shard_report evacuated;
   evacuated.shard = "asahikawa/0";
   evacuated.epoch = 9;
-  word.shards = {own, evacuated};
+  status.shards = {own, evacuated};
   const auto read =
-      DecodeBatch(EncodeBatch("otaru-0", {heartbeat_message{"otaru", false, {word}}}));
+      DecodeBatch(EncodeBatch("otaru-0", {heartbeat_message{"otaru", false, {status}}}));
   REQUIRE(read.size() == 1);
-  const auto& beat = std::get<heartbeat_message>(read.front().body);
-  REQUIRE(beat.words.size() == 1);
-  REQUIRE(beat.words.front().shards.size() == 2);
-  CHECK(beat.words.front().shards[0].shard == "otaru/0");
-  CHECK(beat.words.front().shards[0].summary.free == own.summary.free);
-  CHECK(beat.words.front().shards[1].shard == "asahikawa/0");
+  const auto& heartbeat = std::get<heartbeat_message>(read.front().body);
+  REQUIRE(heartbeat.entries.size() == 1);
+  REQUIRE(heartbeat.entries.front().shards.size() == 2);
+  CHECK(heartbeat.entries.front().shards[0].shard == "otaru/0");
+  CHECK(heartbeat.entries.front().shards[0].summary.free == own.summary.free);
+  CHECK(heartbeat.entries.front().shards[1].shard == "asahikawa/0");
 }
 
 TEST_CASE("job status, parts in several shards, is whole with all of them", "[parts]") {
   job_status status;
-  status.Ask({"otaru/0", "sapporo-ch/0", "asahikawa/0"});
+  status.Start({"otaru/0", "sapporo-ch/0", "asahikawa/0"});
   status_answer home;
   home.shard = "sapporo-ch/0";
   home.known = true;
   home.progress.running = 2;
   home.parts = {{"otaru/0", 0, 2}, {"sapporo-ch/0", 2, 2}};
-  status.Hear(home);
-  CHECK(!status.IsWhole());
+  status.OnAnswer(home);
+  CHECK(!status.IsComplete());
   CHECK(status.Response({1, 1}).body.find("\"heard\":false") != std::string::npos);
   status_answer part = home;
   part.shard = "otaru/0";
   part.home = "sapporo-ch/0";
-  status.Hear(part);
-  CHECK(status.IsWhole());
+  status.OnAnswer(part);
+  CHECK(status.IsComplete());
   CHECK(status.Response({1, 1}).body.find("\"running\":4") != std::string::npos);
 }
 
