--- a/test/evacuation_test.cc
+++ b/test/evacuation_test.cc
@@ -138,12 +138,12 @@
   open.done.resize(1);
   durable_job over = open;
   over.id = {2, 2};
-  durable_job once = open;
-  once.id = {3, 3};
-  once.repeatable = false;
+  durable_job not_repeatable = open;
+  not_repeatable.id = {3, 3};
+  not_repeatable.repeatable = false;
   store_item segment;
-  segment.value = EncodeSegment(4, EncodeJob(open) + "," + EncodeJob(over) + "," + EncodeJob(once) +
-                                       "," + EncodeJobDone(over.id));
+  segment.value = EncodeSegment(4, EncodeJob(open) + "," + EncodeJob(over) + "," +
+                                       EncodeJob(not_repeatable) + "," + EncodeJobDone(over.id));
   Answer(work, Call(work), store_status::kDone, {segment});
   CHECK(work.State() == evacuation_state::kCounted);
   CHECK(work.Size().jobs == 2);
--- a/test/incarnation_test.cc
+++ b/test/incarnation_test.cc
@@ -36,12 +36,12 @@
     endpoint.address = "http://127.0.0.1:1";
     endpoint.shape = {16000, 32768, 0, 8};
     owner_->SetEndpoints({endpoint}, now_);
-    lives_ = std::make_unique<incarnation_store>(
+    store_of_incarnations_ = std::make_unique<incarnation_store>(
         "entry-a", [this](const store_request& call,
                           const std::function<void(store_reply, monotonic_time)>& done) {
           done(store_up_ ? store_.Apply(call, now_) : store_reply{}, now_);
         });
-    lives_->OnGained(*owner_, now_);
+    store_of_incarnations_->OnGained(*owner_, now_);
     Run(milliseconds{100});
   }
 
@@ -52,22 +52,22 @@
       for (const shard_action& action : actions_) {
         if (const auto* fence = std::get_if<fence_action>(&action)) Answer(*fence);
       }
-      lives_->Tick(*owner_, now_);
+      store_of_incarnations_->Tick(*owner_, now_);
     }
   }
 
   void Answer(const fence_action& fence) {
     endpoint_reply reply;
     reply.status = endpoint_status::kDone;
-    reply.incarnation = life_;
+    reply.incarnation = incarnation_;
     owner_->OnFence(fence.endpoint, fence.token, reply, now_);
   }
 
   // What the caller of a request that is not repeatable hears when it asks again; a request that
   // is taken in, to be started, has no outcome yet.
-  std::optional<outcome_kind> AskAgain() {
+  std::optional<outcome_kind> RetryRequest() {
     place_message place;
-    place.id = {1, ++asked_};
+    place.id = {1, ++requests_};
     place.team = "booking";
     place.each = {100, 100, 0, 1};
     place.deadline_left = milliseconds{5000};
@@ -86,10 +86,10 @@
   fake_store store_;
   bool store_up_ = true;
   uint64_t epoch_ = 0;
-  uint64_t life_ = 1;
-  uint64_t asked_ = 0;
+  uint64_t incarnation_ = 1;
+  uint64_t requests_ = 0;
   std::unique_ptr<shard> owner_;
-  std::unique_ptr<incarnation_store> lives_;
+  std::unique_ptr<incarnation_store> store_of_incarnations_;
   std::vector<shard_action> actions_;
 };
 
@@ -97,33 +97,33 @@
 
 TEST_CASE_METHOD(incarnation_fixture, "incarnations, endpoint lives on, new owner is certain",
                  "[incarnation]") {
-  CHECK(AskAgain() == std::nullopt);
+  CHECK(RetryRequest() == std::nullopt);
   TakeOver();
-  CHECK(AskAgain() == std::nullopt);
+  CHECK(RetryRequest() == std::nullopt);
 }
 
 // An endpoint restarts after the old owner started work there and before the new one listed it. Its
 // list is empty and looks whole; a caller that asks again would have its booking made twice.
 TEST_CASE_METHOD(incarnation_fixture, "incarnations, endpoint forgot, new owner says unknown",
                  "[incarnation]") {
-  ++life_;
+  ++incarnation_;
   TakeOver();
-  CHECK(AskAgain() == outcome_kind::kUnknown);
+  CHECK(RetryRequest() == outcome_kind::kUnknown);
   Run(seconds{31});
-  CHECK(AskAgain() == std::nullopt);
+  CHECK(RetryRequest() == std::nullopt);
 }
 
 // The owner that saw the restart dies, too, before the callers have given up asking.
 TEST_CASE_METHOD(incarnation_fixture,
                  "incarnations, endpoint forgot, second new owner says unknown", "[incarnation]") {
-  ++life_;
+  ++incarnation_;
   TakeOver();
   Run(seconds{20});
   TakeOver();
-  CHECK(AskAgain() == outcome_kind::kUnknown);
+  CHECK(RetryRequest() == outcome_kind::kUnknown);
   Run(seconds{35});
   TakeOver();
-  CHECK(AskAgain() == std::nullopt);
+  CHECK(RetryRequest() == std::nullopt);
 }
 
 // The store goes out right after a takeover. Until the record is read nothing can be said of what
@@ -132,7 +132,7 @@
                  "[incarnation]") {
   store_up_ = false;
   TakeOver();
-  CHECK(AskAgain() == std::nullopt);
+  CHECK(RetryRequest() == std::nullopt);
   CHECK_FALSE(owner_->AllListed());
   store_up_ = true;
   Run(seconds{1});
@@ -142,7 +142,7 @@
 // A reconciliation that must not run twice was accepted, perhaps started, and its endpoint forgot.
 TEST_CASE_METHOD(incarnation_fixture,
                  "incarnations, endpoint forgot, accepted job is not run again", "[incarnation]") {
-  ++life_;
+  ++incarnation_;
   restored_job job;
   job.spec.id = {2, 1};
   job.spec.kind = workload_kind::kBatch;
--- a/test/job_log_test.cc
+++ b/test/job_log_test.cc
@@ -49,7 +49,7 @@
     for (const job_notice& notice : log->TakeNotices()) notices.push_back(notice);
   }
   // The store refuses the oldest call.
-  void Refuse() {
+  void RejectCall() {
     const uint64_t tag = under_way_.front().tag;
     under_way_.erase(under_way_.begin());
     log->OnReply(tag, {store_status::kUnavailable}, now_);
@@ -181,7 +181,7 @@
   CHECK_FALSE(first_.log->Withdraw(Job(1).id));  // its call is under way
   first_.log->Append(Job(2));
   SECTION("refused: nothing was written") {
-    first_.Refuse();
+    first_.RejectCall();
     CHECK(first_.log->Withdraw(Job(1).id));
     CHECK_FALSE(first_.log->Withdraw(Job(1).id));
     first_.Run(4);
@@ -283,7 +283,7 @@
   }
   void FinishOne(log_writer& writer) {
     const std::optional<request_id> id = First(writer);
-    if (id && writer.log->FinishJob(*id) == append_result::kQueued) asked_over_.insert(*id);
+    if (id && writer.log->FinishJob(*id) == append_result::kQueued) finish_requested_.insert(*id);
   }
   void TakeNotices(log_writer& writer) {
     for (const job_notice& notice : writer.notices) {
@@ -323,7 +323,7 @@
     for (const auto& [id, tasks] : promised_) {
       const auto found = log.Jobs().find(id);
       const bool gone = found == log.Jobs().end();
-      if (gone && !asked_over_.contains(id)) return false;
+      if (gone && !finish_requested_.contains(id)) return false;
       for (uint32_t task = 0; task < kTasks && !gone; ++task) {
         if ((tasks >> task & 1U) != 0 && !found->second.record.done[task]) return false;
       }
@@ -337,7 +337,7 @@
   uint64_t epoch_ = 0;
   std::map<request_id, uint32_t> promised_;  // bits of finished tasks
   std::set<request_id> over_;
-  std::set<request_id> asked_over_;  // its end may be in the log, though nobody was told so
+  std::set<request_id> finish_requested_;  // its end may be in the log, though nobody was told so
 };
 
 // A number below `limit`, of whatever size the case is.
--- a/test/membership_test.cc
+++ b/test/membership_test.cc
@@ -67,7 +67,7 @@
     if (target != nodes_.end() && target->second.hangs) return;
     const bool reachable =
         target != nodes_.end() && cut_ != nodes_[from].domain && cut_ != target->second.domain;
-    if (!reachable) return NoteSilent(from, to);
+    if (!reachable) return ReportSilent(from, to);
     const bool near = nodes_[from].domain == target->second.domain;
     size_t texts = Deliver(from, *target->second.members);
     if (!near) texts += Deliver(to, *nodes_[from].members);
@@ -76,7 +76,7 @@
   }
 
   // As the node does: a refused call is told to the neighbours.
-  void NoteSilent(const std::string& from, const std::string& to) {
+  void ReportSilent(const std::string& from, const std::string& to) {
     membership& own = *nodes_[from].members;
     const bool was_up = own.IsUp(to);
     own.OnSilent(to, now_);
@@ -88,7 +88,7 @@
     }
   }
 
-  entry_status WordOf(const std::string& name) {
+  entry_status StatusOf(const std::string& name) {
     node& one = nodes_[name];
     entry_status status{name,
                         absl::StrCat(name, ":1"),
@@ -103,7 +103,7 @@
   // Returns what the text takes on the wire, where each quote is escaped.
   size_t Deliver(const std::string& from, membership& to) {
     const std::string text =
-        EncodeBatch(from, {nodes_[from].members->Heartbeat(WordOf(from), now_)});
+        EncodeBatch(from, {nodes_[from].members->Heartbeat(StatusOf(from), now_)});
     const std::vector<peer_message> messages = DecodeBatch(text);
     REQUIRE(messages.size() == 1);
     to.OnHeartbeat(std::get<heartbeat_message>(messages[0].body), now_);
@@ -126,7 +126,7 @@
   }
 
   // Entries that count `name` as up.
-  int Believers(const std::string& name) const {
+  int CountSeenUp(const std::string& name) const {
     return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& item) {
       return item.second.members->IsUp(name);
     }));
@@ -147,12 +147,12 @@
 }  // namespace
 
 TEST_CASE_METHOD(fleet_fixture, "membership, six entries, all know all", "[membership]") {
-  for (const auto& [name, one] : nodes_) CHECK(Believers(name) == 5);
+  for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 5);
 }
 
 TEST_CASE_METHOD(target_size_fixture, "membership, 54 entries, all know all within the budget",
                  "[membership]") {
-  for (const auto& [name, one] : nodes_) CHECK(Believers(name) == 53);
+  for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 53);
   bytes_.clear();
   for (auto& [name, one] : nodes_) one.changes.clear();
   Run(seconds{30});
@@ -175,8 +175,8 @@
     if (entry != 2) CHECK_FALSE(nodes_.at(Name(4, entry)).members->IsUp("d4-e2"));
   }
   Run(seconds{23});
-  CHECK(Believers("d4-e2") == 0);
-  CHECK(Believers("d4-e3") == 52);
+  CHECK(CountSeenUp("d4-e2") == 0);
+  CHECK(CountSeenUp("d4-e3") == 52);
 }
 
 // Entries pass on what they have heard. If news got younger on its way, a dead entry would be kept
@@ -185,7 +185,7 @@
                  "[membership]") {
   nodes_.erase("d1-e0");
   Run(seconds{25});
-  CHECK(Believers("d1-e0") == 0);
+  CHECK(CountSeenUp("d1-e0") == 0);
   for (const auto& [name, one] : nodes_) {
     CHECK(one.members->Members().at("d1-e0").state == member_state::kDown);
   }
@@ -198,7 +198,7 @@
   Run(seconds{2});
   Add("d1-e0", "d1", kIncarnation + 7);
   Run(seconds{5});
-  CHECK(Believers("d1-e0") == 5);
+  CHECK(CountSeenUp("d1-e0") == 5);
   membership& other = *nodes_.at("d1-e1").members;
   other.OnHeartbeat({"d1", false, {{"d1-e0", "elsewhere:1", 1, 99999, milliseconds{0}}}}, now_);
   CHECK(other.Members().at("d1-e0").status.incarnation == kIncarnation + 7);
@@ -210,7 +210,7 @@
   Add("d2-e9", "d2", kIncarnation);
   list_.pop_back();
   Run(seconds{4});
-  CHECK(Believers("d2-e9") == 6);
+  CHECK(CountSeenUp("d2-e9") == 6);
 }
 
 TEST_CASE_METHOD(fleet_fixture, "membership, entry gone from the list and silent, is forgotten",
@@ -225,11 +225,11 @@
                  "[membership]") {
   cut_ = "d0";
   Run(seconds{30});
-  CHECK(Believers("d0-e0") == 0);  // a cut domain's entries do not reach each other here either
-  CHECK(Believers("d1-e0") == 3);
+  CHECK(CountSeenUp("d0-e0") == 0);  // a cut domain's entries do not reach each other here either
+  CHECK(CountSeenUp("d1-e0") == 3);
   cut_.clear();
   Run(seconds{10});
-  for (const auto& [name, one] : nodes_) CHECK(Believers(name) == 5);
+  for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 5);
 }
 
 // The network loses calls to an entry that hangs and refuses none: nothing tells at once. The
@@ -248,7 +248,7 @@
 // requests to the old owner.
 TEST_CASE_METHOD(fleet_fixture, "membership, word of a dead entry arrives late, is no news",
                  "[membership]") {
-  const heartbeat_message late = nodes_.at("d1-e1").members->Heartbeat(WordOf("d1-e1"), now_);
+  const heartbeat_message late = nodes_.at("d1-e1").members->Heartbeat(StatusOf("d1-e1"), now_);
   Run(seconds{2});
   nodes_.erase("d1-e0");
   Run(seconds{25});
--- a/test/ownership_model_test.cc
+++ b/test/ownership_model_test.cc
@@ -16,81 +16,82 @@
 constexpr uint64_t kSeed = 20261202;
 constexpr int kCases = 150;
 constexpr int kEntries = 3;
-constexpr milliseconds kHealed{12000};
+constexpr milliseconds kHealLimit{12000};
 
 // A number below `limit`, of whatever size the case is.
 int Below(int limit) { return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, limit)); }
 
 std::string NameOf(int entry) { return absl::StrCat("e", entry); }
 
-void AddMissing(ownership_world& world) {
+void AddMissing(ownership_simulation& simulation) {
   for (int entry = 0; entry < kEntries; ++entry) {
-    if (!world.Has(NameOf(entry))) world.Add(NameOf(entry));
+    if (!simulation.Has(NameOf(entry))) simulation.Add(NameOf(entry));
   }
 }
 
 // One fault or one mend, at a random entry.
-void Disturb(ownership_world& world) {
+void InjectFault(ownership_simulation& simulation) {
   const std::string name = NameOf(Below(kEntries));
   const int action = Below(12);
-  if (action == 9) world.SetStoreDown(true);
-  if (action == 10) world.SetStoreDown(false);
-  if (action == 11) world.CutPeers(Below(2) == 0);
-  if (!world.Has(name)) {
-    world.Add(name);
+  if (action == 9) simulation.SetStoreDown(true);
+  if (action == 10) simulation.SetStoreDown(false);
+  if (action == 11) simulation.CutPeers(Below(2) == 0);
+  if (!simulation.Has(name)) {
+    simulation.Add(name);
     return;
   }
-  if (action == 0) world.Kill(name);
-  if (action == 1) world.Add(name);  // replaced while the old process is cut off at once
-  if (action == 2 || action == 3) world.Pause(name);
-  if (action == 4 || action == 5) world.Resume(name);
-  if (action == 6) world.CutFromStore(name, Below(2) == 0);
-  if (action == 7) world.LoseReplies(1 + Below(4));
-  if (action == 8) world.Release(name);
+  if (action == 0) simulation.Kill(name);
+  if (action == 1) simulation.Add(name);  // replaced while the old process is cut off at once
+  if (action == 2 || action == 3) simulation.Pause(name);
+  if (action == 4 || action == 5) simulation.Resume(name);
+  if (action == 6) simulation.CutFromStore(name, Below(2) == 0);
+  if (action == 7) simulation.LoseReplies(1 + Below(4));
+  if (action == 8) simulation.Release(name);
 }
 
-void Heal(ownership_world& world) {
-  world.SetStoreDown(false);
-  world.CutPeers(false);
-  world.LoseReplies(0);
+void Heal(ownership_simulation& simulation) {
+  simulation.SetStoreDown(false);
+  simulation.CutPeers(false);
+  simulation.LoseReplies(0);
   for (int entry = 0; entry < kEntries; ++entry) {
     const std::string name = NameOf(entry);
-    if (!world.Has(name)) continue;
-    world.Resume(name);
-    world.CutFromStore(name, false);
+    if (!simulation.Has(name)) continue;
+    simulation.Resume(name);
+    simulation.CutFromStore(name, false);
   }
   // Fresh ones come in the place of entries that were told to leave.
   for (int entry = 0; entry < kEntries; ++entry) {
-    if (world.Has(NameOf(entry)) && world.Owner(NameOf(entry)).Releasing()) {
-      world.Kill(NameOf(entry));
+    if (simulation.Has(NameOf(entry)) && simulation.Owner(NameOf(entry)).Releasing()) {
+      simulation.Kill(NameOf(entry));
     }
   }
-  AddMissing(world);
+  AddMissing(simulation);
 }
 
 // Random faults with random time between them, then a mended world.
-void Run(const world_options& options) {
-  ownership_world world(options);
-  AddMissing(world);
-  world.Run(seconds{3});
+void Run(const ownership_simulation_options& options) {
+  ownership_simulation simulation(options);
+  AddMissing(simulation);
+  simulation.Run(seconds{3});
   const int faults = 5 + Below(25);
   for (int i = 0; i < faults; ++i) {
-    Disturb(world);
-    world.Run(milliseconds{10 * (1 + Below(400))});
-    const std::string violation = world.Violation();
+    InjectFault(simulation);
+    simulation.Run(milliseconds{10 * (1 + Below(400))});
+    const std::string violation = simulation.Violation();
     if (!violation.empty()) RC_FAIL(violation);
   }
-  Heal(world);
-  const bool all_owned = world.RunUntil(
+  Heal(simulation);
+  const bool all_owned = simulation.RunUntil(
       [&] {
         for (uint32_t shard = 0; shard < options.shards; ++shard) {
-          if (world.StartsSince(shard, world.Now() - milliseconds{15}).empty()) return false;
+          if (simulation.StartsSince(shard, simulation.Now() - milliseconds{15}).empty())
+            return false;
         }
         return true;
       },
-      kHealed);
+      kHealLimit);
   RC_ASSERT(all_owned);
-  const std::string violation = world.Violation();
+  const std::string violation = simulation.Violation();
   if (!violation.empty()) RC_FAIL(violation);
 }
 
--- a/test/ownership_world.cc
+++ b/test/ownership_world.cc
@@ -83,7 +83,7 @@
   items_[key] = {key, value, ++revision_};
 }
 
-void ownership_world::Add(const std::string& name) {
+void ownership_simulation::Add(const std::string& name) {
   auto added = std::make_unique<entry>();
   added->incarnation = next_incarnation_++;
   added->label = absl::StrCat(name, "#", added->incarnation);
@@ -98,30 +98,30 @@
   entries_[name] = std::move(added);
 }
 
-void ownership_world::Resume(const std::string& name) {
+void ownership_simulation::Resume(const std::string& name) {
   entry& target = At(name);
   target.paused = false;
   for (const auto& action : std::exchange(target.waiting, {})) action();
 }
 
-void ownership_world::Release(const std::string& name) {
+void ownership_simulation::Release(const std::string& name) {
   ownership_actions actions;
   At(name).machine->Release(now_, actions);
   Act(name, At(name), actions);
 }
 
-void ownership_world::Run(milliseconds duration) {
+void ownership_simulation::Run(milliseconds duration) {
   const monotonic_time end = now_ + duration;
   while (now_ < end) Step();
 }
 
-bool ownership_world::RunUntil(const std::function<bool()>& condition, milliseconds limit) {
+bool ownership_simulation::RunUntil(const std::function<bool()>& condition, milliseconds limit) {
   const monotonic_time end = now_ + limit;
   while (now_ < end && !condition()) Step();
   return condition();
 }
 
-void ownership_world::Step() {
+void ownership_simulation::Step() {
   const monotonic_time next = now_ + kTick;
   while (!messages_.empty() && messages_.begin()->first <= next) {
     now_ = std::max(now_, messages_.begin()->first);
@@ -139,18 +139,18 @@
   }
 }
 
-void ownership_world::After(milliseconds delay, message action) {
+void ownership_simulation::After(milliseconds delay, message action) {
   messages_.emplace(now_ + delay, std::move(action));
 }
 
-milliseconds ownership_world::StartDelay() {
+milliseconds ownership_simulation::StartDelay() {
   constexpr uint64_t kStride = 7919;  // spreads the starts over the jitter
   const auto jitter = static_cast<uint64_t>(options_.jitter.count());
   return options_.delay + milliseconds{++sent_ * kStride % (jitter + 1)};
 }
 
-void ownership_world::DeliverTo(const std::string& name, uint64_t incarnation,
-                                const std::function<void(entry&)>& action) {
+void ownership_simulation::DeliverTo(const std::string& name, uint64_t incarnation,
+                                     const std::function<void(entry&)>& action) {
   const auto found = entries_.find(name);
   if (found == entries_.end() || found->second->incarnation != incarnation) return;
   entry* target = found->second.get();
@@ -161,7 +161,7 @@
   }
 }
 
-void ownership_world::Heartbeats(const std::string& name, entry& receiver) {
+void ownership_simulation::Heartbeats(const std::string& name, entry& receiver) {
   for (const auto& [peer, sender] : entries_) {
     if (peer == name || sender->paused || peers_cut_) continue;
     receiver.heard[peer] = now_;
@@ -175,13 +175,14 @@
   }
 }
 
-void ownership_world::Act(const std::string& name, entry& from, const ownership_actions& actions) {
+void ownership_simulation::Act(const std::string& name, entry& from,
+                               const ownership_actions& actions) {
   for (const store_request& call : actions.calls) CallStore(name, from, call);
   for (const ownership_event& event : actions.events) OnEvent(name, from, event);
 }
 
-void ownership_world::CallStore(const std::string& name, const entry& from,
-                                const store_request& call) {
+void ownership_simulation::CallStore(const std::string& name, const entry& from,
+                                     const store_request& call) {
   ++store_calls_;
   const bool reachable = !store_down_ && !from.cut_from_store;
   Later([this, name, incarnation = from.incarnation, call, reachable] {
@@ -203,9 +204,9 @@
   });
 }
 
-void ownership_world::OnEvent(const std::string& name, const entry& from,
-                              const ownership_event& event) {
-  if (event.kind == ownership_event_kind::kQueryOwner) Ask(name, from, event);
+void ownership_simulation::OnEvent(const std::string& name, const entry& from,
+                                   const ownership_event& event) {
+  if (event.kind == ownership_event_kind::kQueryOwner) QueryOwner(name, from, event);
   if (event.kind == ownership_event_kind::kGained) Fence(name, from, event);
   if (event.kind != ownership_event_kind::kNotifySuccessor || peers_cut_) return;
   Later([this, peer = event.peer] {
@@ -216,34 +217,34 @@
   });
 }
 
-void ownership_world::Ask(const std::string& name, const entry& from,
-                          const ownership_event& event) {
+void ownership_simulation::QueryOwner(const std::string& name, const entry& from,
+                                      const ownership_event& event) {
   if (peers_cut_) return;
   Later([this, name, incarnation = from.incarnation, event] {
-    const auto asked = entries_.find(event.peer);
-    if (asked == entries_.end()) return;
-    DeliverTo(event.peer, asked->second->incarnation, [=, this](entry& target) {
+    const auto queried = entries_.find(event.peer);
+    if (queried == entries_.end()) return;
+    DeliverTo(event.peer, queried->second->incarnation, [=, this](entry& target) {
       const owner_answer answer = target.machine->OnOwnerQuery(event.shard, now_);
       Later([=, this] {
-        DeliverTo(name, incarnation, [=, this](entry& asker) {
-          asker.machine->OnOwnerAnswer(event.peer, event.shard, answer.holds, now_);
+        DeliverTo(name, incarnation, [=, this](entry& requester) {
+          requester.machine->OnOwnerAnswer(event.peer, event.shard, answer.holds, now_);
         });
       });
     });
   });
 }
 
-void ownership_world::Fence(const std::string& name, const entry& from,
-                            const ownership_event& event) {
-  ++gained_;
+void ownership_simulation::Fence(const std::string& name, const entry& from,
+                                 const ownership_event& event) {
+  ++claims_;
   Later([this, name, incarnation = from.incarnation, event] {
     uint64_t& highest = endpoint_epoch_[event.shard];
     const bool refused = options_.endpoints_fence && event.epoch < highest;
     highest = std::max(highest, event.epoch);
-    Later([=, this, told = highest] {
+    Later([=, this, reported = highest] {
       DeliverTo(name, incarnation, [=, this](entry& target) {
         ownership_actions actions;
-        if (refused) target.machine->OnFenced(event.shard, told, now_, actions);
+        if (refused) target.machine->OnFenced(event.shard, reported, now_, actions);
         if (!refused) target.listed[event.shard] = event.epoch;
         Act(name, target, actions);
       });
@@ -251,7 +252,7 @@
   });
 }
 
-void ownership_world::SendStarts(const std::string& name, const entry& from) {
+void ownership_simulation::SendStarts(const std::string& name, const entry& from) {
   for (uint32_t shard = 0; shard < options_.shards; ++shard) {
     const uint64_t epoch = from.machine->Epoch(shard);
     const auto listed = from.listed.find(shard);
@@ -274,7 +275,7 @@
   }
 }
 
-std::string ownership_world::OwnerOf(uint32_t shard) const {
+std::string ownership_simulation::OwnerOf(uint32_t shard) const {
   std::string owner;
   for (const auto& [name, one] : entries_) {
     if (!one->machine->MayStart(shard, now_)) continue;
@@ -284,8 +285,8 @@
   return owner;
 }
 
-std::vector<accepted_start> ownership_world::StartsSince(uint32_t shard,
-                                                         monotonic_time since) const {
+std::vector<accepted_start> ownership_simulation::StartsSince(uint32_t shard,
+                                                              monotonic_time since) const {
   std::vector<accepted_start> result;
   for (const accepted_start& start : starts_) {
     if (start.shard == shard && start.at >= since) result.push_back(start);
@@ -293,7 +294,7 @@
   return result;
 }
 
-std::string ownership_world::Violation() const {
+std::string ownership_simulation::Violation() const {
   std::map<std::pair<uint32_t, uint64_t>, std::string> owner_of_epoch;
   std::map<uint32_t, uint64_t> highest;
   for (const accepted_start& start : starts_) {
--- a/test/ownership_world.h
+++ b/test/ownership_world.h
@@ -45,16 +45,16 @@
   uint64_t epoch = 0;
 };
 
-struct world_options {
+struct ownership_simulation_options {
   uint32_t shards = 1;
   bool endpoints_fence = true;
   std::chrono::milliseconds delay{1};   // of every message, one way
   std::chrono::milliseconds jitter{0};  // of a start on its way to the endpoint: up to this more
 };
 
-class ownership_world {
+class ownership_simulation {
  public:
-  explicit ownership_world(world_options options) : options_(options) {}
+  explicit ownership_simulation(ownership_simulation_options options) : options_(options) {}
 
   // Faults.
   void Add(const std::string& name);  // also a new process of a name that was there
@@ -82,7 +82,7 @@
   const std::vector<accepted_start>& Starts() const { return starts_; }
   // Starts since `since`, of one shard.
   std::vector<accepted_start> StartsSince(uint32_t shard, monotonic_time since) const;
-  int Claims() const { return gained_; }
+  int Claims() const { return claims_; }
   uint64_t StoreCalls() const { return store_calls_; }
   // The promise: what a broken one looks like, or an empty text.
   std::string Violation() const;
@@ -113,11 +113,11 @@
   void Act(const std::string& name, entry& from, const ownership_actions& actions);
   void CallStore(const std::string& name, const entry& from, const store_request& call);
   void OnEvent(const std::string& name, const entry& from, const ownership_event& event);
-  void Ask(const std::string& name, const entry& from, const ownership_event& event);
+  void QueryOwner(const std::string& name, const entry& from, const ownership_event& event);
   void Fence(const std::string& name, const entry& from, const ownership_event& event);
   void SendStarts(const std::string& name, const entry& from);
 
-  world_options options_;
+  ownership_simulation_options options_;
   monotonic_time now_{std::chrono::hours{1}};
   fake_store store_;
   std::map<std::string, std::unique_ptr<entry>> entries_;
@@ -128,7 +128,7 @@
   bool store_down_ = false;
   bool peers_cut_ = false;
   int replies_to_lose_ = 0;
-  int gained_ = 0;
+  int claims_ = 0;
   uint64_t store_calls_ = 0;
   uint64_t sent_ = 0;
 };
--- a/test/parts_world.cc
+++ b/test/parts_world.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-parts_world::parts_world(uint64_t seed) : random_(seed) {
+parts_simulation::parts_simulation(uint64_t seed) : random_(seed) {
   for (size_t site = 0; site < kSites; ++site) {
     sites_[site].name = absl::StrCat(kDomains[site], "/0");
     Open(site);
@@ -22,7 +22,7 @@
   Step(milliseconds{1});
 }
 
-void parts_world::Open(size_t site) {
+void parts_simulation::Open(size_t site) {
   site_state& at = sites_[site];
   shard_options options;
   options.name = at.name;
@@ -44,7 +44,7 @@
   at.owner->SetIncarnations({{endpoint.name, 1}}, now_);
 }
 
-void parts_world::Configure(size_t site) {
+void parts_simulation::Configure(size_t site) {
   configuration config;
   config.workspaces.resize(1);
   team_contract team;
@@ -61,12 +61,12 @@
   sites_[site].owner->SetGrants({grant}, now_);
 }
 
-void parts_world::SetQueueLimit(size_t site, uint32_t tasks) {
+void parts_simulation::SetQueueLimit(size_t site, uint32_t tasks) {
   sites_[site].queue_limit = tasks;
   Configure(site);
 }
 
-void parts_world::Start(uint32_t replicas) {
+void parts_simulation::Start(uint32_t replicas) {
   place_message place;
   place.id = {7, 7};
   place.shard = sites_[0].name;
@@ -86,23 +86,25 @@
   sites_[0].owner->Place(kCaller, std::move(place), now_);
 }
 
-void parts_world::Cancel() { At(0).Cancel(kCaller, {service_.id, sites_[0].name, "", 0}, now_); }
+void parts_simulation::Cancel() {
+  At(0).Cancel(kCaller, {service_.id, sites_[0].name, "", 0}, now_);
+}
 
-void parts_world::ReplaceOwner(size_t site) { Succeed(site, false); }
+void parts_simulation::ReplaceOwner(size_t site) { ChangeOwner(site, false); }
 
-void parts_world::LoseAndEvacuate(size_t site) {
+void parts_simulation::LoseAndEvacuate(size_t site) {
   sites_[site].running.clear();
-  Succeed(site, true);
+  ChangeOwner(site, true);
 }
 
-void parts_world::Succeed(size_t site, bool evacuated) {
-  const bool came_through = Below(2) == 0;
+void parts_simulation::ChangeOwner(size_t site, bool evacuated) {
+  const bool was_applied = Below(2) == 0;
   for (const log_write& write : std::exchange(writes_, {})) {
     if (write.site != site) {
       writes_.push_back(write);
-    } else if (came_through && write.record) {
+    } else if (was_applied && write.record) {
       sites_[site].log[write.job] = *write.record;
-    } else if (came_through) {
+    } else if (was_applied) {
       sites_[site].log.erase(write.job);
     }
   }
@@ -115,7 +117,7 @@
 }
 
 // Evenly to the other sites that have endpoints.
-std::vector<job_part> parts_world::SplitAwayFrom(size_t site, uint32_t tasks) const {
+std::vector<job_part> parts_simulation::SplitAwayFrom(size_t site, uint32_t tasks) const {
   std::vector<job_part> parts;
   for (size_t other = 0; other < kSites; ++other) {
     if (other != site && !sites_[other].evacuated) parts.push_back({sites_[other].name, 0, 0});
@@ -124,7 +126,7 @@
   return parts;
 }
 
-void parts_world::Step(milliseconds time) {
+void parts_simulation::Step(milliseconds time) {
   now_ += time;
   for (size_t site = 0; site < kSites; ++site) {
     if (Below(100) >= odds_.slow_store) Commit(site);
@@ -135,41 +137,41 @@
     }
     sites_[site].owner->Act(now_, actions);
     for (const shard_action& action : actions) {
-      std::visit([&](const auto& what) { Do(site, what); }, action);
+      std::visit([&](const auto& what) { Execute(site, what); }, action);
     }
   }
   Deliver();
 }
 
-size_t parts_world::SiteOf(const std::string& shard) const {
+size_t parts_simulation::SiteOf(const std::string& shard) const {
   size_t site = 0;
   while (sites_[site].name != shard) ++site;
   return site;
 }
 
-std::string parts_world::EntryOf(size_t site) const {
+std::string parts_simulation::EntryOf(size_t site) const {
   return absl::StrCat(site, "@", sites_[site].epoch);
 }
 
-void parts_world::Post(size_t from, size_t to, uint64_t to_epoch, letter body) {
+void parts_simulation::Send(size_t from, size_t to, uint64_t to_epoch, parts_message body) {
   if (cut_[from] || cut_[to] || Below(100) < odds_.lost) return;
-  post_.push_back({from, to, to_epoch, body});
-  if (Below(100) < odds_.doubled) post_.push_back({from, to, to_epoch, std::move(body)});
+  in_flight_.push_back({from, to, to_epoch, body});
+  if (Below(100) < odds_.doubled) in_flight_.push_back({from, to, to_epoch, std::move(body)});
 }
 
-void parts_world::Deliver() {
-  std::vector<sent_letter> post = std::exchange(post_, {});
-  std::shuffle(post.begin(), post.end(), random_);
-  for (sent_letter& sent : post) {
+void parts_simulation::Deliver() {
+  std::vector<sent_message> messages = std::exchange(in_flight_, {});
+  std::shuffle(messages.begin(), messages.end(), random_);
+  for (sent_message& sent : messages) {
     if (Below(100) < odds_.late) {
-      post_.push_back(std::move(sent));
+      in_flight_.push_back(std::move(sent));
     } else {
-      Hand(sent);
+      Handle(sent);
     }
   }
 }
 
-void parts_world::Hand(const sent_letter& sent) {
+void parts_simulation::Handle(const sent_message& sent) {
   site_state& at = sites_[sent.to];
   if (at.epoch != sent.to_epoch || cut_[sent.to]) return;  // its process is gone
   if (const auto* place = std::get_if<place_message>(&sent.body)) {
@@ -181,14 +183,14 @@
   }
 }
 
-endpoint_reply parts_world::ReplyOf(size_t /*site*/) const {
+endpoint_reply parts_simulation::ReplyOf(size_t /*site*/) const {
   endpoint_reply reply;
   reply.status = endpoint_status::kDone;
   reply.incarnation = 1;
   return reply;
 }
 
-void parts_world::Do(size_t site, const fence_action& action) {
+void parts_simulation::Execute(size_t site, const fence_action& action) {
   endpoint_reply reply = ReplyOf(site);
   for (const task_id& id : sites_[site].running) {
     task_status status;
@@ -201,7 +203,7 @@
   At(site).OnFence(action.endpoint, action.token, reply, now_);
 }
 
-void parts_world::Do(size_t site, const start_action& action) {
+void parts_simulation::Execute(size_t site, const start_action& action) {
   endpoint_reply reply = ReplyOf(site);
   for (const start_task& task : action.tasks) {
     ran_twice_ = ran_twice_ || Running().contains(task.id.index);
@@ -211,7 +213,7 @@
   At(site).OnStart(action.endpoint, action.token, action.tasks, reply, now_);
 }
 
-void parts_world::Do(size_t site, const stop_action& action) {
+void parts_simulation::Execute(size_t site, const stop_action& action) {
   endpoint_reply reply = ReplyOf(site);
   for (const task_id& id : action.ids) {
     if (sites_[site].running.erase(id) == 0) continue;
@@ -221,7 +223,7 @@
   At(site).OnSync(action.endpoint, action.token, reply, now_);
 }
 
-void parts_world::Do(size_t site, const record_action& action) {
+void parts_simulation::Execute(size_t site, const record_action& action) {
   if (!action.is_change && Below(100) < odds_.not_recorded) {
     At(site).OnRecorded(action.job, false, now_);
     return;
@@ -229,22 +231,22 @@
   writes_.push_back({site, action.job, *At(site).SpecOf(action.job)});
 }
 
-void parts_world::Do(size_t site, const complete_action& action) {
+void parts_simulation::Execute(size_t site, const complete_action& action) {
   if (action.job_ended) writes_.push_back({site, action.task.job, std::nullopt});
 }
 
 // All that one shard has under way.
-void parts_world::Commit(size_t site) {
+void parts_simulation::Commit(size_t site) {
   for (const log_write& write : std::exchange(writes_, {})) {
     if (write.site == site) {
-      Tell(write);
+      NotifyRecorded(write);
     } else {
       writes_.push_back(write);
     }
   }
 }
 
-void parts_world::Tell(const log_write& done) {
+void parts_simulation::NotifyRecorded(const log_write& done) {
   if (done.record) {
     sites_[done.site].log[done.job] = *done.record;
     At(done.site).OnRecorded(done.job, true, now_);
@@ -254,10 +256,10 @@
   }
 }
 
-void parts_world::Do(size_t site, const part_action& action) {
+void parts_simulation::Execute(size_t site, const part_action& action) {
   const size_t to = SiteOf(action.call.shard);
   if (action.call.is_cancel) {
-    Post(site, to, sites_[to].epoch,
+    Send(site, to, sites_[to].epoch,
          cancel_message{action.call.id, action.call.shard, sites_[site].name, action.call.send});
     return;
   }
@@ -267,20 +269,20 @@
   part.shard = action.call.shard;
   part.home = sites_[site].name;
   part.send = action.call.send;
-  Post(site, to, sites_[to].epoch, std::move(part));
+  Send(site, to, sites_[to].epoch, std::move(part));
 }
 
-void parts_world::Do(size_t site, const part_answer_action& action) {
+void parts_simulation::Execute(size_t site, const part_answer_action& action) {
   const size_t to = SiteOf(action.answer.home);
   const uint64_t epoch = EntryOf(to) == action.entry ? sites_[to].epoch : 0;
-  Post(site, to, epoch, action.answer);
+  Send(site, to, epoch, action.answer);
 }
 
-void parts_world::Do(size_t /*site*/, const answer_action& action) {
+void parts_simulation::Execute(size_t /*site*/, const answer_action& action) {
   if (action.entry == kCaller) outcomes_.push_back(action.result);
 }
 
-std::map<uint32_t, int> parts_world::Running() const {
+std::map<uint32_t, int> parts_simulation::Running() const {
   std::map<uint32_t, int> running;
   for (const site_state& at : sites_) {
     for (const task_id& id : at.running) ++running[id.index];
@@ -288,18 +290,18 @@
   return running;
 }
 
-std::set<uint32_t> parts_world::RunningAt(size_t site) const {
+std::set<uint32_t> parts_simulation::RunningAt(size_t site) const {
   std::set<uint32_t> running;
   for (const task_id& id : sites_[site].running) running.insert(id.index);
   return running;
 }
 
-bool parts_world::Told(outcome_kind kind) const {
+bool parts_simulation::WasReported(outcome_kind kind) const {
   return std::any_of(outcomes_.begin(), outcomes_.end(),
                      [&](const outcome& one) { return one.kind == kind; });
 }
 
-bool parts_world::ToldOver() const {
+bool parts_simulation::WasReportedOver() const {
   return std::any_of(outcomes_.begin(), outcomes_.end(), [](const outcome& one) {
     return one.kind == outcome_kind::kFailed || one.reason == refusal_reason::kCancelled;
   });
--- a/test/parts_world.h
+++ b/test/parts_world.h
@@ -23,9 +23,9 @@
 
 constexpr size_t kSites = 3;
 
-class parts_world {
+class parts_simulation {
  public:
-  explicit parts_world(uint64_t seed);
+  explicit parts_simulation(uint64_t seed);
 
   // A service of `replicas`, spread evenly, whose home is the first site. As often as a caller
   // asks.
@@ -58,9 +58,9 @@
   // Whether a replica ever ran at two endpoints at once.
   bool RanTwice() const { return ran_twice_; }
   const std::vector<outcome>& Outcomes() const { return outcomes_; }
-  bool Told(outcome_kind kind) const;
+  bool WasReported(outcome_kind kind) const;
   // Its caller heard that it was cancelled.
-  bool ToldOver() const;
+  bool WasReportedOver() const;
   monotonic_time Now() const { return now_; }
   shard& At(size_t site) { return *sites_[site].owner; }
   int Below(int limit) { return static_cast<int>(random_() % static_cast<uint64_t>(limit)); }
@@ -82,43 +82,43 @@
     request_id job;
     std::optional<place_message> record;  // absent: the job is over
   };
-  using letter = std::variant<place_message, cancel_message, part_answer_message>;
-  struct sent_letter {
+  using parts_message = std::variant<place_message, cancel_message, part_answer_message>;
+  struct sent_message {
     size_t from = 0;
     size_t to = 0;
     uint64_t to_epoch = 0;  // the process that it is addressed to
-    letter body;
+    parts_message body;
   };
 
   void Open(size_t site);
-  void Succeed(size_t site, bool evacuated);
+  void ChangeOwner(size_t site, bool evacuated);
   std::vector<job_part> SplitAwayFrom(size_t site, uint32_t tasks) const;
   void Configure(size_t site);
   size_t SiteOf(const std::string& shard) const;
   std::string EntryOf(size_t site) const;
-  void Post(size_t from, size_t to, uint64_t to_epoch, letter body);
+  void Send(size_t from, size_t to, uint64_t to_epoch, parts_message body);
   void Deliver();
   void Commit(size_t site);
-  void Tell(const log_write& done);
-  void Hand(const sent_letter& sent);
+  void NotifyRecorded(const log_write& done);
+  void Handle(const sent_message& sent);
   endpoint_reply ReplyOf(size_t site) const;
-  void Do(size_t site, const fence_action& action);
-  void Do(size_t site, const start_action& action);
-  void Do(size_t site, const stop_action& action);
-  void Do(size_t site, const record_action& action);
-  void Do(size_t site, const complete_action& action);
-  void Do(size_t site, const part_action& action);
-  void Do(size_t site, const part_answer_action& action);
-  void Do(size_t site, const answer_action& action);
+  void Execute(size_t site, const fence_action& action);
+  void Execute(size_t site, const start_action& action);
+  void Execute(size_t site, const stop_action& action);
+  void Execute(size_t site, const record_action& action);
+  void Execute(size_t site, const complete_action& action);
+  void Execute(size_t site, const part_action& action);
+  void Execute(size_t site, const part_answer_action& action);
+  void Execute(size_t site, const answer_action& action);
   template <typename Other>
-  void Do(size_t /*site*/, const Other& /*action*/) {}
+  void Execute(size_t /*site*/, const Other& /*action*/) {}
 
   std::mt19937_64 random_;
   odds odds_;
   team_names teams_;
   std::array<site_state, kSites> sites_;
   std::array<bool, kSites> cut_{};
-  std::vector<sent_letter> post_;
+  std::vector<sent_message> in_flight_;
   std::deque<log_write> writes_;
   std::vector<outcome> outcomes_;
   place_message service_;
--- a/test/peer_mailbox_test.cc
+++ b/test/peer_mailbox_test.cc
@@ -19,7 +19,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPatience{20000};  // of a test that waits for what has to come
+constexpr milliseconds kWaitLimit{20000};  // of a test that waits for what has to come
 constexpr milliseconds kCallTimeout{10000};
 constexpr milliseconds kShortTimeout{1000};  // where a call is meant to time out
 
@@ -77,7 +77,7 @@
   template <typename Condition>
   bool WaitFor(Condition condition) {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, kPatience, condition);
+    return changed_.wait_for(lock, kWaitLimit, condition);
   }
   void Lose(transfer_status status, size_t count) {
     const std::lock_guard lock(mutex_);
@@ -100,9 +100,9 @@
   peer_mailbox from_;
 };
 
-class impatient_mailbox_fixture : public mailbox_fixture {
+class short_timeout_fixture : public mailbox_fixture {
  protected:
-  impatient_mailbox_fixture() : mailbox_fixture(kShortTimeout) {}
+  short_timeout_fixture() : mailbox_fixture(kShortTimeout) {}
 };
 
 }  // namespace
@@ -150,7 +150,7 @@
 
 // Something between the two ends has lost track of the connection: what is sent on it never
 // arrives. The message has to come through all the same, on a new connection.
-TEST_CASE_METHOD(impatient_mailbox_fixture, "mailbox, connection silent, delivers on a fresh one",
+TEST_CASE_METHOD(short_timeout_fixture, "mailbox, connection silent, delivers on a fresh one",
                  "[mailbox]") {
   Serve();
   fault_proxy proxy;
@@ -175,7 +175,7 @@
   CHECK(lost_status_ == transfer_status::kNotSent);
 }
 
-TEST_CASE_METHOD(impatient_mailbox_fixture,
+TEST_CASE_METHOD(short_timeout_fixture,
                  "mailbox, peer takes a batch and never answers, may have sent it", "[mailbox]") {
   Serve();
   from_.SetPeer("to", UrlOfPeer());
--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -17,12 +17,12 @@
 constexpr int kHistories = 3000;
 constexpr int kHealingSteps = 400;
 
-void Run(parts_world& world, int steps) {
-  for (int i = 0; i < steps; ++i) world.Step(milliseconds{50});
+void Run(parts_simulation& simulation, int steps) {
+  for (int i = 0; i < steps; ++i) simulation.Step(milliseconds{50});
 }
 
-bool EachRunsOnce(const parts_world& world, uint32_t replicas) {
-  const auto running = world.Running();
+bool EachRunsOnce(const parts_simulation& simulation, uint32_t replicas) {
+  const auto running = simulation.Running();
   return running.size() == replicas && std::all_of(running.begin(), running.end(),
                                                    [](const auto& one) { return one.second == 1; });
 }
@@ -107,67 +107,67 @@
 TEST_CASE(
     "spread service, asked for, runs in every domain and is accepted when all have recorded it",
     "[parts]") {
-  parts_world world(1);
-  world.Start(kReplicas);
-  CHECK(!world.Told(outcome_kind::kAccepted));
-  Run(world, 10);
-  CHECK(world.Told(outcome_kind::kAccepted));
-  CHECK(EachRunsOnce(world, kReplicas));
-  CHECK(world.RunningAt(0).size() == 3);
-  CHECK(world.RunningAt(2).size() == 2);
-  world.Cancel();
-  Run(world, 10);
-  CHECK(world.Running().empty());
-  CHECK(world.Told(outcome_kind::kFailed));
+  parts_simulation simulation(1);
+  simulation.Start(kReplicas);
+  CHECK(!simulation.WasReported(outcome_kind::kAccepted));
+  Run(simulation, 10);
+  CHECK(simulation.WasReported(outcome_kind::kAccepted));
+  CHECK(EachRunsOnce(simulation, kReplicas));
+  CHECK(simulation.RunningAt(0).size() == 3);
+  CHECK(simulation.RunningAt(2).size() == 2);
+  simulation.Cancel();
+  Run(simulation, 10);
+  CHECK(simulation.Running().empty());
+  CHECK(simulation.WasReported(outcome_kind::kFailed));
 }
 
 // A domain is cut off just as a service comes. Its caller must not wait for the end of the cut, and
 // must be told which replicas nobody has confirmed; they come once the domain is back.
 TEST_CASE("spread service, domain cut off, is accepted with its name and whole later", "[parts]") {
-  parts_world world(2);
-  world.CutOff(2, true);
-  world.Start(kReplicas);
-  Run(world, 60);
-  REQUIRE(world.Told(outcome_kind::kAccepted));
-  CHECK(world.Outcomes().front().detail.find("asahikawa/0") != std::string::npos);
-  CHECK(world.Running().size() == 5);
-  world.CutOff(2, false);
-  Run(world, 200);
-  CHECK(EachRunsOnce(world, kReplicas));
+  parts_simulation simulation(2);
+  simulation.CutOff(2, true);
+  simulation.Start(kReplicas);
+  Run(simulation, 60);
+  REQUIRE(simulation.WasReported(outcome_kind::kAccepted));
+  CHECK(simulation.Outcomes().front().detail.find("asahikawa/0") != std::string::npos);
+  CHECK(simulation.Running().size() == 5);
+  simulation.CutOff(2, false);
+  Run(simulation, 200);
+  CHECK(EachRunsOnce(simulation, kReplicas));
 }
 
 // The other shards have no room in their queues. The service is accepted all the same and its
 // replicas wait at home, instead of being counted as placed and never run.
 TEST_CASE("spread service, part turned away, runs at its home", "[parts]") {
-  parts_world world(3);
-  world.SetQueueLimit(1, 1);
-  world.Start(kReplicas);
-  Run(world, 20);
-  CHECK(world.Told(outcome_kind::kAccepted));
-  CHECK(EachRunsOnce(world, kReplicas));
-  CHECK(world.RunningAt(1).empty());
-  CHECK(world.RunningAt(0).size() == 5);
-  world.ReplaceOwner(0);
-  Run(world, 20);
-  CHECK(EachRunsOnce(world, kReplicas));
+  parts_simulation simulation(3);
+  simulation.SetQueueLimit(1, 1);
+  simulation.Start(kReplicas);
+  Run(simulation, 20);
+  CHECK(simulation.WasReported(outcome_kind::kAccepted));
+  CHECK(EachRunsOnce(simulation, kReplicas));
+  CHECK(simulation.RunningAt(1).empty());
+  CHECK(simulation.RunningAt(0).size() == 5);
+  simulation.ReplaceOwner(0);
+  Run(simulation, 20);
+  CHECK(EachRunsOnce(simulation, kReplicas));
 }
 
 // A caller cancels a service while one domain is cut off. It must not hear that all is over while
 // replicas run on there.
 TEST_CASE("spread service, cancelled with a domain cut off, is over only when that has heard",
           "[parts]") {
-  parts_world world(4);
-  world.Start(kReplicas);
-  Run(world, 20);
-  world.CutOff(1, true);
-  world.Cancel();
-  Run(world, 60);
-  CHECK(world.RunningAt(1).size() == 2);
-  CHECK(!world.Told(outcome_kind::kFailed));
-  world.CutOff(1, false);
-  Run(world, 200);
-  CHECK(world.Running().empty());
-  CHECK(world.Told(outcome_kind::kFailed));
+  parts_simulation simulation(4);
+  simulation.Start(kReplicas);
+  Run(simulation, 20);
+  simulation.CutOff(1, true);
+  simulation.Cancel();
+  Run(simulation, 60);
+  CHECK(simulation.RunningAt(1).size() == 2);
+  CHECK(!simulation.WasReported(outcome_kind::kFailed));
+  simulation.CutOff(1, false);
+  Run(simulation, 200);
+  CHECK(simulation.Running().empty());
+  CHECK(simulation.WasReported(outcome_kind::kFailed));
 }
 
 // Messages are lost, doubled and late, owners die, records fail, the caller asks again and perhaps
@@ -177,40 +177,42 @@
           "[parts]") {
   for (uint64_t seed = 1; seed <= kHistories; ++seed) {
     INFO("seed " << seed);
-    parts_world world(seed);
+    parts_simulation simulation(seed);
     const bool with_losses = seed % 3 == 0;
-    if (!with_losses && world.Below(3) == 0)
-      world.SetQueueLimit(1 + static_cast<size_t>(world.Below(2)), 1);
-    world.SetOdds(
-        {world.Below(40), world.Below(40), world.Below(60), world.Below(30), world.Below(90)});
-    world.Start(kReplicas);
+    if (!with_losses && simulation.Below(3) == 0)
+      simulation.SetQueueLimit(1 + static_cast<size_t>(simulation.Below(2)), 1);
+    simulation.SetOdds({simulation.Below(40), simulation.Below(40), simulation.Below(60),
+                        simulation.Below(30), simulation.Below(90)});
+    simulation.Start(kReplicas);
     bool cancelled = false;
     for (int i = 0; i < 60; ++i) {
-      const int fault = world.Below(40);
-      if (fault < 3) world.ReplaceOwner(static_cast<size_t>(fault));
-      if (fault == 3 && !world.ToldOver()) world.Start(kReplicas);
-      if (fault == 6 && with_losses) world.LoseAndEvacuate(static_cast<size_t>(world.Below(3)));
-      if (fault == 4) world.CutOff(static_cast<size_t>(world.Below(3)), world.Below(2) == 0);
+      const int fault = simulation.Below(40);
+      if (fault < 3) simulation.ReplaceOwner(static_cast<size_t>(fault));
+      if (fault == 3 && !simulation.WasReportedOver()) simulation.Start(kReplicas);
+      if (fault == 6 && with_losses)
+        simulation.LoseAndEvacuate(static_cast<size_t>(simulation.Below(3)));
+      if (fault == 4)
+        simulation.CutOff(static_cast<size_t>(simulation.Below(3)), simulation.Below(2) == 0);
       if (fault == 5 && seed % 4 == 0) {
-        world.Cancel();
+        simulation.Cancel();
         cancelled = true;
       }
-      world.Step(milliseconds{50 + world.Below(300)});
+      simulation.Step(milliseconds{50 + simulation.Below(300)});
     }
-    world.SetOdds({});
-    for (size_t site = 0; site < kSites; ++site) world.CutOff(site, false);
-    if (with_losses) world.ReplaceOwner(static_cast<size_t>(world.Below(3)));
+    simulation.SetOdds({});
+    for (size_t site = 0; site < kSites; ++site) simulation.CutOff(site, false);
+    if (with_losses) simulation.ReplaceOwner(static_cast<size_t>(simulation.Below(3)));
     // What its caller was told is over stays over, whoever owns the shards by then.
-    const bool over = world.ToldOver();
-    if (!cancelled && !over) world.Start(kReplicas);
-    if (cancelled && !over) world.Cancel();
-    Run(world, kHealingSteps);
-    const bool refused = world.Outcomes().back().kind == outcome_kind::kRefused;
-    REQUIRE_FALSE(world.RanTwice());
+    const bool over = simulation.WasReportedOver();
+    if (!cancelled && !over) simulation.Start(kReplicas);
+    if (cancelled && !over) simulation.Cancel();
+    Run(simulation, kHealingSteps);
+    const bool refused = simulation.Outcomes().back().kind == outcome_kind::kRefused;
+    REQUIRE_FALSE(simulation.RanTwice());
     if (cancelled || over || refused) {
-      REQUIRE(world.Running().empty());
+      REQUIRE(simulation.Running().empty());
     } else {
-      REQUIRE(EachRunsOnce(world, kReplicas));
+      REQUIRE(EachRunsOnce(simulation, kReplicas));
     }
   }
 }
@@ -240,7 +242,7 @@
 // A service is cancelled while the placement of one part is still on its way. Coming after the
 // cancel, it would start replicas of a job that its caller was told is over.
 TEST_CASE("spread service, part cancelled before it came, never starts", "[parts]") {
-  parts_world world(5);
+  parts_simulation simulation(5);
   place_message part;
   part.id = {9, 9};
   part.shard = "otaru/0";
@@ -251,31 +253,31 @@
   part.tasks = 2;
   part.parts = {{"otaru/0", 0, 2}};
   part.fresh = true;
-  world.At(1).Cancel("0@1", {part.id, part.shard, part.home, 6}, world.Now());
-  Run(world, 20);
-  world.At(1).Place("0@1", part, world.Now());
-  Run(world, 20);
-  CHECK(world.Running().empty());
+  simulation.At(1).Cancel("0@1", {part.id, part.shard, part.home, 6}, simulation.Now());
+  Run(simulation, 20);
+  simulation.At(1).Place("0@1", part, simulation.Now());
+  Run(simulation, 20);
+  CHECK(simulation.Running().empty());
 }
 
 // A domain is lost for good and an operator says so. Its replicas must run elsewhere, those of the
 // service whose home it was as well; and when it comes back after all, nothing runs there again.
 TEST_CASE("spread service, domain evacuated, runs elsewhere and stays there", "[parts]") {
   const auto lost = GENERATE(size_t{0}, size_t{1});
-  parts_world world(6);
-  world.Start(kReplicas);
-  Run(world, 20);
-  world.LoseAndEvacuate(lost);
-  Run(world, 40);
-  CHECK(EachRunsOnce(world, kReplicas));
-  CHECK(world.RunningAt(lost).empty());
-  world.ReplaceOwner(lost);
-  Run(world, 40);
-  CHECK(EachRunsOnce(world, kReplicas));
-  CHECK(world.RunningAt(lost).empty());
-  world.Cancel();
-  Run(world, 40);
-  CHECK(world.Running().empty());
+  parts_simulation simulation(6);
+  simulation.Start(kReplicas);
+  Run(simulation, 20);
+  simulation.LoseAndEvacuate(lost);
+  Run(simulation, 40);
+  CHECK(EachRunsOnce(simulation, kReplicas));
+  CHECK(simulation.RunningAt(lost).empty());
+  simulation.ReplaceOwner(lost);
+  Run(simulation, 40);
+  CHECK(EachRunsOnce(simulation, kReplicas));
+  CHECK(simulation.RunningAt(lost).empty());
+  simulation.Cancel();
+  Run(simulation, 40);
+  CHECK(simulation.Running().empty());
 }
 
 // A domain with batch work is lost. What had ended must not run again elsewhere, what may run again
@@ -289,17 +291,17 @@
   options.is_evacuated = true;
   shard lost(options, teams);
   const monotonic_time now = monotonic_time{} + std::chrono::hours{1};
-  restored_job again;
-  again.spec.id = {1, 1};
-  again.spec.team = "booking";
-  again.spec.kind = workload_kind::kBatch;
-  again.spec.each = {100, 100, 0, 1};
-  again.spec.tasks = 4;
-  again.done = {1};
-  restored_job once = again;
-  once.spec.id = {2, 2};
-  once.spec.repeatable = false;
-  lost.Restore({again, once}, now);
+  restored_job retryable;
+  retryable.spec.id = {1, 1};
+  retryable.spec.team = "booking";
+  retryable.spec.kind = workload_kind::kBatch;
+  retryable.spec.each = {100, 100, 0, 1};
+  retryable.spec.tasks = 4;
+  retryable.done = {1};
+  restored_job not_repeatable = retryable;
+  not_repeatable.spec.id = {2, 2};
+  not_repeatable.spec.repeatable = false;
+  lost.Restore({retryable, not_repeatable}, now);
   const task_split to_sapporo = [](const place_message&, uint32_t tasks) {
     return std::vector<job_part>{{"sapporo-ch/0", 0, tasks}};
   };
--- a/test/shard_fixture.h
+++ b/test/shard_fixture.h
@@ -73,7 +73,7 @@
   }
 
   template <typename Action>
-  std::vector<Action> Taken() const {
+  std::vector<Action> Actions() const {
     std::vector<Action> taken;
     for (const shard_action& action : actions_) {
       if (const auto* one = std::get_if<Action>(&action)) taken.push_back(*one);
@@ -91,7 +91,7 @@
   // Answers every fence under way with `tasks` on ep-0 and nothing on ep-1.
   void AnswerFences(const std::vector<task_status>& tasks = {}) {
     Act();
-    for (const fence_action& fence : Taken<fence_action>()) {
+    for (const fence_action& fence : Actions<fence_action>()) {
       endpoint_reply reply = Done();
       if (fence.endpoint == 0) reply.tasks = tasks;
       shard_.OnFence(fence.endpoint, fence.token, reply, now_);
@@ -101,7 +101,7 @@
   // The only start that is asked for.
   start_action OneStart() {
     Act();
-    const auto starts = Taken<start_action>();
+    const auto starts = Actions<start_action>();
     REQUIRE(starts.size() == 1);
     return starts[0];
   }
@@ -120,7 +120,7 @@
 
   // The sync that is under way at `endpoint` since the last Act().
   std::optional<sync_action> SyncAt(endpoint_index endpoint) const {
-    for (const sync_action& sync : Taken<sync_action>()) {
+    for (const sync_action& sync : Actions<sync_action>()) {
       if (sync.endpoint == endpoint) return sync;
     }
     return std::nullopt;
--- a/test/shard_restart_test.cc
+++ b/test/shard_restart_test.cc
@@ -32,13 +32,13 @@
   }
   fence_action OneFence() {
     Act();
-    const auto fences = Taken<fence_action>();
+    const auto fences = Actions<fence_action>();
     REQUIRE(fences.size() == 1);
     return fences[0];
   }
-  endpoint_reply ListOfLife(uint64_t life) const {
+  endpoint_reply ListingOf(uint64_t incarnation) const {
     endpoint_reply reply = Done();
-    reply.incarnation = life;
+    reply.incarnation = incarnation;
     return reply;
   }
 
@@ -53,9 +53,9 @@
 TEST_CASE_METHOD(shard_fixture, "shard, endpoints not listed, starts nothing there", "[shard]") {
   shard_.Place(kEntry, Place(1), now_);
   Act();
-  const auto fences = Taken<fence_action>();
+  const auto fences = Actions<fence_action>();
   REQUIRE(fences.size() == 2);
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<start_action>().empty());
   shard_.OnFence(fences[0].endpoint, fences[0].token, Done(), now_);
   CHECK(OneStart().endpoint == fences[0].endpoint);
 }
@@ -82,7 +82,7 @@
   shard_.OnFence(fence.endpoint, fence.token, Done(), now_);
   LoseStartReply(start_);
   const start_action again = OneStart();
-  CHECK(Taken<fence_action>().empty());
+  CHECK(Actions<fence_action>().empty());
   CHECK(again.tasks[0].id.attempt > start_.tasks[0].id.attempt);
 }
 
@@ -93,8 +93,8 @@
   const fence_action fence = FailSyncs();
   LoseStartReply(start_);
   Act();
-  CHECK(Taken<fence_action>().empty());
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<fence_action>().empty());
+  CHECK(Actions<start_action>().empty());
   shard_.OnFence(fence.endpoint, fence.token, Done(), now_);
   CHECK(OneStart().tasks[0].id.attempt > start_.tasks[0].id.attempt);
 }
@@ -103,18 +103,18 @@
 // not show the payment; started again, it would be made twice.
 TEST_CASE_METHOD(sent_start_fixture, "shard, endpoint restarted with a start under way, is unknown",
                  "[shard]") {
-  shard_.OnSync(start_.endpoint, sync_->call.epoch, ListOfLife(2), now_);
+  shard_.OnSync(start_.endpoint, sync_->call.epoch, ListingOf(2), now_);
   const fence_action fence = OneFence();
   CHECK(fence.token > start_.token);  // else the start could still arrive in the new life
-  shard_.OnFence(fence.endpoint, fence.token, ListOfLife(2), now_);
+  shard_.OnFence(fence.endpoint, fence.token, ListingOf(2), now_);
   LoseStartReply(start_);
   std::vector<answer_action> answers;
   for (int i = 0; i < 3; ++i) {
     Act();
-    for (const answer_action& answer : Taken<answer_action>()) answers.push_back(answer);
-    CHECK(Taken<start_action>().empty());
-    for (const fence_action& next : Taken<fence_action>()) {
-      shard_.OnFence(next.endpoint, next.token, ListOfLife(2), now_);
+    for (const answer_action& answer : Actions<answer_action>()) answers.push_back(answer);
+    CHECK(Actions<start_action>().empty());
+    for (const fence_action& next : Actions<fence_action>()) {
+      shard_.OnFence(next.endpoint, next.token, ListingOf(2), now_);
     }
   }
   REQUIRE(answers.size() == 1);
--- a/test/shard_test.cc
+++ b/test/shard_test.cc
@@ -23,7 +23,7 @@
   reply.finished.push_back({start.tasks[0].id, 1, task_result::kOk, milliseconds{5}, "booked"});
   shard_.OnSync(start.endpoint, sync->call.epoch, reply, now_);
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].entry == kEntry);
   CHECK(answers[0].result.kind == outcome_kind::kCompleted);
@@ -39,10 +39,10 @@
   const start_action start = OneStart();
   shard_.Place("entry-b", Place(1), now_);
   Act();
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<start_action>().empty());
   AnswerStart(start, call_result::kStarted);
   Act();
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<start_action>().empty());
 }
 
 // A new owner gets a request that the old owner may have started on an endpoint that does not
@@ -51,15 +51,15 @@
                  "[shard]") {
   shard_.Place(kEntry, Place(1, false), now_);
   Act();
-  CHECK(Taken<start_action>().empty());
-  for (const fence_action& fence : Taken<fence_action>()) {
+  CHECK(Actions<start_action>().empty());
+  for (const fence_action& fence : Actions<fence_action>()) {
     if (fence.endpoint == 1) shard_.OnFence(1, fence.token, Done(), now_);
   }
   Act();
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<start_action>().empty());
   Advance(milliseconds{5001});
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.kind == outcome_kind::kUnknown);
 }
@@ -78,8 +78,8 @@
   AnswerFences({listed});
   shard_.Place(kEntry, Place(1, false), now_);
   Act();
-  CHECK(Taken<start_action>().empty());
-  const auto answers = Taken<answer_action>();
+  CHECK(Actions<start_action>().empty());
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.answer == "booked before");
 }
@@ -93,8 +93,8 @@
   const start_action start = OneStart();
   LoseStartReply(start);
   Act();
-  CHECK(Taken<start_action>().empty());
-  const auto fences = Taken<fence_action>();
+  CHECK(Actions<start_action>().empty());
+  const auto fences = Actions<fence_action>();
   REQUIRE(fences.size() == 1);
   CHECK(fences[0].token > start.token);
   CHECK(OwnerEpochOf(fences[0].token) == 7);
@@ -112,7 +112,7 @@
     reply.tasks.push_back(running);
     shard_.OnFence(start.endpoint, fences[0].token, reply, now_);
     Act();
-    CHECK(Taken<start_action>().empty());
+    CHECK(Actions<start_action>().empty());
   }
 }
 
@@ -135,8 +135,8 @@
   }
   Advance(milliseconds{11001});
   Act();
-  CHECK(Taken<start_action>().empty());
-  const auto answers = Taken<answer_action>();
+  CHECK(Actions<start_action>().empty());
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.kind == outcome_kind::kUnknown);
 }
@@ -152,7 +152,7 @@
   reply.epoch = TokenOf(8);
   shard_.OnStart(start.endpoint, start.token, start.tasks, reply, now_);
   Act();
-  const auto superseded = Taken<superseded_action>();
+  const auto superseded = Actions<superseded_action>();
   REQUIRE(superseded.size() == 1);
   CHECK(superseded[0].epoch == 8);
 }
@@ -166,24 +166,24 @@
   place.deadline_left = {};
   shard_.Place(kEntry, std::move(place), now_);
   Act();
-  CHECK(Taken<record_action>().size() == 1);
-  CHECK(Taken<answer_action>().empty());
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<record_action>().size() == 1);
+  CHECK(Actions<answer_action>().empty());
+  CHECK(Actions<start_action>().empty());
   SECTION("recorded: accepted and started") {
     shard_.OnRecorded({1, 1}, true, now_);
     Act();
-    const auto answers = Taken<answer_action>();
+    const auto answers = Actions<answer_action>();
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].result.kind == outcome_kind::kAccepted);
-    CHECK(Taken<start_action>().size() == 1);
+    CHECK(Actions<start_action>().size() == 1);
   }
   SECTION("not recorded: refused, and never started") {
     shard_.OnRecorded({1, 1}, false, now_);
     Act();
-    const auto answers = Taken<answer_action>();
+    const auto answers = Actions<answer_action>();
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].result.reason == refusal_reason::kNotDurable);
-    CHECK(Taken<start_action>().empty());
+    CHECK(Actions<start_action>().empty());
   }
 }
 
@@ -196,17 +196,17 @@
   place.deadline_left = {};
   shard_.Place(kEntry, std::move(place), now_);
   Act();
-  CHECK(Taken<withdraw_action>().empty());
+  CHECK(Actions<withdraw_action>().empty());
   now_ += seconds{6};
   Act();
-  REQUIRE(Taken<withdraw_action>().size() == 1);
+  REQUIRE(Actions<withdraw_action>().size() == 1);
   shard_.OnRecorded({1, 1}, false, now_);
   Act();
-  REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>()[0].result.reason == refusal_reason::kNotDurable);
+  REQUIRE(Actions<answer_action>().size() == 1);
+  CHECK(Actions<answer_action>()[0].result.reason == refusal_reason::kNotDurable);
   now_ += seconds{6};
   Act();
-  CHECK(Taken<withdraw_action>().empty());
+  CHECK(Actions<withdraw_action>().empty());
 }
 
 // An entry sends a request again while it has no outcome, and that sending is overtaken by the
@@ -219,14 +219,14 @@
   shard_.Place(kEntry, place, now_);
   shard_.Cancel(kEntry, {place.id, place.shard, "", 0}, now_);
   Act();
-  REQUIRE_FALSE(Taken<answer_action>().empty());
-  CHECK(Taken<answer_action>()[0].result.kind == outcome_kind::kRefused);
+  REQUIRE_FALSE(Actions<answer_action>().empty());
+  CHECK(Actions<answer_action>()[0].result.kind == outcome_kind::kRefused);
   Act();
   shard_.Place(kEntry, place, now_);
   Act();
-  CHECK(Taken<start_action>().empty());
-  REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>()[0].result.kind == outcome_kind::kRefused);
+  CHECK(Actions<start_action>().empty());
+  REQUIRE(Actions<answer_action>().size() == 1);
+  CHECK(Actions<answer_action>()[0].result.kind == outcome_kind::kRefused);
   place.ask = 6;
   shard_.Place(kEntry, place, now_);
   OneStart();
@@ -244,7 +244,7 @@
   shard_.Place("entry-b", Place(1, false), now_);
   shard_.Place(kEntry, Place(2), now_);
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.id == request_id{2, 2});
   CHECK(answers[0].result.reason == refusal_reason::kShuttingDown);
@@ -264,7 +264,7 @@
   Act();
   shard_.OnRecorded({1, 1}, true, now_);
   Act();
-  const start_action start = Taken<start_action>().at(0);
+  const start_action start = Actions<start_action>().at(0);
   AnswerStart(start, call_result::kStarted);
   Act();
   endpoint_reply reply = Done();
@@ -294,7 +294,7 @@
   job.spec.deadline_left = {};
   shard_.Restore({job}, now_);
   shard_.Cancel(kEntry, {{1, 1}, "sapporo-ch/0", "", 0}, now_);
-  CHECK(Taken<answer_action>().empty());
+  CHECK(Actions<answer_action>().empty());
   task_status running;
   running.id = {{1, 1}, 0, 1};
   running.amount = job.spec.each;
@@ -302,9 +302,9 @@
   running.team = "booking";
   AnswerFences({running});
   Act();
-  CHECK(Taken<answer_action>().empty());
-  REQUIRE(Taken<stop_action>().size() == 1);
-  CHECK(Taken<stop_action>().front().ids == std::vector<task_id>{running.id});
+  CHECK(Actions<answer_action>().empty());
+  REQUIRE(Actions<stop_action>().size() == 1);
+  CHECK(Actions<stop_action>().front().ids == std::vector<task_id>{running.id});
 }
 
 // A job is cancelled and its owner dies before the store has heard of it. The next owner finds the
@@ -322,13 +322,13 @@
   shard_.OnRecorded({1, 1}, true, now_);
   shard_.Cancel(kEntry, {{1, 1}, "sapporo-ch/0", "", 0}, now_);
   Act();
-  for (const answer_action& answer : Taken<answer_action>()) {
+  for (const answer_action& answer : Actions<answer_action>()) {
     CHECK(answer.result.kind == outcome_kind::kAccepted);
   }
   shard_.OnEndRecorded({1, 1});
   Act();
-  REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>().front().result.reason == refusal_reason::kCancelled);
+  REQUIRE(Actions<answer_action>().size() == 1);
+  CHECK(Actions<answer_action>().front().result.reason == refusal_reason::kCancelled);
 }
 
 // The last task of a job ends, that is recorded, and the owner dies before its caller has heard.
@@ -351,7 +351,7 @@
   shard_.Restore({well, badly}, now_);
   for (const restored_job& job : {well, badly}) shard_.Place(kEntry, job.spec, now_);
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 2);
   CHECK(answers[0].result.kind == outcome_kind::kCompleted);
   CHECK(answers[0].result.answer == "balanced");
