--- a/src/process/decision_impl.h
+++ b/src/process/decision_impl.h
@@ -23,7 +23,7 @@
 #include "process/job_table.h"
 #include "process/run_estimates.h"
 #include "process/service_policy.h"
-#include "process/shard_floor.h"
+#include "process/shard_capacity.h"
 #include "process/team_table.h"
 #include "process/waiting_lanes.h"
 
--- a/src/process/incarnation_keeper.cc
+++ b/src/process/incarnation_store.cc
@@ -1,4 +1,4 @@
-#include "process/incarnation_keeper.h"
+#include "process/incarnation_store.h"
 
 #include <nlohmann/json.hpp>
 #include <utility>
--- a/src/process/incarnation_keeper.h
+++ b/src/process/incarnation_store.h
@@ -5,8 +5,8 @@
 // incarnation; this value tells it the one under which earlier owners may have started work. An old
 // value does no harm: it differs from the endpoint's incarnation, and then what may have run there
 // counts as unknown. See docs/design/041-at-most-once.md.
-#ifndef CATKINFORD_PROCESS_INCARNATION_KEEPER_H_
-#define CATKINFORD_PROCESS_INCARNATION_KEEPER_H_
+#ifndef CATKINFORD_PROCESS_INCARNATION_STORE_H_
+#define CATKINFORD_PROCESS_INCARNATION_STORE_H_
 
 #include <cstdint>
 #include <functional>
@@ -58,4 +58,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_INCARNATION_KEEPER_H_
+#endif  // CATKINFORD_PROCESS_INCARNATION_STORE_H_
--- a/src/process/job_keeper.cc
+++ b/src/process/job_store.cc
@@ -1,4 +1,4 @@
-#include "process/job_keeper.h"
+#include "process/job_store.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/process/job_keeper.h
+++ b/src/process/job_store.h
@@ -6,8 +6,8 @@
 // in neither, and run again. The order of token and queue in "From 6 Hours to 1 Minute:
 // Checkpointing Kubernetes-style Controllers" follows from the same thought: what is read second
 // may only be ahead of what is read first.
-#ifndef CATKINFORD_PROCESS_JOB_KEEPER_H_
-#define CATKINFORD_PROCESS_JOB_KEEPER_H_
+#ifndef CATKINFORD_PROCESS_JOB_STORE_H_
+#define CATKINFORD_PROCESS_JOB_STORE_H_
 
 #include <cstdint>
 #include <functional>
@@ -69,4 +69,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_JOB_KEEPER_H_
+#endif  // CATKINFORD_PROCESS_JOB_STORE_H_
--- a/src/process/part_keeper.cc
+++ b/src/process/part_tracker.cc
@@ -1,4 +1,4 @@
-#include "process/part_keeper.h"
+#include "process/part_tracker.h"
 
 #include <algorithm>
 
--- a/src/process/part_keeper.h
+++ b/src/process/part_tracker.h
@@ -4,8 +4,8 @@
 // A part must never live in two shards. So a refusal counts only when it answers the last placement
 // that was sent: an earlier one may have been refused by an owner that is none any more, and the
 // later one be taken by its successor; the home would run the same replicas a second time.
-#ifndef CATKINFORD_PROCESS_PART_KEEPER_H_
-#define CATKINFORD_PROCESS_PART_KEEPER_H_
+#ifndef CATKINFORD_PROCESS_PART_TRACKER_H_
+#define CATKINFORD_PROCESS_PART_TRACKER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -87,4 +87,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_PART_KEEPER_H_
+#endif  // CATKINFORD_PROCESS_PART_TRACKER_H_
--- a/src/process/placement_policy.h
+++ b/src/process/placement_policy.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "process/job_table.h"
-#include "process/shard_floor.h"
+#include "process/shard_capacity.h"
 
 namespace catkinford {
 
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -23,7 +23,7 @@
 #include "process/events.h"
 #include "process/identity_memory.h"
 #include "process/message.h"
-#include "process/part_keeper.h"
+#include "process/part_tracker.h"
 #include "process/refusal_memory.h"
 #include "process/team_names.h"
 #include "request/job_state.h"
--- a/src/process/shard_floor.cc
+++ b/src/process/shard_capacity.cc
@@ -1,4 +1,4 @@
-#include "process/shard_floor.h"
+#include "process/shard_capacity.h"
 
 #include <absl/strings/str_cat.h>
 
--- a/src/process/shard_floor.h
+++ b/src/process/shard_capacity.h
@@ -1,6 +1,6 @@
 // The endpoints of one shard: what each holds, what is free, and which may get new work.
-#ifndef CATKINFORD_PROCESS_SHARD_FLOOR_H_
-#define CATKINFORD_PROCESS_SHARD_FLOOR_H_
+#ifndef CATKINFORD_PROCESS_SHARD_CAPACITY_H_
+#define CATKINFORD_PROCESS_SHARD_CAPACITY_H_
 
 #include <cstdint>
 #include <string>
@@ -132,4 +132,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_SHARD_FLOOR_H_
+#endif  // CATKINFORD_PROCESS_SHARD_CAPACITY_H_
--- a/src/process/team_table.h
+++ b/src/process/team_table.h
@@ -9,7 +9,7 @@
 
 #include "process/decision_core.h"
 #include "process/free_index.h"
-#include "process/shard_floor.h"
+#include "process/shard_capacity.h"
 #include "process/usage_forecast.h"
 
 namespace catkinford {
--- a/test/incarnation_test.cc
+++ b/test/incarnation_test.cc
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "ownership_world.h"
-#include "process/incarnation_keeper.h"
+#include "process/incarnation_store.h"
 #include "process/shard.h"
 
 namespace catkinford {
--- a/test/ownership_world.h
+++ b/test/ownership_simulation.h
@@ -1,8 +1,8 @@
 // A failure domain in one thread: entries that run the real ownership state machine, a store with
 // leases, one endpoint for each shard, and messages that take time, get lost or wait for a paused
 // process. Time is simulated; nothing here waits or reads a clock.
-#ifndef CATKINFORD_TEST_OWNERSHIP_WORLD_H_
-#define CATKINFORD_TEST_OWNERSHIP_WORLD_H_
+#ifndef CATKINFORD_TEST_OWNERSHIP_SIMULATION_H_
+#define CATKINFORD_TEST_OWNERSHIP_SIMULATION_H_
 
 #include <chrono>
 #include <cstdint>
@@ -135,4 +135,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_TEST_OWNERSHIP_WORLD_H_
+#endif  // CATKINFORD_TEST_OWNERSHIP_SIMULATION_H_
--- a/test/parts_world.h
+++ b/test/parts_simulation.h
@@ -1,7 +1,7 @@
 // Three shards, one in each failure domain, with a log and one endpoint each, and messages between
 // them that are lost, doubled and late: for tests of jobs that are spread over shards.
-#ifndef CATKINFORD_TEST_PARTS_WORLD_H_
-#define CATKINFORD_TEST_PARTS_WORLD_H_
+#ifndef CATKINFORD_TEST_PARTS_SIMULATION_H_
+#define CATKINFORD_TEST_PARTS_SIMULATION_H_
 
 #include <array>
 #include <chrono>
@@ -128,4 +128,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_TEST_PARTS_WORLD_H_
+#endif  // CATKINFORD_TEST_PARTS_SIMULATION_H_
