--- a/src/process/node_config.cc
+++ b/src/process/node_config.cc
@@ -65,11 +65,11 @@
   const version_order& order = versions_.Order();
   for (auto& [number, held] : shards_) held->SetConfiguration(*order.Config(), now);
   for (const auto& [name, other] : members_.Members()) {
-    if (other.word.config_version >= order.Version()) continue;
+    if (other.status.config_version >= order.Version()) continue;
     peer_notes& notes = notes_[name];
     notes.lags_since = now;
     if (origin == version_origin::kOwnChange) {
-      SendVersion(other, std::max(other.word.config_version, notes.config_sent), now);
+      SendVersion(other, std::max(other.status.config_version, notes.config_sent), now);
     }
   }
   log_.Emit(event_code::kVersionInForce, now, {}, 0, absl::StrCat(order.Version()));
@@ -98,17 +98,17 @@
 }
 
 void node::HelpLagging(const member& other, monotonic_time now) {
-  if (other.word.config_version >= versions_.Order().Version()) return;
+  if (other.status.config_version >= versions_.Order().Version()) return;
   const peer_notes& notes = notes_[other.name];
   if (now < notes.next_config || now < notes.lags_since + HelpDelay(other)) return;
-  SendVersion(other, other.word.config_version, now);
+  SendVersion(other, other.status.config_version, now);
 }
 
 // Who lags is helped by its own failure domain, and by the others only when that cannot: from
 // everybody at once, a replaced entry of a large fleet would get the document 53 times.
 milliseconds node::HelpDelay(const member& other) const {
   if (other.failure_domain == config_.failure_domain) {
-    return other.word.config_version == 0 ? milliseconds{0} : kConfigResend;
+    return other.status.config_version == 0 ? milliseconds{0} : kConfigResend;
   }
   return IsWatcher(config_.name, members_.LiveNeighbours()) ? kHelpByWatcher : kHelpByAnybody;
 }
