--- a/src/process/shard.cc
+++ b/src/process/shard.cc
@@ -8,19 +8,19 @@
 
 using std::chrono::milliseconds;
 
-// The attempts of one owner for one task; see core_options::attempt_base.
+// Bits for the attempts of one owner at one task; see core_options::attempt_base.
 constexpr int kAttemptBits = 12;
-// How long a job without a deadline is held back while an endpoint is not listed: not longer than
-// its caller waits to hear that it is accepted.
+// How long a job without a deadline is deferred while an endpoint is not listed: no longer than its
+// caller waits for its acceptance.
 constexpr milliseconds kMaxDeferral{8000};
-// How long the word of another shard on a part is waited for before it is asked for again.
+// How long to wait for another shard's answer about a part before the message is sent again.
 constexpr milliseconds kPartResend{500};
-// How long a record may wait for the store before its caller is told. Longer than a change of the
-// store's leader; shorter than the time after which an entry would tell its caller `unknown`.
+// How long a record may wait for the store before the caller is answered. Longer than a change of
+// the store's leader; shorter than the time after which an entry would answer `unknown`.
 constexpr milliseconds kRecordTimeout{5000};
-constexpr size_t kMaxRejections = 200000;   // remembered, of about 100 bytes each
-constexpr milliseconds kWithdrawRetry{20};  // while a call to the store was under way
-// When a caller whose job was not recorded may come back.
+constexpr size_t kMaxRejections = 200000;   // of about 100 bytes each
+constexpr milliseconds kWithdrawRetry{20};  // while a call to the store is in progress
+// Retry-After for a caller whose job was not recorded.
 constexpr milliseconds kRetryAfter{1000};
 
 core_options CoreOptions(const shard_options& options) {
@@ -61,7 +61,7 @@
   return found == jobs_.end() ? nullptr : &found->second.spec;
 }
 
-// The task that `id` names, when that attempt is the present one; else a late report.
+// Returns the task that `id` names if that attempt is the current one; null for a late report.
 task_progress* shard::FindTask(const task_id& id, job_state*& job) {
   job = Find(id.job);
   if (job == nullptr || id.index >= job->tasks.size()) return nullptr;
@@ -72,7 +72,7 @@
 void shard::Place(const std::string& entry, place_message place, monotonic_time now) {
   const request_id id = place.id;
   const uint64_t send = place.send;
-  // A part that its home sends again has its own count of sendings.
+  // A part that its home sends again is numbered by `send`, not by `ask`.
   if (!place.home.empty()) place.ask = 0;
   if (const std::optional<outcome> refused = refusals_.Find(id, place.ask)) {
     actions_.push_back(answer_action{entry, *refused});
@@ -104,8 +104,8 @@
   }
   if (options_.is_evacuated && RejectEvacuated(entry, place)) return;
   // An identity that another owner may have started must not start again while an endpoint that
-  // could be running it has not been listed: it would run in two places, seen as two start records
-  // of one task. It waits for the lists, or is answered as unknown.
+  // could be running it has not been listed: it would run in two places, with two start records for
+  // one task. It waits for the listings or is answered as unknown.
   if (!place.fresh && !AllListed()) {
     const bool has_deadline = place.deadline_left.count() > 0;
     const monotonic_time until = now + (has_deadline ? place.deadline_left : kMaxDeferral);
@@ -116,12 +116,13 @@
   const bool may_have_run =
       IsDurable(place.kind) && !place.fresh && !place.repeatable && !identities_.Certain(now);
   if (may_have_run) {
-    actions_.push_back(
-        answer_action{entry, UnknownOutcome(id, "it may have run where it is lost")});
+    actions_.push_back(answer_action{
+        entry, UnknownOutcome(id, "it may have run on an endpoint whose state is lost")});
     return;
   }
   if (closed_) {
-    RejectNew(entry, place, refusal_reason::kShuttingDown, "its owner is being stopped", now);
+    RejectNew(entry, place, refusal_reason::kShuttingDown, "the shard's owner is shutting down",
+              now);
     return;
   }
   job_state& job = Admit(entry, std::move(place), now);
@@ -157,12 +158,12 @@
   });
 }
 
-// Answers an identity that has ended, or that may not start; else notes that it begins.
+// Answers an identity that has ended or may not start; otherwise records that it begins.
 bool shard::AnswerFromHistory(const std::string& entry, const place_message& place,
                               monotonic_time now) {
   identities_.SetUnlisted(unlisted_);
-  // What may be repeated waits for the lists only: what an endpoint ran that was lost before it was
-  // listed has ended with its lease.
+  // Repeatable work waits only for the listings: whatever ran on an endpoint that was lost before
+  // it was listed has ended with its lease.
   const bool fresh = place.fresh || (place.repeatable && AllListed());
   switch (identities_.Begin(place.id, fresh, now)) {
     case identity_verdict::kNew:
@@ -170,18 +171,18 @@
     case identity_verdict::kKnown:
       break;
     case identity_verdict::kUncertain:
-      actions_.push_back(
-          answer_action{entry, UnknownOutcome(place.id, "it may have run where it is lost")});
+      actions_.push_back(answer_action{
+          entry, UnknownOutcome(place.id, "it may have run on an endpoint whose state is lost")});
       return true;
     case identity_verdict::kFull:
-      RejectNew(entry, place, refusal_reason::kQueueFull, "no room to remember it", now);
+      RejectNew(entry, place, refusal_reason::kQueueFull, "the identity history is full", now);
       return true;
   }
   const std::optional<known_identity> known = identities_.Find(place.id);
   if (!known || !known->finished) return false;
-  // Nobody knows how it ended, it does not run any more, and it may run again.
+  // Its end is unknown, it does not run any more, and it may run again.
   if (known->kind == outcome_kind::kUnknown && place.repeatable) return false;
-  outcome answer = UnknownOutcome(place.id, "its answer is kept no longer");
+  outcome answer = UnknownOutcome(place.id, "its answer is no longer retained");
   const bool whole = known->kind != outcome_kind::kCompleted || known->has_answer;
   if (whole) {
     answer.kind = known->kind;
@@ -237,8 +238,9 @@
   SendAccepted(id, job, now);
 }
 
-// A caller must not wait as long as the store is out. Only a record that surely is nowhere can be
-// given up: a later owner would run a job that its caller was told did not run.
+// A caller must not wait for as long as the store is down. Only a record that is certain not to be
+// in the store can be withdrawn: otherwise a later owner would run a job whose caller was told that
+// it did not run.
 void shard::WithdrawUnrecorded(monotonic_time now) {
   while (!unrecorded_jobs_.empty() && unrecorded_jobs_.begin()->first <= now) {
     const request_id id = unrecorded_jobs_.begin()->second;
@@ -258,7 +260,7 @@
     return;
   }
   if (!durable) {
-    RejectJob(id, refusal_reason::kNotDurable, kRetryAfter, "the store did not take the record",
+    RejectJob(id, refusal_reason::kNotDurable, kRetryAfter, "the store did not accept the record",
               now);
     return;
   }
@@ -274,12 +276,13 @@
     return;
   }
   if (job == nullptr) {
-    actions_.push_back(answer_action{entry, UnknownOutcome(id, "no such job here")});
+    actions_.push_back(
+        answer_action{entry, UnknownOutcome(id, "the job is unknown to this shard")});
     return;
   }
   job->spec.send = std::max(job->spec.send, what.send);
   if (job->ended && !job->end_untold) {
-    job->cancelled = true;  // a part that was turned away does not come again either
+    job->cancelled = true;  // a rejected part is not placed again either
     Reply(entry, *job, *job->ended);
     return;
   }
@@ -329,7 +332,7 @@
 
 void shard::SetGrants(const std::vector<grant_entry>& grants, monotonic_time now) {
   for (const grant_entry& entry : grants) teams_.IndexOf(entry.team);
-  // A team without an entry has returned all of its grant.
+  // A team without an entry has returned its whole grant.
   std::vector<team_grant> by_team(teams_.Size());
   for (const grant_entry& entry : grants) by_team[teams_.IndexOf(entry.team)] = entry.grant;
   for (team_index team = 0; team < by_team.size(); ++team) {
@@ -368,14 +371,15 @@
     if (job.spec.team != team || ProgressOf(job).waiting < job.tasks.size()) continue;
     resources whole;
     for (uint32_t i = 0; i < job.spec.tasks; ++i) whole += job.spec.each;
-    // Amount by amount: the grant must hold whichever of them is next.
+    // Maximum of each amount: the grant must hold whichever gang is next.
     largest.running = std::max(largest.running, job.spec.tasks);
     largest.amount.cpu_milli = std::max(largest.amount.cpu_milli, whole.cpu_milli);
     largest.amount.memory_mb = std::max(largest.amount.memory_mb, whole.memory_mb);
     largest.amount.accelerators = std::max(largest.amount.accelerators, whole.accelerators);
   }
   if (largest.running == 0) return largest;
-  // What the team's services hold here is not given back, so the gang needs its room beside it.
+  // What the team's services hold here is not returned, so the gang needs its capacity on top of
+  // it.
   for (const request_id& id : services_) {
     const job_state& job = jobs_.at(id);
     if (job.spec.team != team) continue;
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -1,7 +1,7 @@
-// The owner's side of one shard: the path from a request's arrival to its outcome.
+// The owner's side of one shard: handles each request from its arrival to its outcome.
 //
-// Pure: messages, answers of endpoints and the present time come in, actions go out. It joins the
-// decision core, the links to the endpoints and the table of jobs; it talks to nobody itself.
+// Pure: takes messages, endpoint replies and the current time, and returns actions. It combines the
+// decision core, the links to the endpoints and the job table; it does no I/O.
 #ifndef CATKINFORD_PROCESS_SHARD_H_
 #define CATKINFORD_PROCESS_SHARD_H_
 
@@ -45,7 +45,7 @@
   endpoint_index endpoint = 0;
   uint64_t token = 0;
   std::vector<start_task> tasks;
-  monotonic_time arrived{};  // of the job, with its first start only
+  monotonic_time arrived{};  // of the job; set for its first start only
 };
 struct stop_action {
   endpoint_index endpoint = 0;
@@ -61,21 +61,21 @@
   std::string entry;
   status_answer answer;
 };
-// A durable job to be recorded before it is accepted, or a change to its parts.
+// Asks for a durable job to be recorded before it is accepted, or for a change to its parts.
 struct record_action {
   request_id job;
   bool is_change = false;
 };
-// A message about a part of a spread job whose home this is, to the owner of the part's shard.
+// A message about a part of a spread job to the owner of the part's shard. This shard is the home.
 struct part_action {
   part_call call;
 };
-// An answer to the home of a spread job, through the entry that owns it.
+// An answer to the home of a spread job, sent through the entry that owns the home.
 struct part_answer_action {
   std::string entry;
   part_answer_message answer;
 };
-// A job whose record the store has not taken for long: to be given up if that is still possible.
+// Withdraws a job whose record the store has not accepted in time, if that is still possible.
 struct withdraw_action {
   request_id job;
 };
@@ -84,9 +84,9 @@
   task_id task;
   bool succeeded = false;
   bool job_ended = false;
-  std::string text;  // what it said, if that is told of its job
+  std::string text;  // the task's output, if it is kept with the job
 };
-// An endpoint has seen a higher epoch: the shard is another's.
+// An endpoint has seen a higher epoch: the shard has another owner.
 struct superseded_action {
   uint64_t epoch = 0;
 };
@@ -107,113 +107,115 @@
   uint64_t epoch = 0;
   link_options link;
   std::chrono::milliseconds identity_window{30000};
-  std::chrono::milliseconds start_bound{2000};  // not-after of a start
+  std::chrono::milliseconds start_bound{2000};  // `not_after` of a start
   bool endpoints_fence = true;
-  // Of a failure domain that is evacuated: the owner is in another one, has no endpoints, and only
-  // answers for jobs whose tasks are moved.
+  // The owner of a shard of an evacuated failure domain is in another domain, has no endpoints, and
+  // only answers for jobs whose tasks are moved.
   bool is_evacuated = false;
 };
 
-// Where the tasks of one job go that cannot stay: shards, with how many tasks each takes; empty
-// when there is no other shard.
+// Splits the tasks of one job that must move: target shards with the number of tasks for each;
+// empty when there is no other shard.
 using task_split = std::function<std::vector<job_part>(const place_message&, uint32_t tasks)>;
 
-// What became of the jobs of an evacuated shard so far.
+// What has happened to the jobs of an evacuated shard so far.
 struct evacuation_counts {
-  uint32_t moved = 0;          // their unfinished tasks go to other shards
+  uint32_t moved = 0;          // unfinished tasks moved to other shards
   uint32_t unknown = 0;        // may have run, and may not run again
-  uint32_t returned = 0;       // parts of jobs whose home is another shard, which takes them
-  uint32_t still_waiting = 0;  // wait here
+  uint32_t returned = 0;       // parts returned to their home shard, which places them again
+  uint32_t still_waiting = 0;  // still waiting here
 };
 
-// A job as its durable record tells it.
+// A job restored from its durable record.
 struct restored_job {
   place_message spec;
   std::vector<uint32_t> done;  // task indices
   std::vector<uint32_t> failed;
   std::string fault;   // of the first task that failed
-  std::string answer;  // of the task that ended last, when none is left
+  std::string answer;  // of the task that ended last, when no task is left
 };
 
-// Of endpoints, by name: the number of the life in which each was last known to keep its memory.
+// By endpoint name: the last incarnation known to have kept its state.
 using incarnations = std::map<std::string, uint64_t>;
 
 class shard {
  public:
   shard(shard_options options, team_names& teams);
 
-  // The durable part, before the first list of an endpoint is taken in: the other order could take
-  // a job whose last task just ended for one that never started.
+  // Restores the jobs from the log. Must be called before the first listing of an endpoint is
+  // applied: in the other order a job whose last task just ended would look like one that never
+  // started.
   void Restore(std::vector<restored_job> jobs, monotonic_time now);
 
-  // As the store has them. An endpoint in another life than the recorded one has forgotten what it
-  // ran for earlier owners.
+  // Sets the incarnations recorded in the store. An endpoint with another incarnation than the
+  // recorded one has lost the state of what it ran for earlier owners.
   void SetIncarnations(incarnations recorded, monotonic_time now);
-  // What the store should have: of an endpoint that has forgotten something, the former life until
-  // every identity that it may have run is out of its window.
+  // What the store should hold. For an endpoint that lost its state this is the former incarnation
+  // until every identity that it may have run has left the identity window.
   incarnations Incarnations(monotonic_time now) const;
 
-  // The endpoints of this shard, from the instance list.
+  // Sets the endpoints of this shard, from the instance list.
   void SetEndpoints(const std::vector<instance>& endpoints, monotonic_time now);
   void SetConfiguration(const configuration& config, monotonic_time now);
   void SetGrants(const std::vector<grant_entry>& grants, monotonic_time now);
-  // News of a team in all other shards, `age` old on average.
+  // Usage of a team in all other shards, `age` old on average.
   void SetUsageElsewhere(const std::string& team, const resources& running,
                          std::chrono::milliseconds age, monotonic_time now);
   void SetCellCapacity(const resources& capacity) { core_.SetCellCapacity(capacity); }
   bool Has(const std::string& endpoint) const { return endpoint_by_name_.contains(endpoint); }
-  // Tasks under way at an endpoint of this shard.
+  // Number of tasks in progress at an endpoint of this shard.
   size_t RunningAt(const std::string& endpoint) const;
 
-  // Takes no request from now on that it does not know yet: this owner ends and nobody can be given
-  // the shard.
+  // Rejects requests that are not known yet from now on: this owner is stopping and the shard can't
+  // be handed over.
   void Close();
-  // Whether some entry waits for the outcome of a request, or for the word that a job is accepted.
+  // Whether some entry waits for the outcome of a request or for the acceptance of a job.
   bool HasCallers() const;
 
-  // From entries.
+  // Calls from entries.
   void Place(const std::string& entry, place_message place, monotonic_time now);
   void Cancel(const std::string& entry, const cancel_message& what, monotonic_time now);
   // Another shard has a new owner.
   void OnNewOwner(const std::string& name, monotonic_time now) { parts_.OnNewOwner(name, now); }
-  // Moves what waits here to other shards, and gives up what may not run again. Again and again.
+  // Moves the tasks that wait here to other shards and gives up jobs that may not run again. Called
+  // repeatedly.
   void Evacuate(const task_split& split, monotonic_time now);
   const evacuation_counts& Evacuated() const { return evacuated_; }
   void OnPartAnswer(const part_answer_message& answer, monotonic_time now);
   void Status(const std::string& entry, const status_query& query, monotonic_time now);
 
-  // Answers of endpoints; `token` is that of the call.
+  // Replies of endpoints; `token` is the one the call was sent with.
   void OnFence(endpoint_index endpoint, uint64_t token, const endpoint_reply& reply,
                monotonic_time now);
   void OnSync(endpoint_index endpoint, uint64_t token, const endpoint_reply& reply,
               monotonic_time now);
   void OnStart(endpoint_index endpoint, uint64_t token, const std::vector<start_task>& sent,
                const endpoint_reply& reply, monotonic_time now);
-  // The store has the job's record, or surely will not have it.
+  // The store has the job's record, or is certain not to have it.
   void OnRecorded(const request_id& job, bool durable, monotonic_time now);
   void OnCompletionRecorded(const request_id& job, uint32_t index, monotonic_time now);
-  // The store knows that the job is over.
+  // The end of the job is recorded in the store.
   void OnEndRecorded(const request_id& job);
 
-  // Decides, and appends what is to be done now. Starts are in their own right: the caller checks
-  // its ownership immediately before sending each.
+  // Runs the decisions and appends the resulting actions. The caller must check its ownership
+  // immediately before it sends each start.
   void Act(monotonic_time now, std::vector<shard_action>& out);
   monotonic_time NextWake() const;
 
-  // A start was not sent after all, because ownership ran out next to the send.
+  // A start was not sent because ownership was lost just before the send.
   void OnStartNotSent(const start_action& start, monotonic_time now);
 
   shard_report Report() const;
   std::vector<grant_demand> Demands() const;
-  // The largest gang of the team that waits and starts only as a whole, with what the team's
+  // The team's largest waiting gang, which starts only when all of it fits, plus what the team's
   // services hold here.
   team_grant LargestGang(const std::string& team) const;
   std::vector<team_report> TeamReports() const;
   const std::string& Name() const { return options_.name; }
   uint64_t Epoch() const { return options_.epoch; }
   const endpoint_address& Address(endpoint_index index) const { return endpoints_[index].address; }
-  // Whether every endpoint was listed under this epoch, so that an identity that is not known has
-  // surely not started.
+  // Whether every endpoint was listed under this epoch, so that an unknown identity is certain not
+  // to have started.
   bool AllListed() const {
     return options_.is_evacuated || (unlisted_ == 0 && has_endpoints_ && has_incarnations_);
   }
@@ -229,12 +231,12 @@
     bool present = true;  // in the instance list
     bool leaving = false;
     bool drained = false;     // by an operator
-    uint32_t unrecorded = 0;  // ends told by it that are not durable yet
+    uint32_t unrecorded = 0;  // reported ends that are not durable yet
     monotonic_time added{};
-    monotonic_time state_lost_at{};    // when it was last seen to have forgotten what it ran
-    uint64_t checked_incarnation = 0;  // its incarnation, once compared with the recorded one
+    monotonic_time state_lost_at{};  // when it was last seen to have lost the state of what it ran
+    uint64_t checked_incarnation = 0;  // the incarnation last compared with the recorded one
   };
-  // A place that has to wait until it is known what runs.
+  // A placement that waits until it is known what runs on the endpoints.
   struct deferred_place {
     std::string entry;
     place_message place;
@@ -255,7 +257,7 @@
   void ResolveUncertainStarts(endpoint_index index, uint64_t token,
                               const std::vector<task_id>& uncertain, monotonic_time now);
   std::vector<task_id> TasksAt(endpoint_index index) const;
-  // On an operator's word: get nothing new, what runs there is moved.
+  // Drained endpoints get no new work, and what runs there is moved.
   void SetDrained(const std::vector<std::string>& names, monotonic_time now);
   bool IsSuperseded(const endpoint_reply& reply);
   void CheckIncarnation(endpoint_record& at, monotonic_time now);
@@ -274,7 +276,7 @@
   void RejectNew(const std::string& entry, const place_message& place, refusal_reason reason,
                  std::string detail, monotonic_time now);
   void Reply(const std::string& entry, const job_state& job, const outcome& result);
-  // shard_parts.cc: jobs that are spread over shards.
+  // shard_parts.cc: jobs that are spread over several shards.
   void MarkElsewhere(job_state& job);
   void OpenParts(const request_id& id, job_state& job, monotonic_time now);
   void SendAccepted(const request_id& id, job_state& job, monotonic_time now);
@@ -316,27 +318,28 @@
   absl::flat_hash_map<std::string, endpoint_index> endpoint_by_name_;
   absl::flat_hash_map<std::string, uint32_t> racks_;
   uint32_t unlisted_ = 0;
-  std::set<std::string> drained_;  // by operators; also endpoints that are not here yet
+  std::set<std::string> drained_;  // by operators; may name endpoints that are not known yet
   bool has_endpoints_ = false;
   bool has_incarnations_ = false;
   incarnations recorded_;
-  monotonic_time opened_at_{};  // when it got its first endpoints
+  monotonic_time opened_at_{};  // when the first endpoints were set
   bool closed_ = false;
   absl::flat_hash_map<request_id, job_state> jobs_;
-  std::set<request_id> gangs_;     // that have not ended
-  std::set<request_id> services_;  // that have not ended
-  identity_memory identities_;     // of work that a caller waits for, beyond its job_state
-  part_tracker parts_;             // of the jobs whose home this is
+  std::set<request_id> gangs_;     // not ended
+  std::set<request_id> services_;  // not ended
+  identity_memory identities_;     // requests that a caller waits for; outlives their job_state
+  part_tracker parts_;             // jobs whose home is this shard
   std::set<std::pair<monotonic_time, request_id>>
-      accept_timeouts_;  // when each is told accepted at last
+      accept_timeouts_;  // when "accepted" is sent at the latest
   refusal_memory refusals_;
   evacuation_counts evacuated_;
   std::vector<deferred_place> deferred_;
   std::vector<request_id> restored_;  // not resumed yet: some endpoint is not listed
-  std::set<std::pair<monotonic_time, request_id>> deadlines_;  // of work that runs for a caller
-  std::set<std::pair<monotonic_time, request_id>> ended_;      // when each may be forgotten
+  std::set<std::pair<monotonic_time, request_id>>
+      deadlines_;                                          // of requests that a caller waits for
+  std::set<std::pair<monotonic_time, request_id>> ended_;  // when each may be forgotten
   std::set<std::pair<monotonic_time, request_id>> unrecorded_jobs_;  // when to give each up
-  // By job and index: where an end was told that is not in the store yet.
+  // By job and task index: the endpoint that reported an end which is not in the store yet.
   absl::flat_hash_map<std::pair<request_id, uint32_t>, endpoint_index> unrecorded_;
   std::vector<shard_action> actions_;
   std::vector<command> commands_;
--- a/src/process/shard_capacity.cc
+++ b/src/process/shard_capacity.cc
@@ -7,12 +7,12 @@
 namespace catkinford {
 namespace {
 
-constexpr double kAllRunsDecay = 0.999;  // about the last thousand runs of the shard count
+constexpr double kAllRunsDecay = 0.999;  // covers about the last thousand runs of the shard
 
 }  // namespace
 
 void shard_capacity::CountState(const endpoint_record& e, bool in) {
-  const uint32_t one = in ? 1U : UINT32_MAX;  // adds or takes one
+  const uint32_t one = in ? 1U : UINT32_MAX;  // adds or subtracts one
   const auto count = [in](resources& sum, const resources& amount) {
     in ? sum += amount : sum -= amount;
   };
@@ -172,10 +172,10 @@
     const uint32_t need = AmountOf(each, amount);
     const uint32_t most = AmountOf(largest_, amount);
     if (need > most) {
-      return absl::StrCat(kNames[amount], " ", need, " is over the largest endpoint's ", most);
+      return absl::StrCat(kNames[amount], " ", need, " exceeds the largest endpoint's ", most);
     }
   }
-  return "no endpoint has all the amounts together, or not enough endpoints have them";
+  return "no endpoint has all the amounts at once, or too few endpoints have them";
 }
 
 }  // namespace catkinford
--- a/src/process/shard_capacity.h
+++ b/src/process/shard_capacity.h
@@ -1,4 +1,4 @@
-// The endpoints of one shard: what each holds, what is free, and which may get new work.
+// The endpoints of one shard: what each holds, what is free, and which of them accept new work.
 #ifndef CATKINFORD_PROCESS_SHARD_CAPACITY_H_
 #define CATKINFORD_PROCESS_SHARD_CAPACITY_H_
 
@@ -18,20 +18,20 @@
 struct endpoint_record {
   resources capacity;
   resources used;
-  resources preemptible;  // the part of `used` that batch work would give back when asked
+  resources preemptible;  // the part of `used` that batch work would release when stopped
   resources self_ending;  // the part of `used` that ends by itself: all but services and gangs
   uint32_t rack = 0;
   uint32_t failure_domain = 0;
-  uint32_t interactive = 0;  // interactive tasks here
+  uint32_t interactive = 0;  // number of interactive tasks
   uint32_t reservation = kNoReservation;
   endpoint_state state = endpoint_state::kGone;
   bool known = false;
-  bool cooling = false;  // it refused a start for lack of room: our view is behind
+  bool cooling = false;  // it rejected a start for lack of capacity: our view is outdated
   endpoint_health health;
   std::vector<task_ref> tasks;
 
   resources Free() const { return SubtractOrZero(capacity, used); }
-  // What would be free if all that may be stopped, or passes by itself, were gone.
+  // What would be free without the work that may be preempted, or that ends by itself.
   resources FreeWithoutBatch() const {
     return SubtractOrZero(capacity, SubtractOrZero(used, preemptible));
   }
@@ -40,7 +40,7 @@
   }
 };
 
-// A kind of endpoint and the most of them that were there at one time.
+// An endpoint shape, how many endpoints have it now, and the most at any one time.
 struct shape_count {
   resources capacity;
   uint32_t present = 0;
@@ -56,30 +56,30 @@
   size_t Size() const { return endpoints_.size(); }
   const endpoint_record& operator[](endpoint_index endpoint) const { return endpoints_[endpoint]; }
 
-  // Endpoints that may get new work, by what they have free.
+  // Endpoints that accept new work, by free capacity.
   const free_index& Open() const { return open_; }
-  // The same endpoints, by what they would have free without batch work.
+  // The same endpoints, by the capacity that would be free without batch work.
   const free_index& Preemptible() const { return preemptible_; }
 
-  // Takes the room of one task; returns its position in the endpoint's list.
+  // Reserves the resources of one task; returns its position in the endpoint's task list.
   uint32_t Add(endpoint_index endpoint, const task_ref& task, const job_request& job);
-  // Gives it back. Returns the task that moved to `position`, or an empty reference.
+  // Releases them. Returns the task that moved to `position`, or an empty reference.
   task_ref Remove(endpoint_index endpoint, uint32_t position, const job_request& job);
 
   void Reserve(endpoint_index endpoint, uint32_t reservation);
   void SetCooling(endpoint_index endpoint, bool cooling);
 
-  // Notes a good or bad run; true when the endpoint was ejected now.
+  // Records a good or failed run; true when the endpoint has just been ejected.
   bool RecordRun(endpoint_index endpoint, bool fault, monotonic_time now);
   void EndEjection(endpoint_index endpoint, monotonic_time now);
 
-  // Whether the floor, empty, holds `count` tasks of `each` side by side. Shapes that were here
-  // count as reachable: an endpoint that is down comes back or is replaced.
+  // Whether the shard, when empty, could run `count` tasks of `each` at once. Shapes that were seen
+  // before count as available: an endpoint that is down comes back or is replaced.
   bool CanEverHold(const resources& each, uint32_t count) const;
-  // Which amount is too large for every endpoint, and the largest there is, in words.
+  // Names the amount that exceeds every endpoint, and the largest one available.
   std::string ExplainNeverFits(const resources& each) const;
 
-  // Capacity of the endpoints that are not fenced yet: it counts against every team.
+  // Capacity of the endpoints that are not fenced yet; it counts against every team.
   const resources& Unfenced() const { return unfenced_; }
   uint32_t UnfencedEndpoints() const { return unfenced_endpoints_; }
   bool UnfencedTasksUnbounded() const { return unfenced_without_slots_ > 0; }
@@ -87,23 +87,23 @@
   const resources& OpenCapacity() const { return open_capacity_; }
   uint32_t OpenEndpoints() const { return open_endpoints_; }
   const resources& LargestCapacity() const { return largest_; }
-  // What interactive work uses now, and in how many tasks.
+  // Interactive work in progress: its resources and number of tasks.
   const resources& InteractiveUse() const { return interactive_use_; }
   uint32_t InteractiveTasks() const { return interactive_tasks_; }
   uint32_t Interactive(uint32_t rack) const { return rack < racks_.size() ? racks_[rack] : 0; }
 
-  // Endpoints that have more room than at the last call of ClearFreed().
+  // Endpoints with more free capacity than at the last call of ClearFreed().
   const std::vector<endpoint_index>& Freed() const { return freed_; }
   void ClearFreed() { freed_.clear(); }
 
  private:
   void CountState(const endpoint_record& e, bool in);
   void CountShape(const resources& capacity, bool in);
-  // Brings the indexes in line with the record.
+  // Updates the indexes from the endpoint's record.
   void Refresh(endpoint_index endpoint);
 
   std::vector<endpoint_record> endpoints_;
-  std::vector<uint32_t> racks_;  // interactive tasks in each rack
+  std::vector<uint32_t> racks_;  // number of interactive tasks in each rack
   resources interactive_use_;
   uint32_t interactive_tasks_ = 0;
   std::vector<shape_count> shapes_;
@@ -121,7 +121,7 @@
   uint32_t ejected_ = 0;
 };
 
-// Batch work that may be stopped and started again gives way to urgent work.
+// Batch work that may be stopped and restarted is preempted by urgent work.
 inline bool IsPreemptible(const job_request& job) {
   return job.kind == workload_kind::kBatch && job.repeatable && !job.urgent;
 }
--- a/src/process/shard_endpoints.cc
+++ b/src/process/shard_endpoints.cc
@@ -1,4 +1,4 @@
-// The part of a shard that speaks with its endpoints: lists, syncs, silence, loss.
+// The part of a shard that talks to its endpoints: listings, syncs, silence and loss.
 #include <algorithm>
 #include <utility>
 
@@ -19,7 +19,7 @@
     endpoint_record& at = endpoints_[found->second];
     at.present = true;
     if (at.address.base_url != from.address) {
-      // Replaced under the same name: what the old one ran is asked of the new one.
+      // Replaced under the same name: the new endpoint is asked for what the old one ran.
       at.address.base_url = from.address;
       at.link.Refence(now);
       SetCoreState(found->second, now);
@@ -67,7 +67,7 @@
   return found == endpoint_by_name_.end() ? 0 : TasksAt(found->second).size();
 }
 
-// What the core may do with an endpoint follows from its link and from who wants it to leave.
+// The core's view of an endpoint follows from its link and from whether it is leaving or drained.
 void shard::SetCoreState(endpoint_index index, monotonic_time now) {
   const endpoint_record& at = endpoints_[index];
   endpoint_state state = endpoint_state::kOpen;
@@ -143,10 +143,11 @@
   return wanted;
 }
 
-// An endpoint that restarted between an earlier owner's start and our list has forgotten the task,
-// and its list looks complete. Taken for complete, work that is not to be repeated would run a
-// second time when its caller asks again, seen as two starts of one request in the endpoints'
-// records. An endpoint that joins an owner that has been at work for a window was in nobody's list.
+// An endpoint that restarted between an earlier owner's start and our listing has lost the task,
+// and its listing looks complete. If it were taken as complete, work that is not repeatable would
+// run a second time when its caller retries, with two starts of one request in the endpoints'
+// records. An endpoint that joins an owner which has been active for an identity window was never
+// listed by an earlier owner.
 void shard::CheckIncarnation(endpoint_record& at, monotonic_time now) {
   const uint64_t incarnation = at.link.Incarnation();
   if (!has_incarnations_ || incarnation == at.checked_incarnation) return;
@@ -159,11 +160,11 @@
       before == recorded_.end() && at.added - opened_at_ >= options_.identity_window;
   if (is_first && (same || no_earlier_owner || is_new)) return;
   at.state_lost_at = now;
-  // What we ourselves had started there is known, and lost.
+  // What this owner started there is known, and lost.
   if (is_first) identities_.OnListLost(now);
 }
 
-// Another owner has been here with a higher epoch.
+// Whether the reply shows that another owner has used a higher epoch.
 bool shard::IsSuperseded(const endpoint_reply& reply) {
   if (reply.status != endpoint_status::kFenced) return false;
   const uint64_t epoch = OwnerEpochOf(reply.epoch);
@@ -199,15 +200,15 @@
   orphans.token = token;
   for (const task_status& status : reply.tasks) {
     const job_state* job = Find(status.id.job);
-    // A task that has moved to another shard while its failure domain was lost runs there now.
+    // A task that was moved while its failure domain was lost now runs in another shard.
     const bool moved = job != nullptr && status.id.index < job->tasks.size() &&
                        job->tasks[status.id.index].phase == task_phase::kElsewhere;
     if (moved) {
       if (!status.finished) orphans.ids.push_back(status.id);
       continue;
     }
-    // A durable job that the store does not know any more has ended: nothing of it may go on, and
-    // a caller that asks for it again must not start it anew.
+    // A durable job that the store no longer knows has ended: none of its tasks may continue, and a
+    // caller that requests it again must not start it anew.
     const bool is_orphan = job == nullptr && IsDurable(status.kind);
     if (!is_orphan) {
       ApplyListedTask(index, status, now);
@@ -224,7 +225,7 @@
   job.spec.id = status.id.job;
   job.spec.kind = status.kind;
   job.spec.team = status.team;
-  job.ended = UnknownOutcome(status.id.job, "ended under an earlier owner");
+  job.ended = UnknownOutcome(status.id.job, "the job ended under an earlier owner");
   ended_.emplace(now + options_.identity_window, status.id.job);
 }
 
@@ -266,9 +267,10 @@
   if (status.finished) TaskEnded(id, status.result, status.answer, status.ran, now);
 }
 
-// What we believed to be at the endpoint and is not in its list. A restarted endpoint has lost all
-// that ran, and what was sent to it may have run in its former life. Else only a start whose reply
-// is lost can be missing: it did not take, and with the token raised since it never will.
+// Handles tasks that were believed to be at the endpoint and are missing from its listing. A
+// restarted endpoint has lost everything that ran, and what was sent to it may have run in its
+// former incarnation. Otherwise only a start whose reply was lost can be missing: it did not take
+// effect, and with the token raised since then it never will.
 void shard::DropUnlisted(endpoint_index index, const endpoint_reply& reply, bool restarted,
                          monotonic_time now) {
   absl::flat_hash_set<task_id> listed;
@@ -329,8 +331,8 @@
     TaskEnded(ended.id, ended.result, ended.answer, ended.ran, now);
   }
   at.link.OnSynced(reply.cursor, at.unrecorded > 0, now);
-  // Ends that are not in the store yet must stay at the endpoint: a new owner would find neither
-  // their record nor their list entry, and would run a finished task again.
+  // The endpoint must keep ends that are not in the store yet: a new owner would find neither their
+  // record nor their entry in the listing, and would run a finished task again.
   if (at.unrecorded == 0) at.link.AckUpTo(reply.cursor);
   if (reply.leaving && !at.leaving) {
     at.leaving = true;
@@ -381,7 +383,7 @@
   if (!uncertain.empty()) ResolveUncertainStarts(index, token, uncertain, now);
 }
 
-// Only a list under a token that is higher than the start's tells whether the start took.
+// Only a listing under a higher token than the start's shows whether the start took effect.
 void shard::ResolveUncertainStarts(endpoint_index index, uint64_t token,
                                    const std::vector<task_id>& uncertain, monotonic_time now) {
   endpoint_record& at = endpoints_[index];
@@ -391,8 +393,9 @@
     SetCoreState(index, now);
     return;
   }
-  // That list has come: it would have shown the task as running or ended, and the token keeps the
-  // start out from now on. Else it is under way, and settles the task when it comes.
+  // That listing has been applied: it would have shown the task as running or ended, and the token
+  // now rejects the start. Otherwise the listing is still on its way and settles the task when it
+  // arrives.
   if (at.link.State() != endpoint_link_state::kOpen) return;
   for (const task_id& id : uncertain) OnStartFailed(id, false, now);
 }
--- a/src/process/shard_evacuate.cc
+++ b/src/process/shard_evacuate.cc
@@ -1,4 +1,4 @@
-// The part of a shard that moves its jobs to other failure domains, after its own was lost.
+// The part of a shard that moves its jobs to other failure domains after its own was lost.
 #include <algorithm>
 #include <utility>
 
@@ -11,7 +11,7 @@
 
 constexpr milliseconds kRetryAfter{1000};
 
-// The same parts as ranges, from the shard of each task.
+// Converts the shard of each task into ranges of consecutive tasks.
 std::vector<job_part> RangesOf(const std::vector<std::string>& where) {
   std::vector<job_part> parts;
   for (uint32_t i = 0; i < where.size(); ++i) {
@@ -33,24 +33,26 @@
   for (const request_id& id : waiting) {
     job_state& job = jobs_.at(id);
     if (!job.spec.home.empty()) {
-      // Its home places it again once it hears of this owner, and takes it back then.
+      // Its home takes it back and places it again once it learns of this owner.
       ++evacuated_.returned;
       job.ever_ran = true;
       End(id, job,
-          RefusedOutcome(id, refusal_reason::kOwnerUnreachable, {}, "its domain was evacuated"),
+          RefusedOutcome(id, refusal_reason::kOwnerUnreachable, {},
+                         "its failure domain was evacuated"),
           now);
     } else if (!job.spec.repeatable) {
       ++evacuated_.unknown;
       AddEvent(event_code::kJobGivenUp, id, options_.name);
-      End(id, job, UnknownOutcome(id, "its failure domain was lost, it may have run there"), now);
+      End(id, job, UnknownOutcome(id, "it may have run in its failure domain, which was lost"),
+          now);
     } else if (!MoveTasks(id, job, split)) {
       ++evacuated_.still_waiting;
     }
   }
 }
 
-// Not before it is recorded: when the domain comes back, its owner reads here that these tasks are
-// not its own any more.
+// The tasks move only once the new plan is recorded: when the domain comes back, its owner must
+// read in the log that these tasks are no longer its own.
 bool shard::MoveTasks(const request_id& id, job_state& job, const task_split& split) {
   const std::vector<uint32_t> tasks = WaitingOf(job);
   const std::vector<job_part> to = split(job.spec, static_cast<uint32_t>(tasks.size()));
@@ -76,7 +78,7 @@
   return true;
 }
 
-// Work that only this shard could take, or only it could know of. True when it is answered.
+// Answers work that only this shard could have accepted or known about. Returns true when answered.
 bool shard::RejectEvacuated(const std::string& entry, const place_message& place) {
   const bool can_move = IsDurable(place.kind) && place.repeatable && place.home.empty();
   if (can_move) return false;
--- a/src/process/shard_parts.cc
+++ b/src/process/shard_parts.cc
@@ -1,5 +1,5 @@
-// The part of a shard that deals with jobs spread over several: as their home, and as the place of
-// one of their parts.
+// The part of a shard that handles jobs spread over several shards, both as their home and as the
+// owner of one of their parts.
 #include <algorithm>
 #include <utility>
 
@@ -11,12 +11,12 @@
 
 using std::chrono::milliseconds;
 
-// How long an accepted job's caller waits for the records of its parts. Its home has recorded which
-// replicas it owes to whom, so it is durable before; the wait serves the answer alone, which names
-// the shards that have not confirmed.
+// How long the caller of an accepted job waits for the records of its parts. The home has already
+// recorded which replicas go to which shard, so the job is durable; the wait only lets the answer
+// name the shards that have not confirmed.
 constexpr milliseconds kPartsConfirmWait{1500};
 constexpr milliseconds kPartRetention{600000};
-// Sendings of one owner; the next owner's numbers are higher.
+// Bits for the send numbers of one owner; the next owner's numbers are higher.
 constexpr int kSendBits = 24;
 
 }  // namespace
@@ -30,8 +30,8 @@
   }
 }
 
-// Begins to place the parts of a job whose home this is; again after a change of owner, since
-// nobody wrote down which of them were confirmed.
+// Starts to place the parts of a job whose home is this shard. Repeated after a change of owner,
+// since it is not recorded which parts were confirmed.
 void shard::OpenParts(const request_id& id, job_state& job, monotonic_time now) {
   if (!job.spec.home.empty()) return;
   std::vector<std::string> shards;
@@ -81,8 +81,8 @@
 }
 
 void shard::PartIsOver(const part_answer_message& answer, job_state& job, monotonic_time now) {
-  // Only a home cancels parts: an earlier owner of this shard has begun to cancel the job and did
-  // not live to write that down. Part of it is gone, so the rest follows.
+  // Only a home cancels parts: an earlier owner of this shard began to cancel the job and was lost
+  // before that was recorded. Some tasks are already cancelled, so the rest follows.
   if (answer.cancelled && !job.cancelled) CancelJob(answer.id, job, now);
   if (job.ended || job.cancelled || job.spec.kind == workload_kind::kService) return;
   const outcome& result = answer.result;
@@ -105,8 +105,8 @@
   }
 }
 
-// What another shard turned away waits here. Not before that is recorded: an owner that read the
-// old record would place the same replicas elsewhere once more.
+// Queues here what another shard rejected, once that is recorded: an owner that read the old record
+// would place the same replicas in another shard once more.
 void shard::ReturnPartToHome(const request_id& id, job_state& job, const std::string& from) {
   for (job_part& part : job.spec.parts) {
     if (part.shard == from) part.shard = options_.name;
@@ -135,8 +135,8 @@
   SendAccepted(id, job, now);
 }
 
-// A part that was turned away here and that its home sends again, having recorded in between that
-// it was not here. The memory of the refusal is for placements from before that.
+// Whether a part that was rejected here is placed again after its home has recorded that it was not
+// here. The stored rejection only applies to placements sent before that.
 bool shard::IsRetriedPart(const job_state& job, const place_message& place) const {
   return job.ended && !job.end_untold && !job.cancelled && !place.home.empty() &&
          job.spec.home == place.home && place.plan > job.spec.plan &&
@@ -150,7 +150,7 @@
   jobs_.erase(found);
 }
 
-// The home has moved further tasks of the job here.
+// Accepts further tasks that the home has moved to this shard.
 void shard::AddTasks(const request_id& id, job_state& job, place_message place) {
   const bool grows = std::any_of(place.parts.begin(), place.parts.end(), [&](const job_part& part) {
     return part.shard == options_.name && HasElsewhere(job, part);
@@ -161,8 +161,8 @@
   RecordPlan(id, job);
 }
 
-// A part that never came, or is forgotten. It is remembered as cancelled: its placement may still
-// be on the way here, and would start what its caller hears is over.
+// Cancels a part that never arrived or was forgotten. It is kept as cancelled: its placement may
+// still be on its way and would start tasks of a job that its caller is told is over.
 void shard::CancelUnknownPart(const std::string& entry, const cancel_message& what,
                               monotonic_time now) {
   job_state& job = jobs_[what.id];
@@ -187,8 +187,8 @@
   std::vector<part_call> calls;
   parts_.Tick(now, calls);
   for (part_call& call : calls) {
-    // No shard may hear of a plan that is not recorded: dying now, this owner would be followed by
-    // one that reads the plan before it, and the same replicas would run by both.
+    // No shard may see a plan that is not recorded: if this owner were lost now, its successor
+    // would read the previous plan and the same replicas would run twice.
     const job_state* job = Find(call.id);
     const bool waits = job != nullptr && job->unrecorded_plans > 0 && !call.is_cancel;
     if (!waits) actions_.push_back(part_action{std::move(call)});
--- a/src/process/shard_restore.cc
+++ b/src/process/shard_restore.cc
@@ -1,4 +1,4 @@
-// The part of a shard that begins where an earlier owner ended: jobs from the log, and what has to
+// The part of a shard that takes over from an earlier owner: jobs from the log, and requests that
 // wait until all endpoints are listed.
 #include <algorithm>
 #include <chrono>
@@ -38,7 +38,7 @@
   }
 }
 
-// Once every endpoint was listed, what neither ended nor runs is known to wait.
+// Once every endpoint is listed, tasks that neither ended nor run are known to be waiting.
 void shard::ResumeRestored(monotonic_time now) {
   if (restored_.empty() || !AllListed()) return;
   identities_.SetUnlisted(0);
@@ -46,16 +46,17 @@
     job_state* job = Find(id);
     if (job == nullptr || job->ended) continue;
     const std::vector<uint32_t> waiting = WaitingOf(*job);
-    // In no list, and one of the lists is not whole: an earlier owner may have started it.
+    // In no listing, and one of the listings is incomplete: an earlier owner may have started it.
     if (!waiting.empty() && !job->spec.repeatable && !identities_.Certain(now)) {
-      End(id, *job, UnknownOutcome(id, "it may have run where it is lost"), now);
+      End(id, *job, UnknownOutcome(id, "it may have run on an endpoint whose state is lost"), now);
       continue;
     }
     Track(id, *job);
     core_.Resume(RequestOf(*job, now), waiting, now);
     job->awaits_lists = false;
     if (!job->cancelled) continue;
-    // Cancelled before the core knew it: it would run on, and its caller wait for ever.
+    // Cancelled before the core knew the job: without this it would run on and its caller wait
+    // forever.
     core_.Cancel(id, now);
     EndIfOver(id, *job, now);
   }
@@ -77,8 +78,8 @@
       deferred_.push_back(std::move(deferred));
       continue;
     }
-    const outcome answer =
-        UnknownOutcome(deferred.place.id, "an endpoint that may have run it has not been listed");
+    const outcome answer = UnknownOutcome(
+        deferred.place.id, "an endpoint that may have run it was not listed in time");
     actions_.push_back(answer_action{deferred.entry, answer});
   }
 }
--- a/src/process/shard_tasks.cc
+++ b/src/process/shard_tasks.cc
@@ -1,4 +1,4 @@
-// The part of a shard that follows its tasks: the core's commands, starts, ends, outcomes.
+// The part of a shard that tracks its tasks: the core's commands, starts, ends and outcomes.
 #include <algorithm>
 #include <iterator>
 #include <map>
@@ -11,11 +11,11 @@
 
 using std::chrono::milliseconds;
 
-// How long the end of a durable job is remembered for its callers.
+// How long the end of a durable job is kept for its callers.
 constexpr milliseconds kDurableRetention{600000};
-// How long a task may outlast its request before its job's state is looked at again.
+// How long to wait before checking again whether a task still runs after its request has ended.
 constexpr milliseconds kRunningRecheck{1000};
-// When a caller whose deadline passed in the queue may come back.
+// Retry-After for a caller whose deadline passed in the queue.
 constexpr milliseconds kRetryAfter{1000};
 
 }  // namespace
@@ -40,7 +40,7 @@
   std::map<std::pair<endpoint_index, bool>, stop_action> stops;
   for (const command& next : commands_) {
     if (next.kind == command_kind::kRefuse) {
-      // Only its part here: the others are told on their own.
+      // Only the part in this shard is rejected; parts elsewhere get their own answers.
       if (parts_.AllOver(next.task.job))
         RejectJob(next.task.job, next.reason, next.retry_after, next.detail, now);
     } else if (next.kind == command_kind::kStop) {
@@ -64,7 +64,7 @@
   for (auto& [key, stop] : stops) actions_.push_back(std::move(stop));
 }
 
-// The core's word that nothing more of a job will be started. Mostly the tasks' ends have told so.
+// The core will start nothing more of a job. Usually the ends of its tasks have already ended it.
 void shard::ApplyJobEnd(const command& end, monotonic_time now) {
   job_state* job = Find(end.task.job);
   if (job == nullptr || job->ended) return;
@@ -73,12 +73,13 @@
   const bool may_have_run = end.end == job_end::kUnknown;
   const bool is_late = end.reason == refusal_reason::kDeadline;
   std::string detail = job->fault.empty() ? end.detail : job->fault;
-  if (is_late && detail.empty()) detail = "its deadline passed before all of it had started";
+  if (is_late && detail.empty()) detail = "its deadline passed before all of its tasks had started";
   outcome told = FailedOutcome(end.task.job, detail);
-  if (may_have_run) told = UnknownOutcome(end.task.job, "a run of it was lost");
-  // Neither "not run" nor "ran" is proved of a job that an earlier owner may have started.
+  if (may_have_run) told = UnknownOutcome(end.task.job, "one of its runs was lost");
+  // Neither "not run" nor "ran" is certain for a job that an earlier owner may have started.
   if (is_late && !job->ever_ran) {
-    told = UnknownOutcome(end.task.job, "its deadline passed, it may have run under another owner");
+    told =
+        UnknownOutcome(end.task.job, "its deadline passed and it may have run under another owner");
   }
   End(end.task.job, *job, std::move(told), now);
 }
@@ -163,7 +164,7 @@
   unrecorded_.erase(found);
 }
 
-// A run whose end nobody saw, and that surely does not run any more.
+// A run whose end was not seen and that certainly does not run any more.
 void shard::LoseTask(const task_id& id, monotonic_time now) {
   job_state* job = nullptr;
   task_progress* task = FindTask(id, job);
@@ -175,11 +176,11 @@
     core_.Finished(id, task_end::kLost, {}, now);
     return;
   }
-  // Not to be repeated, or not known whether it may be: it may have run, and is not run again.
+  // Not repeatable, or unknown whether it is: it may have run and is not run again.
   task->phase = task_phase::kFailed;
   core_.Finished(id, task_end::kFailed, {}, now);
   if (job->ended) return;
-  End(id.job, *job, UnknownOutcome(id.job, "its endpoint was lost while it ran"), now);
+  End(id.job, *job, UnknownOutcome(id.job, "its endpoint was lost while it was running"), now);
 }
 
 void shard::Reply(const std::string& entry, const job_state& job, const outcome& result) {
@@ -205,9 +206,9 @@
   for (const std::string& entry : job.entries) Reply(entry, job, result);
 }
 
-// The end of a durable job that did not run, or not to its end, is told once the store has it. Told
-// at once, and the owner dying before the write, the next owner would find the job unfinished and
-// run it: its caller had heard "cancelled" or "not run".
+// The end of a durable job that did not run, or not completely, is reported once it is recorded. If
+// it were reported at once and the owner were lost before the write, the next owner would find the
+// job unfinished and run it after its caller was told "cancelled" or "not run".
 void shard::End(const request_id& id, job_state& job, outcome result, monotonic_time now) {
   if (job.ended) return;
   const bool never_recorded = result.reason == refusal_reason::kNotDurable;
@@ -229,8 +230,8 @@
   }
   if (has_record) actions_.push_back(complete_action{{id, 0, 0}, false, true, ""});
   if (!is_durable) identities_.Finish(id, *job.ended, now);
-  // A part that was turned away is remembered too: a placement that was sent before and comes late
-  // must not start what its home has taken elsewhere since.
+  // A rejected part is retained too: a placement that was sent earlier and arrives late must not
+  // start tasks that its home has since placed elsewhere.
   const bool remembered = has_record || !job.spec.home.empty();
   job.forget_at = remembered ? now + kDurableRetention : now;
   ended_.emplace(job.forget_at, id);
@@ -246,9 +247,10 @@
 
 void shard::EndIfOver(const request_id& id, job_state& job, monotonic_time now) {
   if (job.ended || !parts_.AllOver(id)) return;
-  // It may run where no list has come from yet. Told "cancelled, not run" now, it would run on.
+  // It may run on an endpoint that is not listed yet and would run on after "cancelled, not run".
   if (job.cancelled && job.awaits_lists) return;
-  // Its tasks may be elsewhere, or on their way: that none waits or runs here says nothing.
+  // Its tasks may be in other shards or on their way there: no waiting or running task here proves
+  // nothing.
   const bool is_service = job.spec.kind == workload_kind::kService;
   const bool is_home = job.spec.home.empty();
   const bool goes_on = is_service || job.unrecorded_plans > 0 || (is_home && HasElsewhere(job));
@@ -261,13 +263,13 @@
   job_state* job = Find(id);
   if (job == nullptr || job->ended) return;
   outcome refused = RefusedOutcome(id, reason, retry_after, std::move(detail));
-  // The core refuses what it has not started; for a job of which some task ran, "not run" would be
-  // untrue of the whole.
-  if (job->ever_ran) refused = FailedOutcome(id, "ended early: " + refused.detail);
+  // The core rejects what it has not started; for a job of which some task ran, "not run" would be
+  // false.
+  if (job->ever_ran) refused = FailedOutcome(id, "the job ended early: " + refused.detail);
   End(id, *job, std::move(refused), now);
 }
 
-// Drops the state of jobs that have ended, but not while one of their tasks still runs.
+// Drops the state of ended jobs, but not while one of their tasks still runs.
 void shard::ForgetOld(monotonic_time now) {
   identities_.Expire(now);
   refusals_.Expire(now);
@@ -284,7 +286,7 @@
   }
 }
 
-// A caller that waits is answered at its deadline, whatever still runs.
+// Answers callers that wait at their deadline, whatever still runs.
 void shard::EndExpired(monotonic_time now) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const request_id id = deadlines_.begin()->second;
@@ -294,12 +296,12 @@
     core_.Cancel(id, now);
     const job_progress progress = ProgressOf(*job);
     if (progress.running == 0) {
-      RejectJob(id, refusal_reason::kDeadline, kRetryAfter, "the deadline passed in the queue",
-                now);
+      RejectJob(id, refusal_reason::kDeadline, kRetryAfter,
+                "the deadline passed while it was queued", now);
       continue;
     }
-    // Its end may already stand at the endpoint and be on its way: "failed" could be untrue.
-    End(id, *job, UnknownOutcome(id, "the deadline passed while it ran"), now);
+    // Its end may already be recorded at the endpoint and on its way here: "failed" could be false.
+    End(id, *job, UnknownOutcome(id, "the deadline passed while it was running"), now);
   }
 }
 
