--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -12,17 +12,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kMissedHeartbeats = 4;        // overdue by this many: suspect
-constexpr int kMissedRounds = 2;            // of another domain, both ways: suspect
+constexpr int kMissedHeartbeats = 4;  // overdue by this many heartbeats: suspect
+constexpr int kMissedRounds =
+    2;  // overdue by this many rounds over the other domains, both ways: suspect
 constexpr int kDownFactor = 2;              // overdue by this many times that: down
-constexpr milliseconds kHopAllowance{5};    // age that a word gains on its way
-constexpr seconds kForgetAfter{60};         // silent and not in the list
-constexpr size_t kMaxMembers = 1024;        // bounds what a faulty peer can make us keep
+constexpr milliseconds kHopAllowance{5};    // age that a status gains on its way
+constexpr seconds kForgetAfter{60};         // silent and not listed
+constexpr size_t kMaxMembers = 1024;        // limits what a faulty peer can make this entry store
 constexpr uint32_t kNearShareOfBudget = 2;  // near heartbeats take at most one part in two
-constexpr uint32_t kMinFarShare = 8;        // and far ones get at least one part in eight
+constexpr uint32_t kMinFarShare = 8;        // far heartbeats get at least one part in eight
 constexpr int64_t kMillisPerSecond = 1000;
 // Bytes on the wire, measured with real processes: a call and its reply over the JSON-RPC library
-// with the heads of our texts, and the word of an owner of one shard.
+// with the message headers, and the status of an owner of one shard.
 constexpr uint32_t kExchangeBytes = 472 + 120;
 constexpr uint32_t kEntryStatusBytes = 125;
 
@@ -39,8 +40,8 @@
   return one;
 }
 
-// The platform's list says how an entry is reached from here, so its address goes before the one
-// that the entry gives itself.
+// The address in the platform's list is the one that is reachable from here, so it takes precedence
+// over the one that the entry reports.
 bool membership::ApplyStatus(const entry_status& status, const std::string& failure_domain,
                              monotonic_time now) {
   if (status.name == options_.name || status.name.empty() || status.incarnation == 0) return false;
@@ -83,7 +84,7 @@
     const bool is_unknown = known == nullptr || known->status.incarnation == 0;
     if (!is_unknown || (known != nullptr && known->listed)) continue;
     FindOrAdd(name, options_.failure_domain, record.address).last_heard =
-        now;  // not forgotten meanwhile
+        now;  // keeps it from being forgotten meanwhile
   }
   Forget(now);
 }
@@ -93,8 +94,8 @@
   std::vector<std::string> updated;
   for (const entry_status& status : heartbeat.entries) {
     if (ApplyStatus(status, heartbeat.failure_domain, now)) updated.push_back(status.name);
-    // The sender itself has said something later: the network held this back, and the ages in it
-    // are too low. A neighbour that died meanwhile would seem to be alive.
+    // The sender has already sent a later status: the network delayed this message, and the ages in
+    // it are too low. An entry of its domain that was lost meanwhile would look alive.
     if (updated.empty()) break;
   }
   return updated;
@@ -171,7 +172,7 @@
   });
 }
 
-// Spending the budget.
+// Spending the byte budget.
 
 size_t membership::CountNear() const {
   return static_cast<size_t>(std::count_if(
@@ -194,8 +195,8 @@
   return kExchangeBytes + 2 * static_cast<uint32_t>(CountNear() + 1) * kEntryStatusBytes;
 }
 
-// Successors on the ring of the domain that get each heartbeat: at least one, all in a small
-// domain. What we send others send to us, so half of the budget is for sending.
+// Number of ring successors that get each heartbeat: at least one, and all in a small domain. As
+// many bytes are received as sent, so half of the budget is for sending.
 size_t membership::NearTargets() const {
   const uint32_t sending = options_.bytes_per_second / 2 / kNearShareOfBudget;
   const auto heartbeats = kMillisPerSecond / options_.heartbeat.count();
@@ -203,7 +204,7 @@
   return std::min(CountNear(), std::max<size_t>(fit, 1));
 }
 
-// A domain of two needs few bytes for all else and keeps the full rate.
+// A domain of two entries needs few bytes for the rest and keeps the full rate.
 milliseconds membership::NearPeriod() const {
   if (CountNear() <= 1) return options_.heartbeat;
   const uint32_t sending = options_.bytes_per_second / 2 / kNearShareOfBudget;
@@ -212,8 +213,9 @@
   return std::max(affordable, options_.heartbeat);
 }
 
-// The rest of the budget goes to the other domains, one entry at a time, the domains in turn. A
-// domain of two keeps the full rate inside even where little is left: the others still hear of it.
+// The rest of the budget goes to the other domains, one entry at a time and the domains in turn. A
+// domain of two keeps its full inner rate even where little is left, so the other domains still get
+// a minimum share.
 milliseconds membership::FarPeriod() const {
   const auto far = static_cast<int64_t>(members_.size() - CountNear());
   if (far == 0) return options_.far_heartbeat;
@@ -225,15 +227,15 @@
   return std::max(affordable, options_.far_heartbeat / far);
 }
 
-// News of a neighbour that does not send to us comes round the ring.
+// The status of a neighbour that does not send to this entry is forwarded around the ring.
 milliseconds membership::NearTimeout() const {
   const size_t targets = std::max<size_t>(NearTargets(), 1);
   const auto hops = static_cast<int>((CountNear() + targets - 1) / targets);
   return NearPeriod() * (kMissedHeartbeats + std::max(hops - 1, 0));
 }
 
-// Each exchange with a domain brings news of all its entries, so a far entry is overdue when its
-// domain's turn has come round without it.
+// Each exchange with a domain returns the status of all its entries, so an entry of another domain
+// is overdue when a round over the domains passes without it.
 milliseconds membership::FarTimeout() const {
   const auto domains = static_cast<int>(std::max<size_t>(CountFarDomains(), 1));
   const milliseconds round = std::max(options_.far_heartbeat, FarPeriod() * domains);
@@ -253,7 +255,7 @@
   return due;
 }
 
-// The neighbours in the order of their names, beginning after this entry.
+// The neighbours in order of name, starting after this entry.
 std::vector<const member*> membership::Ring() const {
   std::vector<const member*> ring;
   const auto start = members_.lower_bound(options_.name);
@@ -266,7 +268,7 @@
   return ring;
 }
 
-// The last neighbour before us that may be alive: the one that sends to us.
+// The last neighbour before this entry that may be alive: the one that sends to it.
 const member* membership::Predecessor() const {
   const std::vector<const member*> ring = Ring();
   const auto found = std::find_if(ring.rbegin(), ring.rend(), [](const member* one) {
@@ -275,8 +277,8 @@
   return found == ring.rend() ? nullptr : *found;
 }
 
-// The next ones on the ring that are not known to be down, and in any case the very next, which
-// may have come back.
+// The next entries on the ring that are not known to be down, and always the direct successor,
+// which may have restarted.
 void membership::AddNear(std::vector<heartbeat_target>& out) const {
   const std::vector<const member*> ring = Ring();
   size_t wanted = NearTargets();
@@ -294,8 +296,8 @@
     if (!IsNear(one) && !one.address.empty()) domains[one.failure_domain].push_back(&one);
   }
   if (domains.empty()) return;
-  // A turn spent on an entry that is gone but still listed brings no news of its domain. Where none
-  // is up, all are tried.
+  // A heartbeat to an entry that is lost but still listed returns no status of its domain. Where no
+  // entry is up, all are tried.
   for (auto& [name, entries] : domains) {
     const auto is_up = [](const member* one) { return one->state == member_state::kUp; };
     if (std::none_of(entries.begin(), entries.end(), is_up)) continue;
@@ -314,8 +316,9 @@
   out.push_back({(*next)->name, (*next)->address, false});
 }
 
-// To a neighbour, and to another domain: all that has been heard of the own domain. What others
-// have said of theirs is not passed on: each exchange with a domain brings all of its entries.
+// Carries the latest statuses of the own domain, to neighbours and other domains alike. The
+// statuses of other domains are not forwarded: each exchange with a domain returns all of its
+// entries.
 heartbeat_message membership::Heartbeat(entry_status own, monotonic_time now) const {
   heartbeat_message heartbeat;
   heartbeat.failure_domain = options_.failure_domain;
--- a/src/process/membership.h
+++ b/src/process/membership.h
@@ -1,13 +1,14 @@
-// The entries of the whole fleet: from the platform's lagging list, from the store's members of
-// the own failure domain, and from heartbeats. Pure: words and time in, due heartbeats out.
+// The entries of the whole fleet, as known from the platform's lagging list, the store's members of
+// the own failure domain, and heartbeats. Pure: takes messages and time, returns due heartbeats.
 //
-// Every entry cannot tell every other one four times a second that it is alive: at the size we aim
-// for that alone would cost many times what a node may spend. So each entry sends to a few
-// successors on a ring inside its domain and to the other domains in turn, as many as a budget of
-// bytes allows, and passes on what it has heard of its domain.
+// All-to-all heartbeats four times a second would, at the target fleet size, cost many times a
+// node's byte budget. So each entry sends to a few successors on a ring inside its domain and to
+// the other domains in turn, as many as the budget allows, and forwards the status of the entries
+// of its domain.
 //
-// Each word of an entry is numbered by its incarnation and beat. What comes late or by a second way
-// is no news, so entries cannot keep a dead one alive by telling each other of it.
+// Each status is ordered by its incarnation and heartbeat sequence number. One that arrives late or
+// by a second path changes nothing, so entries can't keep a lost one alive by forwarding its
+// status.
 #ifndef CATKINFORD_PROCESS_MEMBERSHIP_H_
 #define CATKINFORD_PROCESS_MEMBERSHIP_H_
 
@@ -29,26 +30,26 @@
   std::string failure_domain;
   std::string address;
   uint64_t incarnation = 0;
-  std::chrono::milliseconds heartbeat{250};       // inside the failure domain
-  std::chrono::milliseconds far_heartbeat{1000};  // to an entry of another one, at the fastest
+  std::chrono::milliseconds heartbeat{250};       // period inside the failure domain
+  std::chrono::milliseconds far_heartbeat{1000};  // shortest period to an entry of another domain
   uint32_t bytes_per_second = 7800;               // for heartbeats sent and received together
 };
 
 enum class member_state : uint8_t {
   kUp,
   kSuspect,  // overdue, or a call to it has failed
-  kDown,     // long overdue, or never heard of but in the list
+  kDown,     // long overdue, or listed but never heard from
 };
 
 struct member {
   std::string name;
   std::string failure_domain;
-  std::string address;  // as the platform's list says, else as the entry itself says
-  entry_status status;  // its last; incarnation zero: not heard of yet
+  std::string address;  // from the platform's list, else as reported by the entry itself
+  entry_status status;  // its latest; incarnation zero: nothing received yet
   member_state state = member_state::kDown;
-  monotonic_time last_heard{};  // when it said its last word, first or second hand
+  monotonic_time last_heard{};  // when it sent its latest status, directly or forwarded
   bool listed = false;          // in the platform's list
-  bool listed_leaving = false;  // the platform's list says that it is leaving
+  bool listed_leaving = false;  // leaving according to the platform's list
 
   bool Leaving() const { return status.leaving || listed_leaving; }
 };
@@ -63,7 +64,7 @@
 struct heartbeat_target {
   std::string name;
   std::string address;
-  bool near = false;  // of the own failure domain
+  bool near = false;  // in the own failure domain
 };
 
 class membership {
@@ -73,35 +74,35 @@
   void OnInstances(const std::vector<instance>& instances, monotonic_time now);
   void OnStoreMembers(const absl::btree_map<std::string, member_record>& members,
                       monotonic_time now);
-  // A heartbeat, or the reply to one. Returns the names of those whose words are news.
+  // Handles a heartbeat or the reply to one. Returns the names of entries whose status was updated.
   std::vector<std::string> OnHeartbeat(const heartbeat_message& heartbeat, monotonic_time now);
-  // A call to it could not be sent, or a heartbeat got no answer.
+  // A call to the entry could not be sent, or a heartbeat got no answer.
   void OnSilent(const std::string& name, monotonic_time now);
-  // Another entry says so. False when we have heard of it since.
+  // Another entry reports it silent. False when a later status has been received.
   bool OnSilent(const silent_message& silent, monotonic_time now);
 
-  // Changes of state since the last call.
+  // Returns the changes of state since the last call.
   void Tick(monotonic_time now, std::vector<member_change>& out);
-  // Whom to send a heartbeat to now.
+  // Returns the targets of the heartbeats that are due now.
   std::vector<heartbeat_target> DueHeartbeats(monotonic_time now);
-  // This entry's own word with what it has heard of its domain.
+  // A heartbeat with this entry's own status and the latest statuses of its domain.
   heartbeat_message Heartbeat(entry_status own, monotonic_time now) const;
 
-  // All but this entry, by name.
+  // All entries but this one, by name.
   const absl::btree_map<std::string, member>& Members() const { return members_; }
   const member* Find(const std::string& name) const;
   bool IsUp(const std::string& name) const;
-  // Those that are up and stay, by name.
+  // Names of the entries of the own domain that are up and not leaving.
   std::vector<std::string> LiveNeighbours() const;
-  // By failure domain, those of other ones.
+  // The same for other failure domains, by domain.
   absl::btree_map<std::string, std::vector<std::string>> LiveFar() const;
 
-  // How the budget is spent at the present size.
+  // How the byte budget is spent at the current fleet size.
   size_t NearTargets() const;
   std::chrono::milliseconds NearPeriod() const;
-  uint32_t NearBytes() const;  // of one exchange
+  uint32_t NearBytes() const;  // of one call and its reply
   uint32_t FarBytes() const;
-  std::chrono::milliseconds FarPeriod() const;  // between heartbeats to any far entry
+  std::chrono::milliseconds FarPeriod() const;  // between heartbeats to any entry of another domain
   std::chrono::milliseconds NearTimeout() const;
   std::chrono::milliseconds FarTimeout() const;
 
@@ -110,9 +111,9 @@
                     const std::string& address);
   bool ApplyStatus(const entry_status& status, const std::string& failure_domain,
                    monotonic_time now);
-  // How long a sign of life may be overdue, worked out once for all members.
+  // How long a status may be overdue before its entry is suspect; computed once for all members.
   struct silence_limits {
-    std::chrono::milliseconds predecessor;  // sends to us itself
+    std::chrono::milliseconds predecessor;  // the entry that sends to this one directly
     std::chrono::milliseconds near;
     std::chrono::milliseconds far;
   };
--- a/src/process/ownership.cc
+++ b/src/process/ownership.cc
@@ -10,10 +10,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kFastPoll{250};     // reads of the store while something looks wrong
-constexpr milliseconds kPoll{1000};        // reads of the store otherwise
-constexpr milliseconds kYieldAfter{3000};  // cut off from a store that others reach
-constexpr milliseconds kQueryGap{1000};    // questions further apart belong to different troubles
+constexpr milliseconds kFastPoll{250};     // between reads of the store while an owner is suspect
+constexpr milliseconds kPoll{1000};        // between reads of the store otherwise
+constexpr milliseconds kYieldAfter{3000};  // when cut off from a store that others can reach
+constexpr milliseconds kQueryGap{1000};    // queries further apart belong to separate incidents
 
 }  // namespace
 
@@ -63,9 +63,9 @@
   state.silent = true;
 }
 
-// A peer that reads the store asks because our lease has lapsed there. After an outage that hits
-// everybody this is harmless, since we register again at once. When only we are cut off from the
-// store, we could accept no durable job, so after a while the peer gets the shard.
+// A peer that can read the store queries us because our lease has expired there. After an outage
+// for everybody this is harmless, since we register again at once. If only we are cut off from the
+// store we can't accept durable jobs, so after kYieldAfter the peer gets the shard.
 owner_answer ownership::OnOwnerQuery(uint32_t shard, monotonic_time now) {
   if (shard >= shards_.size() || shards_[shard].held_epoch == 0) return {};
   shard_state& state = shards_[shard];
@@ -119,9 +119,9 @@
 bool ownership::MayStart(uint32_t shard, monotonic_time now) const {
   if (!Owns(shard)) return false;
   if (options_.endpoints_fence) return true;
-  // Without fencing nothing but time keeps two owners from starting the same work. The lease is
-  // counted from when its renewal was sent, which is earlier than the store's own count; a shard
-  // that was confirmed under an earlier lease may have been taken since.
+  // Without fencing only time prevents two owners from starting the same work. The lease is counted
+  // from when its renewal was sent, which is earlier than the store's own count. A shard that was
+  // confirmed under an earlier lease may have been taken over since.
   const shard_state& state = shards_[shard];
   const bool handing_over = state.swap_tag != 0 || state.unresolved;
   const bool lease_good = registration_.Registered() && state.held_lease == registration_.Lease() &&
@@ -175,9 +175,9 @@
   out.calls.push_back(std::move(call));
 }
 
-// The members are read after the shards, one after the other. Read the other way round, or at
-// once, an entry could register and claim between the two reads: it would look like an owner
-// without a lease, and its shard would be taken from it in its first moment.
+// The members are read after the shards have been read. In the other order, or concurrently, an
+// entry could register and claim between the two reads: it would look like an owner without a lease
+// and would lose its new shard at once.
 bool ownership::OnPollReply(uint64_t tag, const store_reply& reply, monotonic_time now,
                             ownership_actions& out) {
   if (tag == 0 || (tag != poll_.members_tag && tag != poll_.shards_tag)) return false;
@@ -211,8 +211,8 @@
 }
 
 void ownership::ReadShards(monotonic_time now, ownership_actions& out) {
-  // Where there is no record, the store was wiped or we are the first: the epoch goes on from the
-  // highest that we know.
+  // Without a record the store was wiped or this is the first owner: the epoch continues from the
+  // highest known one.
   std::vector<bool> present(shards_.size());
   for (const store_item& item : poll_.shards) {
     const std::optional<uint32_t> shard = ShardOfKey(item.key);
@@ -226,11 +226,11 @@
   }
 }
 
-// `lease`: ours when the call that shows this was sent, if that call was a write.
+// `lease`: our lease when the call was sent, if it was a write.
 void ownership::ApplyRecord(uint32_t shard, const shard_record& record, uint64_t revision,
                             const std::string& lease, monotonic_time now, ownership_actions& out) {
   shard_state& state = shards_[shard];
-  // Each change raises the epoch, so a lower one is from before a change that we know of.
+  // Each change raises the epoch, so a lower one is older than what is known.
   if (record.epoch < state.record.epoch) return;
   const bool next = record.epoch == state.record.epoch + 1;
   const bool from_self = record.epoch == 1 || (next && IsSelf(state.record));
@@ -241,7 +241,7 @@
     if (state.held_epoch != 0) Lose(shard, out);
     return;
   }
-  // Also when the reply to our own write was lost, and when another handed the shard to us.
+  // Also when the reply to our own write was lost, and when another entry handed the shard to us.
   const bool newer = record.epoch > state.held_epoch && record.epoch > state.fenced_epoch;
   if (newer) Gain(shard, from_self, lease, now, out);
 }
@@ -251,7 +251,7 @@
   shard_state& state = shards_[shard];
   state.held_epoch = state.record.epoch;
   state.held_lease = lease;
-  // Writing our own record again must not cut short the wait for the last owner's starts.
+  // Rewriting our own record must not cut short the wait for the previous owner's starts.
   if (!from_self) state.start_after = now + options_.flight_margin;
   state.first_query_received = {};
   out.events.push_back({ownership_event_kind::kGained, shard, state.held_epoch, options_.name});
--- a/src/process/ownership_decisions.cc
+++ b/src/process/ownership_decisions.cc
@@ -1,4 +1,4 @@
-// The deciding and writing half of ownership: who takes a free shard, who hands one over.
+// Decisions and writes of ownership: claiming free shards, balancing and handing over.
 #include <algorithm>
 #include <utility>
 
@@ -10,13 +10,14 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kQueryInterval{250};       // between questions to an owner that looks lapsed
-constexpr milliseconds kAnswerTimeout{400};       // an owner that has not answered by then is gone
-constexpr milliseconds kConfirmationValid{1000};  // how long an owner's own word counts
-constexpr milliseconds kClaimFallback{800};       // when the member that should claim does not
-constexpr milliseconds kReadBackDelay{50};        // from a lost or refused write to the next read
-constexpr milliseconds kBalanceDelay{5000};  // members unchanged for this long before balancing
-constexpr uint32_t kMinImbalance = 2;        // difference of shards that is worth a hand-over
+constexpr milliseconds kQueryInterval{250};  // between queries to an owner whose lease has expired
+constexpr milliseconds kAnswerTimeout{400};  // an owner that has not answered by then is lost
+constexpr milliseconds kConfirmationValid{1000};  // how long an owner's confirmation counts
+constexpr milliseconds kClaimFallback{800};  // when the member chosen to claim a shard does not
+constexpr milliseconds kReadBackDelay{50};   // from a lost or rejected write to the next read
+constexpr milliseconds kBalanceDelay{
+    5000};                             // members must be unchanged for this long before balancing
+constexpr uint32_t kMinImbalance = 2;  // difference in shards that justifies a hand-over
 
 }  // namespace
 
@@ -41,10 +42,11 @@
   Balance(now, out);
 }
 
-// Whether the shard's recorded owner surely or very likely no longer acts for it.
+// Whether the shard's recorded owner certainly or very likely no longer acts for it.
 bool ownership::OwnerIsLost(uint32_t shard, monotonic_time now, ownership_actions& out) {
   shard_state& state = shards_[shard];
-  const bool fenced_off = IsSelf(state.record);  // we held it, and an endpoint knew better
+  const bool fenced_off =
+      IsSelf(state.record);  // we held it, and an endpoint has seen a higher epoch
   if (state.revision == 0 || fenced_off) return true;
   const auto member = members_.find(state.record.owner);
   if (member != members_.end()) {
@@ -55,9 +57,9 @@
   return OwnerIsSilent(shard, now, out);
 }
 
-// The owner's lease has lapsed. That may be the store's doing: after an outage all leases are
-// gone while all owners are well, and taking over then would list every endpoint for nothing. So
-// the owner is asked, unless its heartbeats have stopped as well.
+// The owner's lease has expired. The store may be the cause: after an outage all leases are lost
+// while all owners are alive, and taking over would list every endpoint for nothing. So the owner
+// is queried, unless its heartbeats have stopped as well.
 bool ownership::OwnerIsSilent(uint32_t shard, monotonic_time now, ownership_actions& out) {
   shard_state& state = shards_[shard];
   const auto peer = peers_.find(state.record.owner);
@@ -76,7 +78,7 @@
   return waited && !confirmed;
 }
 
-// Members that can take a shard, with how many they have.
+// Members that can take a shard, with the number of shards they own.
 std::vector<member_load> ownership::Loads(bool with_self) const {
   std::vector<member_load> loads;
   for (const auto& [name, member] : members_) {
@@ -107,8 +109,8 @@
   }
 }
 
-// Without fencing a shard that was confirmed under an earlier lease may be in the middle of being
-// taken by a peer that saw that lease lapse. Reading the record would not show it; writing does.
+// Without fencing, a shard that was confirmed under an earlier lease may just be taken over by a
+// peer that saw that lease expire. Reading the record would not show this; writing it does.
 void ownership::ReconfirmHeld(ownership_actions& out) {
   if (options_.endpoints_fence) return;
   for (uint32_t shard = 0; shard < shards_.size(); ++shard) {
@@ -118,7 +120,7 @@
   }
 }
 
-// Moves one shard at a time to a member that has clearly fewer, once membership is at rest, or
+// Moves one shard at a time to a member that has clearly fewer, once the membership is stable, or
 // all of them when leaving.
 void ownership::Balance(monotonic_time now, ownership_actions& out) {
   const bool settled = now - members_changed_ >= kBalanceDelay;
@@ -179,9 +181,8 @@
     }
     return;
   }
-  // The write may have been done, or may still be done. Either the record will name us, or a
-  // write with the same expected revision will get a definite answer; until then nothing is
-  // concluded from it.
+  // The write may have taken effect or may still do so. Either the record will name us, or a write
+  // with the same expected revision will get a definite answer; nothing is concluded before that.
   if (reply.status == store_status::kUnknown) state.unresolved = true;
   if (reply.status != store_status::kUnavailable) next_poll_ = now + kReadBackDelay;
   if (reply.status != store_status::kConflict || reply.items.empty()) return;
--- a/src/process/ownership_record.cc
+++ b/src/process/ownership_record.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-// FNV-1a with a final mix.
+// FNV-1a with a final mixing step.
 uint64_t StableHash(const std::string& text) {
   uint64_t hash = kHashOffset;
   for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * kHashPrime;
--- a/src/process/ownership_record.h
+++ b/src/process/ownership_record.h
@@ -1,5 +1,5 @@
-// What entries write into the platform's store about themselves and the shards of their failure
-// domain, and the rule by which they share shards. Pure.
+// The records that entries write to the platform's store about themselves and the shards of their
+// failure domain, and the rule that distributes the shards. Pure.
 #ifndef CATKINFORD_PROCESS_OWNERSHIP_RECORD_H_
 #define CATKINFORD_PROCESS_OWNERSHIP_RECORD_H_
 
@@ -16,13 +16,13 @@
   uint64_t incarnation = 0;  // of the process; a later process of the same name has a higher one
   std::string address;       // for peers
   std::string caller_address;
-  std::string lease;     // the lease that the key hangs on
-  bool leaving = false;  // takes no shards
+  std::string lease;     // the lease that the key is attached to
+  bool leaving = false;  // takes no more shards
 
   bool operator==(const member_record&) const = default;
 };
 
-// Value of "shard/<domain>/<n>". It stays when its owner goes: the epoch only grows.
+// Value of "shard/<domain>/<n>". It remains when its owner leaves: the epoch only grows.
 struct shard_record {
   std::string owner;
   uint64_t incarnation = 0;  // of the owner's process
@@ -43,18 +43,18 @@
 // The number at the end of a shard's key.
 std::optional<uint32_t> ShardOfKey(const std::string& key);
 
-// The same number on every machine, which absl::Hash does not promise.
+// The same on every machine, which absl::Hash does not guarantee.
 uint64_t StableHash(const std::string& text);
 
-// How many shards a member has, for ChooseOwner().
+// The number of shards that a member owns, for ChooseOwner().
 struct member_load {
   std::string name;
   uint32_t shards = 0;
 };
 
-// The member that should own a shard that nobody has: the one with the fewest, among equals the
-// one with the highest rendezvous hash. Entries that see the same members choose the same owner,
-// so that they do not race for each shard. Null when there are no members.
+// Chooses the owner of a free shard: the member with the fewest shards, and among equals the one
+// with the highest rendezvous hash. Entries that see the same members choose the same owner, so
+// they do not race for each shard. Null when there are no members.
 member_load* ChooseOwner(std::vector<member_load>& members, const std::string& shard_key);
 
 }  // namespace catkinford
--- a/src/process/registration.cc
+++ b/src/process/registration.cc
@@ -7,7 +7,7 @@
 namespace catkinford {
 namespace {
 
-constexpr int kKeepalivesPerLease = 3;  // two may be lost before the lease lapses
+constexpr int kKeepalivesPerLease = 3;  // two may be lost before the lease expires
 
 }  // namespace
 
@@ -46,7 +46,7 @@
   call_tag_ = 0;
   const bool definite =
       reply.status != store_status::kUnavailable && reply.status != store_status::kUnknown;
-  // An outage or a lost reply changes nothing: the same step is tried again at the next period.
+  // An outage or a lost reply changes nothing: the same step is retried at the next period.
   if (!definite) return true;
   last_answer_ = now;
   if (state_ == state::kNoLease) {
@@ -87,7 +87,7 @@
     state_ = state::kRegistered;
     return;
   }
-  if (reply.status == store_status::kAbsent) {  // the lease lapsed before the key was written
+  if (reply.status == store_status::kAbsent) {  // the lease expired before the key was written
     LoseLease();
     next_call_ = now;
     return;
@@ -102,9 +102,9 @@
     state_ = state::kRegistered;
     return;
   }
-  // An instance was replaced by one of the same name while this process was paused. Writing over
-  // the newcomer's key would have two processes drive it out in turns, seen as a shard whose epoch
-  // never rests; the older one waits until the key is free.
+  // An instance was replaced by one of the same name while this process was paused. If both wrote
+  // the key they would replace each other in turns, and the shard's epoch would keep rising; the
+  // older process waits until the key is free.
   replaced_ = present->incarnation > self_.incarnation;
   if (replaced_) next_call_ = now + ttl_;
 }
@@ -149,7 +149,7 @@
   const bool nothing_written = state_ == state::kNoLease && call_tag_ == 0;
   state_ = nothing_written ? state::kLeft : state::kLeaving;
   registered_ = false;
-  call_tag_ = 0;  // a late reply must not put the key back
+  call_tag_ = 0;  // a late reply must not restore the key
   next_call_ = {};
 }
 
--- a/src/process/registration.h
+++ b/src/process/registration.h
@@ -1,5 +1,6 @@
-// One entry's place among the members of its failure domain: a lease at the platform's store, kept
-// alive, with the member key attached to it. Pure: replies and time in, store calls out.
+// Registers one entry as a member of its failure domain: a lease in the platform's store that is
+// kept alive, with the member key attached to it. Pure: takes replies and time, returns store
+// calls.
 #ifndef CATKINFORD_PROCESS_REGISTRATION_H_
 #define CATKINFORD_PROCESS_REGISTRATION_H_
 
@@ -17,11 +18,11 @@
 
 enum class store_call_kind : uint8_t { kGrantLease, kKeepLease, kSwap, kRange };
 
-// A call for the store adapter. Its reply comes back under the same tag.
+// A call for the store adapter. Its reply is returned with the same tag.
 struct store_request {
   store_call_kind kind = store_call_kind::kRange;
   uint64_t tag = 0;
-  std::string key;  // for kRange the prefix
+  std::string key;  // the prefix for kRange
   uint64_t expect = 0;
   std::optional<std::string> value;
   std::string write_id;
@@ -29,7 +30,7 @@
   std::chrono::milliseconds ttl{0};
 };
 
-// Numbers for the calls of one process, so that a late reply is never taken for another's.
+// Tags for the calls of one process, so that a late reply is never taken for another call's.
 class call_tags {
  public:
   uint64_t Next() { return ++last_; }
@@ -43,26 +44,26 @@
   registration(member_record self, std::string key, std::chrono::milliseconds ttl);
 
   void Tick(monotonic_time now, call_tags& tags, std::vector<store_request>& out);
-  // False when the tag is not of this object.
+  // False when the tag does not belong to this object.
   bool OnReply(uint64_t tag, const store_reply& reply, monotonic_time now);
-  // Tries again at the next Tick() instead of at the next period.
+  // Retries at the next Tick() instead of at the next period.
   void RetryAtNextTick() { next_call_ = {}; }
   // A read that began after the registration did not show the key: it is written again.
   void OnKeyMissing();
-  // Writes into the key that this entry takes no more shards.
+  // Marks this entry in its key as taking no more shards.
   void MarkLeaving();
-  // Deletes the key; the entry does not come back.
+  // Deletes the key; the entry does not register again.
   void Leave();
 
-  // The member key is in the store, attached to the present lease, as far as is known.
+  // The member key is in the store, attached to the current lease, as far as is known.
   bool Registered() const { return registered_; }
   bool Left() const { return state_ == state::kLeft; }
   // A later process of the same name is registered; this one has been replaced.
   bool Replaced() const { return replaced_; }
   const std::string& Lease() const { return self_.lease; }
-  // Until when the store surely keeps the lease, counted from the time of sending.
+  // The store keeps the lease at least until then, counted from when the renewal was sent.
   monotonic_time ValidUntil() const { return valid_until_; }
-  // When the store last answered with anything definite.
+  // When the store last gave a definite answer.
   monotonic_time LastAnswer() const { return last_answer_; }
 
  private:
@@ -82,7 +83,7 @@
   bool registered_ = false;
   bool replaced_ = false;
   uint64_t revision_ = 0;  // of the member key, as last seen
-  uint64_t call_tag_ = 0;  // zero: no call is open
+  uint64_t call_tag_ = 0;  // zero: no call is in flight
   monotonic_time sent_{};
   monotonic_time next_call_{};
   monotonic_time valid_until_{};
