--- a/src/process/durable_job.cc
+++ b/src/process/durable_job.cc
@@ -10,10 +10,10 @@
 
 using nlohmann::json;
 
-constexpr uint32_t kMaxTasks = 1000000;  // bounds what a damaged record can make us keep
+constexpr uint32_t kMaxTasks = 1000000;  // limits what a damaged record can make us allocate
 constexpr char kEntriesField[] = ",\"entries\":[";
 
-// Runs of finished tasks as [from, length, from, length, ...]: jobs of many tasks end mostly in
+// Encodes task indices as [from, length, from, length, ...]: tasks of large jobs end mostly in
 // order.
 std::string EncodeIndexRanges(const std::vector<bool>& done) {
   std::string ranges;
@@ -101,7 +101,7 @@
                      DecodeIndexRanges(ArrayAt(object, "failed"), job.failed) &&
                      DecodeParts(ArrayAt(object, "parts"), job);
   if (!valid) return std::nullopt;
-  // Earlier versions wrote how many had failed, and not which.
+  // Earlier versions wrote only the number of failed tasks.
   auto count = NumberAt<uint32_t>(object, "failed");
   for (size_t i = 0; i < job.done.size() && count > 0; ++i) {
     if (!job.done[i]) continue;
--- a/src/process/evacuation.cc
+++ b/src/process/evacuation.cc
@@ -13,8 +13,8 @@
 
 using std::chrono::milliseconds;
 
-// In front of the entry's name in the shards' records. No peer has such a name, so an entry of the
-// domain that comes back finds no owner to ask, and takes its shards.
+// Precedes the entry's name in the shards' records. No peer has such a name, so an entry of the
+// domain that comes back finds no owner to query and takes its shards.
 constexpr char kOwnerPrefix[] = "evacuation:";
 
 }  // namespace
@@ -141,7 +141,7 @@
   for (const store_item& item : reply.items) {
     const std::optional<member_record> member = ParseMemberRecord(item.value);
     if (!member) continue;
-    Stop(absl::StrCat(member->name, " of it holds a lease in the store"));
+    Stop(absl::StrCat(member->name, " of the domain holds a lease in the store"));
     return;
   }
   state_ = evacuation_state::kReadingJobs;
@@ -162,7 +162,7 @@
   const bool ours = reply.status == store_status::kConflict && !reply.items.empty() &&
                     call_.value == reply.items.front().value;
   if (reply.status != store_status::kDone && !ours) {
-    Stop("another entry has taken one of its shards meanwhile");
+    Stop("another entry took over one of the domain's shards during the evacuation");
     return;
   }
   if (++next_shard_ < shards_.size()) return;
--- a/src/process/evacuation.h
+++ b/src/process/evacuation.h
@@ -1,12 +1,12 @@
-// An operator's word that a failure domain is lost: how another entry comes to answer for its
+// Evacuation of a failure domain that an operator has declared lost: another entry takes over its
 // shards.
 //
-// First it makes sure that nobody else does: no member of the domain holds a lease in the store.
-// Then each shard's epoch is raised, so that nothing is written under the old one, and the leases
-// of all tasks that an owner may have renewed until that moment are waited out. Only then are the
-// logs taken over and the jobs moved. What neither the store nor a clock can show is an owner that
-// is cut off from everything but its endpoints: it goes on, and renews. That is what the operator's
-// word stands for. Pure: replies and time come in, store calls go out.
+// First it checks that no member of the domain holds a lease in the store. Then it raises the epoch
+// of each shard, so that nothing more is written under the old one, and waits for the leases of all
+// tasks that an owner may have renewed until then. Only after that the logs are taken over and the
+// jobs moved. Neither the store nor a clock can reveal an owner that is cut off from everything but
+// its endpoints and keeps renewing their leases: the operator's declaration has to rule that out.
+// Pure: takes replies and time, returns store calls.
 #ifndef CATKINFORD_PROCESS_EVACUATION_H_
 #define CATKINFORD_PROCESS_EVACUATION_H_
 
@@ -24,11 +24,11 @@
 
 struct evacuation_options {
   std::string failure_domain;
-  std::string entry;  // that does it
+  std::string entry;  // that runs the evacuation
   uint64_t incarnation = 0;
   uint32_t shards = 1;  // of the domain
   bool dry_run = false;
-  // From raising the epochs until no task of the domain can run any more.
+  // From raising the epochs until no task of the domain can still run.
   std::chrono::milliseconds lease_wait{13000};
   std::chrono::milliseconds retry_after{250};
 };
@@ -38,16 +38,16 @@
   kReadingJobs,
   kReadingShards,
   kRaisingEpochs,
-  kWaiting,  // for the tasks' leases to lapse
+  kWaiting,  // for the leases of the tasks to expire
   kReady,    // the logs may be taken over
-  kCounted,  // a dry run is over
-  kStopped,  // the domain is not lost: `Why()`
+  kCounted,  // a dry run has ended
+  kStopped,  // the domain is not lost; see StopReason()
 };
 
-// What the domain's logs hold.
+// Content of the domain's logs.
 struct evacuation_size {
-  uint32_t jobs = 0;     // that are not over
-  uint32_t unknown = 0;  // of them: may have run, and may not run again
+  uint32_t jobs = 0;     // not over
+  uint32_t unknown = 0;  // of these: may have run, and may not run again
 };
 // `items`: the segments of all logs of the domain, in order of their keys.
 evacuation_size CountJobs(const std::vector<store_item>& items);
@@ -57,9 +57,9 @@
   evacuation(evacuation_options options, call_tags& tags);
 
   void Tick(monotonic_time now, std::vector<store_request>& out);
-  // False when the tag is not of this object.
+  // False when the tag does not belong to this object.
   bool OnReply(uint64_t tag, const store_reply& reply, monotonic_time now);
-  // An entry of the domain is heard, or owns a shard of it.
+  // Stops the evacuation: an entry of the domain is alive, or owns a shard of it.
   void Stop(std::string reason);
 
   evacuation_state State() const { return state_; }
@@ -69,7 +69,7 @@
   const std::string& StopReason() const { return stop_reason_; }
   const evacuation_size& Size() const { return size_; }
   std::chrono::milliseconds TimeLeft(monotonic_time now) const;
-  // Ours, of the shard with that number; from kWaiting on.
+  // Our epoch of the shard with that number; valid from kWaiting on.
   uint64_t Epoch(uint32_t shard) const { return shards_[shard].epoch; }
   const evacuation_options& Options() const { return options_; }
 
@@ -91,8 +91,8 @@
   std::string stop_reason_;
   evacuation_size size_;
   std::vector<shard_state> shards_;
-  uint32_t next_shard_ = 0;  // the shard whose record is written now
-  store_request call_;       // the last one: sent again as it is when its reply is lost
+  uint32_t next_shard_ = 0;  // whose record is being written
+  store_request call_;       // the last one; sent again unchanged when its reply is lost
   uint64_t call_tag_ = 0;
   bool resend_ = false;
   monotonic_time next_try_{};
--- a/src/process/incarnation_store.cc
+++ b/src/process/incarnation_store.cc
@@ -11,7 +11,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-// Restarts come in waves of a rack or a release; one write tells of all within this time.
+// Restarts come in waves of a rack or a release; one write covers all within this time.
 constexpr milliseconds kWriteInterval{1000};
 constexpr milliseconds kRetry{250};  // after a call that the store did not answer
 
@@ -23,7 +23,7 @@
   return json(known).dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// What is not readable is left out: to the shard it is an endpoint without a record.
+// Skips what is not readable: the shard treats it as an endpoint without a record.
 incarnations Parse(const std::string& text) {
   incarnations known;
   const json read = json::parse(text, nullptr, false);
@@ -54,7 +54,7 @@
     value.delivered = true;
     owned.SetIncarnations(value.known, now);
   }
-  // Not one by one while the endpoints are being listed.
+  // Waits while endpoints are being listed, to avoid one write for each of them.
   const bool waits = value.read && !owned.AllListed();
   if (value.in_flight || waits || now < value.next_call) return;
   store_request call;
@@ -86,7 +86,7 @@
   });
 }
 
-// A lost reply needs no rule of its own: the next write then conflicts and learns what is there.
+// A lost reply needs no special handling: the next write conflicts and returns the stored value.
 void incarnation_store::OnReply(const std::string& shard_name, shard_value& value,
                                 const store_reply& reply, monotonic_time now) {
   value.in_flight = false;
@@ -106,7 +106,8 @@
   }
   value.known.clear();
   for (const store_item& item : reply.items) {
-    if (is_read && item.key != KeyOf(shard_name)) continue;  // shard 10, read with shard 1
+    if (is_read && item.key != KeyOf(shard_name))
+      continue;  // a read of shard 1 also returns shard 10
     if (is_read) value.revision = item.revision;
     value.known = Parse(item.value);
   }
--- a/src/process/incarnation_store.h
+++ b/src/process/incarnation_store.h
@@ -1,10 +1,10 @@
 // The incarnations of a shard's endpoints, as one value in the platform's store.
 //
-// What an endpoint retains of finished work is the durable part of the memory that keeps a request
-// from running twice, and an endpoint that restarts loses it. A new owner sees only the present
-// incarnation; this value tells it the one under which earlier owners may have started work. An old
-// value does no harm: it differs from the endpoint's incarnation, and then what may have run there
-// counts as unknown. See docs/design/041-at-most-once.md.
+// What an endpoint retains of finished work is the durable part of the history that keeps a request
+// from running twice, and an endpoint that restarts loses it. A new owner sees only the current
+// incarnation; this value gives it the one under which earlier owners may have started work. An
+// outdated value is harmless: it differs from the endpoint's incarnation, and what may have run
+// there counts as unknown. See docs/design/041-at-most-once.md.
 #ifndef CATKINFORD_PROCESS_INCARNATION_STORE_H_
 #define CATKINFORD_PROCESS_INCARNATION_STORE_H_
 
@@ -21,7 +21,7 @@
 
 class incarnation_store {
  public:
-  // Sends a call to the store; the reply comes on the core thread.
+  // Sends a call to the store; the reply arrives on the core thread.
   using sender =
       std::function<void(const store_request&, std::function<void(store_reply, monotonic_time)>)>;
 
@@ -30,7 +30,7 @@
   // Reads the shard's value.
   void OnGained(const shard& owned, monotonic_time now);
   void OnLost(const std::string& shard_name) { values_.erase(shard_name); }
-  // Gives the shard what was read, and writes what it wants recorded.
+  // Passes the value to the shard once read, and writes what the shard wants recorded.
   void Tick(shard& owned, monotonic_time now);
 
  private:
@@ -38,7 +38,7 @@
     uint64_t generation = 0;
     uint64_t revision = 0;
     incarnations known;
-    incarnations written;  // by the call under way
+    incarnations written;  // by the call in flight
     bool read = false;
     bool in_flight = false;
     bool delivered = false;  // the shard has `known`
--- a/src/process/job_log.cc
+++ b/src/process/job_log.cc
@@ -52,7 +52,7 @@
     return true;
   }
   const call_purpose purpose = std::exchange(purpose_, call_purpose::kNone);
-  // Our own value under a conflict: an earlier sending of this call took effect.
+  // A conflict that shows our own value means that an earlier sending of this call took effect.
   const bool ours = reply.status == store_status::kConflict && !reply.items.empty() &&
                     call_.value == reply.items.front().value;
   store_reply seen = reply;
@@ -110,7 +110,7 @@
   if (state_ != job_log_state::kReady) return append_result::kNotReady;
   const auto found = jobs_.find(id);
   if (found == jobs_.end()) return DuplicateResult(id);
-  // A longer answer is not kept: each commit sends the whole last segment again.
+  // A longer answer is not kept: each commit sends the whole open segment again.
   const std::string kept = text.size() <= options_.text_bytes ? text : std::string();
   if (!RecordTaskEnd(found->second.record, index, failed, kept)) return DuplicateResult(id);
   Push(EncodeTaskDone(id, index, failed, kept), {log_entry_kind::kTaskDone, id, index}, true);
@@ -134,7 +134,7 @@
   const bool in_call = static_cast<size_t>(found - pending_.begin()) < in_commit_;
   if (in_call) {
     if (call_tag_ != 0 || reply_lost_) return false;
-    // The store refused the commit each time it was sent; the next one is put together anew.
+    // The store rejected the commit each time it was sent; the next one is built anew.
     resend_ = false;
     purpose_ = call_purpose::kNone;
     in_commit_ = 0;
@@ -180,7 +180,7 @@
        EncodeSegment(options_.epoch, committed_entries_), out);
 }
 
-// Takes as many waiting entries as go into the open segment; false when none does.
+// Adds as many queued entries as fit into the open segment; false when none fits.
 bool job_log::PrepareValue() {
   committed_entries_ = open_entries_;
   in_commit_ = 0;
@@ -194,8 +194,8 @@
   return in_commit_ > 0;
 }
 
-// The open segment is full. The empty one behind it becomes the open one, once it has an empty one
-// behind itself.
+// The open segment is full. The empty one after it becomes the open one once a new empty segment
+// follows it.
 void job_log::CreateNext(std::vector<store_request>& out) {
   Swap(call_purpose::kCreateNext, LastNumber() + 1, 0, EncodeSegment(options_.epoch, {}), out);
 }
@@ -203,7 +203,7 @@
 void job_log::OnCreated(const store_reply& reply) {
   const uint64_t number = LastNumber() + 1;
   if (reply.status == store_status::kConflict) {
-    // Left behind by an earlier owner that was shut out before it could write into it.
+    // Left by an earlier owner that was fenced off before it could write to it.
     const bool empty = !reply.items.empty() && EntriesOf(reply.items.front().value) == "";
     if (!empty) state_ = job_log_state::kSuperseded;
     if (!empty) return;
@@ -235,7 +235,7 @@
   if (--unwritten->second == 0) unwritten_.erase(unwritten);
   if (entry.notice.kind != log_entry_kind::kJob) return;
   const auto found = jobs_.find(entry.notice.id);
-  if (found == jobs_.end()) return;  // it was over before its record was written
+  if (found == jobs_.end()) return;  // the job was over before its record was written
   found->second.durable = true;
   AddJobBytes(found->second, OpenNumber(), entry.text.size());
 }
--- a/src/process/job_log_maintenance.cc
+++ b/src/process/job_log_maintenance.cc
@@ -1,4 +1,4 @@
-// The other half of job_log: taking over what earlier owners wrote, and compaction.
+// Takeover of the log from earlier owners, and compaction.
 #include <algorithm>
 #include <map>
 #include <optional>
@@ -12,12 +12,12 @@
 
 constexpr uint64_t kFirstSegment = 1;
 constexpr size_t kMaxGarbageRatio = 2;  // a log this many times its live records is compacted
-constexpr size_t kExtraSegments = 2;    // and this many segments more
-constexpr size_t kMinSegments = 3;      // a full one, the open one, the empty one
+constexpr size_t kExtraSegments = 2;    // plus this many segments
+constexpr size_t kMinSegments = 3;      // a full one, the open one and the empty one
 
 }  // namespace
 
-// Taking the log over.
+// Takeover.
 
 void job_log::Read(std::vector<store_request>& out) {
   call_ = {};
@@ -60,7 +60,7 @@
   for (const log_entry& entry : content.entries) Apply(number, entry, entries.size() / count);
 }
 
-// `bytes`: about what the entry takes; only compaction uses it.
+// `bytes`: approximate size of the entry, used only for compaction.
 void job_log::Apply(uint64_t number, const log_entry& entry, size_t bytes) {
   if (entry.kind == log_entry_kind::kJobDone) {
     RemoveJob(entry.id);
@@ -77,10 +77,10 @@
   RecordTaskEnd(found->second.record, entry.index, entry.failed, entry.text);
 }
 
-// An earlier owner may have been paused with a commit in its hands, for as long as it likes. It can
-// only write where it knows the revision: the open segment or the empty one behind it. Rewriting
-// first the one and then the other makes every such commit conflict; had it come between our read
-// and the rewriting, the rewriting would conflict, and everything is read again.
+// An earlier owner may have been paused with a commit in flight for any length of time. It can only
+// write where it knows the revision: the open segment or the empty one after it. Rewriting first
+// the one and then the other makes every such commit conflict. If the commit arrives between our
+// read and the rewrite, the rewrite conflicts and everything is read again.
 void job_log::Rewrite(std::vector<store_request>& out) {
   if (segments_.size() < 2 || !last_entries_.empty()) {  // a new log
     const uint64_t number = segments_.empty() ? kFirstSegment : LastNumber() + 1;
@@ -110,9 +110,10 @@
   if (both && !created) state_ = job_log_state::kReady;
 }
 
-// Compaction. The oldest segment's jobs that are not over are written again at the end, as they are
-// now; then the segment is deleted. Nothing that it says is needed after that: records of jobs that
-// are over, and the ends of tasks, are either older than a copy or of jobs that no segment has.
+// Compaction. Jobs of the oldest segment that are not over are written again at the end in their
+// current state; then the segment is deleted. Nothing else in it is needed after that: records of
+// jobs that are over, and ends of tasks, either are older than a copy or belong to jobs that no
+// segment holds.
 
 void job_log::StartCompaction() {
   const size_t allowed = kMaxGarbageRatio * live_bytes_ + kExtraSegments * options_.segment_bytes;
@@ -130,7 +131,7 @@
 }
 
 void job_log::OnDeleted(const store_reply& /*reply*/) {
-  // Done, gone already, or changed by another owner that will delete it: it is not ours to keep.
+  // Deleted, already removed, or changed by another owner, which will delete it.
   total_bytes_ -= segments_[compacting_].bytes;
   segments_.erase(compacting_);
   compacting_ = 0;
--- a/src/process/job_status.cc
+++ b/src/process/job_status.cc
@@ -40,7 +40,7 @@
 const status_answer* job_status::Home() const {
   const status_answer* home = nullptr;
   for (const auto& [shard, answer] : answers_) {
-    // A request that one shard turned away and another took is known to both.
+    // A request that one shard rejected and another accepted is known to both.
     const bool better = home == nullptr || (home->ended && !answer.ended);
     if (answer.home.empty() && better) home = &answer;
   }
@@ -71,7 +71,7 @@
     json one = {
         {"shard", part.shard}, {"replicas", part.tasks}, {"heard", found != answers_.end()}};
     if (found != answers_.end()) one["tasks"] = ToJson(found->second.progress);
-    // Said for the replicas of a shard that was not heard: nothing is known of them.
+    // The shard has not answered: the state of its replicas is unknown, and they count as waiting.
     if (found == answers_.end()) all.waiting += part.tasks;
     parts.push_back(std::move(one));
   }
--- a/src/process/job_status.h
+++ b/src/process/job_status.h
@@ -1,5 +1,5 @@
-// The answers of several owners to one question about a job, put together: a spread job is whole
-// only with the parts in other shards. Pure.
+// Combines the answers of several owners to one status query: the status of a spread job is
+// complete only with its parts in other shards. Pure.
 #ifndef CATKINFORD_PROCESS_JOB_STATUS_H_
 #define CATKINFORD_PROCESS_JOB_STATUS_H_
 
@@ -16,15 +16,15 @@
 
 class job_status {
  public:
-  // The shards whose owners are asked now; what was heard before is forgotten.
+  // Starts a query of these shards' owners; earlier answers are dropped.
   void Start(std::set<std::string> shards);
-  // Of the caller's own job, or of a shard that does not know it.
+  // Must be an answer about the caller's own job, or from a shard that does not know the job.
   void OnAnswer(const status_answer& answer);
 
-  // Nothing is missing: the home has answered and so have the shards of all its parts that were
-  // asked, or nobody is left who could.
+  // Whether nothing is missing: the home and all queried shards of its parts have answered, or no
+  // query is open.
   bool IsComplete() const;
-  // The word of the shard that answers for the whole job; null until it is heard.
+  // The answer of the shard that answers for the whole job; null until it is received.
   const status_answer* Home() const;
   bool IsKnown() const { return !answers_.empty(); }
 
@@ -33,7 +33,7 @@
  private:
   std::vector<job_part> Parts() const;
 
-  std::set<std::string> unanswered_;              // asked, and not answered
+  std::set<std::string> unanswered_;              // queried shards
   std::map<std::string, status_answer> answers_;  // by shard, of those that know the job
 };
 
--- a/src/process/job_store.cc
+++ b/src/process/job_store.cc
@@ -44,7 +44,7 @@
   place.home = job.home;
   place.plan = job.plan;
   if (job.deadline != std::chrono::system_clock::time_point{}) {
-    // Not zero when it has passed: that would say that the job has none.
+    // Not zero after the deadline has passed: zero means that the job has no deadline.
     const auto left = std::chrono::ceil<std::chrono::milliseconds>(
         job.deadline - std::chrono::system_clock::now());
     place.deadline_left = std::max(left, std::chrono::milliseconds{1});
@@ -126,7 +126,8 @@
     job_log& log = *found->second.log;
     result = what.is_change ? log.Replace(RecordOf(*place)) : log.Append(RecordOf(*place));
   }
-  if (what.is_change) return;  // not taken: the shard is lost, and its next owner reads the old one
+  if (what.is_change)
+    return;  // not queued: the shard is lost, and its next owner reads the old one
   if (result == append_result::kKnown) from.OnRecorded(what.job, true, now);
   if (result == append_result::kTooLarge || result == append_result::kNotReady) {
     from.OnRecorded(what.job, false, now);
--- a/src/process/job_store.h
+++ b/src/process/job_store.h
@@ -1,11 +1,11 @@
-// The durable jobs of the shards owned here: one job log for each shard, read before the shard
-// opens, and its notices handed to the shard.
+// The durable jobs of the shards that this entry owns: one job log for each shard, read before the
+// shard opens, whose notices are passed to the shard.
 //
-// The order on taking over is the log first and the endpoints' lists after it. In the other order a
-// task could end, be recorded and be forgotten by its endpoint between the two reads: it would be
-// in neither, and run again. The order of token and queue in "From 6 Hours to 1 Minute:
-// Checkpointing Kubernetes-style Controllers" follows from the same thought: what is read second
-// may only be ahead of what is read first.
+// A takeover reads the log first and the endpoints' listings after it. In the other order a task
+// could end, be recorded and be forgotten by its endpoint between the two reads: it would be in
+// neither, and run again. The order of token and queue in "From 6 Hours to 1 Minute: Checkpointing
+// Kubernetes-style Controllers" rests on the same idea: what is read second may only be newer than
+// what is read first.
 #ifndef CATKINFORD_PROCESS_JOB_STORE_H_
 #define CATKINFORD_PROCESS_JOB_STORE_H_
 
@@ -24,7 +24,7 @@
 
 namespace catkinford {
 
-// A log that has been read: the shard may open.
+// A log that has been read, so that its shard may open.
 struct opened_log {
   uint32_t number = 0;
   uint64_t epoch = 0;
@@ -33,7 +33,7 @@
 
 class job_store {
  public:
-  // Sends a call to the store; the reply comes on the core thread.
+  // Sends a call to the store; the reply arrives on the core thread.
   using sender =
       std::function<void(const store_request&, std::function<void(store_reply, monotonic_time)>)>;
 
@@ -41,14 +41,14 @@
 
   void OnGained(uint32_t number, const std::string& shard_name, uint64_t epoch);
   void OnLost(uint32_t number);
-  // Sends what the logs want sent; returns the logs that became ready.
+  // Sends the calls of the logs; returns the logs that became ready.
   std::vector<opened_log> Tick(monotonic_time now);
-  // Hands the shard what became durable. True when something did.
+  // Passes the log's notices to the shard. True when there were any.
   bool TakeNotices(uint32_t number, shard& to, monotonic_time now);
 
-  // Requests of a shard. What the log does not take now is answered at once as not durable.
+  // Requests of a shard. What the log can't accept now is answered at once as not durable.
   void Record(uint32_t number, const record_action& what, shard& from, monotonic_time now);
-  // Answers the job as not durable if its record can still be given up.
+  // Answers the job as not durable if its record can still be withdrawn.
   void Withdraw(uint32_t number, const request_id& job, shard& from, monotonic_time now);
   void Complete(uint32_t number, const complete_action& what, shard& from, monotonic_time now);
 
--- a/src/process/message.cc
+++ b/src/process/message.cc
@@ -82,9 +82,9 @@
   return parts;
 }
 
-// Arrays without names, and the amounts that another entry uses: with 54 entries these texts are
-// most of what a node sends for control.
-// A shard of another domain, which its entry answers for, is named whole.
+// Arrays without field names, and only the amounts that another entry uses: with 54 entries these
+// texts are most of a node's control traffic. A shard of another domain, which an entry answers for
+// after an evacuation, is written with its full name.
 json Encode(const shard_report& report, const std::string& failure_domain) {
   const shard_summary& summary = report.summary;
   const resources& largest = summary.largest_capacity;
@@ -445,7 +445,7 @@
   for (const message_body& body : batch) {
     list.push_back(std::visit([](const auto& message) { return EncodeBody(message); }, body));
   }
-  // Answers of endpoints may hold any bytes; what is no UTF-8 is replaced and not thrown over.
+  // Replies of endpoints may hold any bytes; invalid UTF-8 is replaced instead of throwing.
   return json{{"from", from}, {"messages", std::move(list)}}.dump(-1, ' ', false,
                                                                   json::error_handler_t::replace);
 }
--- a/src/process/message.h
+++ b/src/process/message.h
@@ -1,5 +1,5 @@
-// The messages between entries. Each is idempotent: lost or doubled ones are mended end to end, by
-// the entry that waits for the outcome, so that the mailbox promises nothing but speed.
+// The messages between entries. Each is idempotent: lost or duplicated ones are handled end to end
+// by the entry that waits for the outcome, so the mailbox need not guarantee delivery.
 #ifndef CATKINFORD_PROCESS_MESSAGE_H_
 #define CATKINFORD_PROCESS_MESSAGE_H_
 
@@ -19,7 +19,7 @@
 
 namespace catkinford {
 
-// Entry to owner: run this. Sent again until an outcome comes.
+// Entry to owner: run this job. Repeated until an outcome comes.
 struct place_message {
   request_id id;
   std::string shard;
@@ -28,21 +28,22 @@
   bool urgent = false;
   bool repeatable = true;
   bool wait = false;   // the caller waits for the end, also of durable work
-  bool fresh = false;  // surely never sent to any owner before, by any entry
+  bool fresh = false;  // certain never to have been sent to an owner by any entry
   uint32_t tasks = 1;
   resources each;
   std::chrono::milliseconds run_time{0};
   std::chrono::milliseconds deadline_left{0};  // at the time of sending
   std::string payload;
-  // Of a job that is spread over shards: where each task lives, empty when all are in `shard`.
+  // For a job that is spread over shards: the shard of each task; empty when all are in `shard`.
   std::vector<job_part> parts;
-  std::string home;   // the shard that answers for the whole; empty when that is `shard`
-  uint64_t send = 0;  // from a home to the owner of a part: which sending this is
-  uint64_t ask = 0;   // from an entry: which of the identity's asks this is, in all its sendings
+  std::string home;   // the shard that answers for the whole job; empty when that is `shard`
+  uint64_t send = 0;  // from a home to the owner of a part: number of this sending
+  uint64_t ask =
+      0;  // from an entry: number of the caller's request for this identity, the same when repeated
   uint64_t plan = 0;  // how often `parts` has changed
 };
 
-// Owner to entry. kAccepted may be followed by the end of the job.
+// Owner to entry. The end of the job may follow after kAccepted.
 struct outcome_message {
   outcome result;
 };
@@ -51,20 +52,20 @@
 struct cancel_message {
   request_id id;
   std::string shard;
-  std::string home;   // empty: from an entry
-  uint64_t send = 0;  // from a home: which sending this is
+  std::string home;   // empty when sent by an entry
+  uint64_t send = 0;  // from a home: number of this sending
 };
 
 // The owner of a part to the home of its job.
 struct part_answer_message {
   request_id id;
   std::string home;
-  std::string shard;             // the part's
-  uint64_t send = 0;             // the last message about the part that this answer has seen
-  bool cancelled = false;        // it was told to end
-  bool ran = false;              // something of it has run
-  std::vector<uint32_t> failed;  // of a part that is over: its tasks that failed
-  outcome result;                // accepted: its record is durable
+  std::string shard;             // of the part
+  uint64_t send = 0;             // of the last message about the part that preceded this answer
+  bool cancelled = false;        // the part was cancelled
+  bool ran = false;              // some task of it has run
+  std::vector<uint32_t> failed;  // tasks that failed, for a part that is over
+  outcome result;                // kAccepted: the part's record is durable
 };
 
 struct job_progress {
@@ -74,27 +75,27 @@
   uint32_t failed = 0;
 };
 
-// Entry to owner: how is this job?
+// Entry to owner: asks for the status of a job.
 struct status_query {
   request_id id;
   std::string shard;
-  uint64_t query = 0;  // names the question at the entry that asks
+  uint64_t query = 0;  // identifies the query at the entry that sends it
 };
 
 struct status_answer {
   uint64_t query = 0;
-  std::string owner;  // who answers
+  std::string owner;  // entry that answers
   std::string shard;
-  std::string home;             // of a part: the shard that answers for the whole
+  std::string home;             // of a part: the shard that answers for the whole job
   std::vector<job_part> parts;  // of a spread job
   bool known = false;
-  std::string team;  // whose job it is
+  std::string team;  // the job's team
   job_progress progress;
   std::string waits_for;
   std::optional<outcome> ended;
 };
 
-// What an owner says of one of its shards.
+// State of one shard, reported by its owner.
 struct shard_report {
   std::string shard;
   uint64_t epoch = 0;
@@ -102,12 +103,12 @@
   shard_summary summary;
 };
 
-// What an entry says of itself: by itself, or passed on by another entry of its failure domain.
+// State of an entry, reported by itself or forwarded by another entry of its failure domain.
 struct entry_status {
   std::string name;
   std::string address;               // of the peer port; empty where the platform's list has it
   uint64_t incarnation = 0;          // grows with each start of the process
-  uint64_t heartbeat = 0;            // grows with each word of one process
+  uint64_t heartbeat = 0;            // sequence number, grows with each heartbeat of one process
   std::chrono::milliseconds age{0};  // a duration, so that clocks need not agree
   uint64_t config_version = 0;
   bool leaving = false;
@@ -115,8 +116,8 @@
 };
 
 struct heartbeat_message {
-  std::string failure_domain;         // of all that it tells of
-  bool wants_reply = false;           // the call's answer brings the other failure domain's words
+  std::string failure_domain;  // of all entries in the message
+  bool wants_reply = false;    // the reply to the call carries the other failure domain's statuses
   std::vector<entry_status> entries;  // the sender's own first
 };
 
@@ -126,18 +127,18 @@
   resources running;
 };
 
-// What has changed of the teams' use since the sender's last message of the kind.
+// Changes of the teams' usage since the sender's last usage message.
 struct usage_message {
   uint64_t incarnation = 0;  // of the sender
   uint64_t sequence = 0;     // older ones are ignored
-  bool whole = false;        // forget what was said before
+  bool whole = false;        // replaces everything reported before
   std::vector<team_report> teams;
 };
 
-// Reader of the instance list to its neighbours: what has changed since it read last.
+// Sent by the reader of the instance list to its neighbours: changes since it last read the list.
 struct instances_message {
-  uint64_t digest = 0;            // of the whole list as read
-  std::vector<instance> changed;  // without address where that is as before
+  uint64_t digest = 0;            // of the complete list as read
+  std::vector<instance> changed;  // without address where that is unchanged
   std::vector<std::string> gone;
 };
 
@@ -145,7 +146,7 @@
 struct silent_message {
   std::string name;
   uint64_t incarnation = 0;
-  uint64_t heartbeat = 0;  // its last word that the sender has heard
+  uint64_t heartbeat = 0;  // sequence number of the last one the sender has received
 };
 
 struct config_message {
@@ -153,12 +154,12 @@
   std::string text;
 };
 
-// The same for a peer that has the version before.
+// The same for a peer that has the previous version.
 struct config_step_message {
   version_step step;
 };
 
-// To an owner that looks lapsed, before its shard is taken over.
+// Sent to an owner whose lease has expired, before its shard is taken over.
 struct owner_query_message {
   uint32_t shard = 0;  // number within the failure domain
 };
@@ -168,13 +169,13 @@
   bool holds = false;
 };
 
-// To the entry that sent a place here: this entry does not own the shard, and has not started it.
+// To the entry that sent a placement: this entry does not own the shard and has not started it.
 struct not_owner_message {
   request_id id;
   std::string shard;
 };
 
-// Leaving owner to its heir: the shard is free, take it now.
+// Leaving owner to its successor: the shard has been handed over, take it now.
 struct release_message {};
 
 using message_body =
@@ -184,13 +185,13 @@
                  usage_message, silent_message, instances_message>;
 
 struct peer_message {
-  std::string from;  // entry
+  std::string from;  // the entry
   message_body body;
 };
 
-// One text for a batch from one sender.
+// Encodes a batch of messages from one sender.
 std::string EncodeBatch(const std::string& from, const std::vector<message_body>& batch);
-// Messages that cannot be read are left out; a text that is no batch gives none.
+// Skips messages that can't be read; returns none for a text that is not a batch.
 std::vector<peer_message> DecodeBatch(const std::string& text);
 
 }  // namespace catkinford
--- a/src/process/part_tracker.cc
+++ b/src/process/part_tracker.cc
@@ -7,8 +7,9 @@
 
 constexpr uint32_t kMaxDoublings = 4;
 
-// Reasons for which a shard turns a part away before it has done anything for it. What is turned
-// away for another reason is over: a part that was cancelled or came too late does not move.
+// Whether the shard rejected the part before it had done anything for it, so that it may be placed
+// elsewhere. Rejections for other reasons end the part: one that was cancelled or came too late
+// does not move.
 bool IsRejected(const outcome& result) {
   if (result.kind != outcome_kind::kRefused) return false;
   switch (result.reason) {
@@ -71,7 +72,8 @@
                                 [&](const part& each) { return each.shard == answer.shard; });
   if (one == job.parts.end() || one->state == part_state::kOver) return part_event::kNone;
   if (answer.result.kind == outcome_kind::kAccepted) {
-    // Of an earlier sending: it may not have told of all tasks that the shard is to take now.
+    // The answer to an earlier sending, which may not have named all tasks that the shard takes
+    // now.
     if (answer.send < one->first_send) return part_event::kNone;
     const bool is_new = one->state == part_state::kUnplaced;
     one->state = part_state::kPlaced;
--- a/src/process/part_tracker.h
+++ b/src/process/part_tracker.h
@@ -1,9 +1,9 @@
-// What the home of a spread job knows of its parts in other shards: each is placed by a message
-// that is sent until it is answered, and cancelled in the same way. Pure.
+// Tracks the parts of spread jobs in other shards for their home: each part is placed by a message
+// that is repeated until it is answered, and cancelled in the same way. Pure.
 //
-// A part must never live in two shards. So a refusal counts only when it answers the last placement
-// that was sent: an earlier one may have been refused by an owner that is none any more, and the
-// later one be taken by its successor; the home would run the same replicas a second time.
+// A part must never run in two shards. So a rejection counts only when it answers the last
+// placement that was sent: an earlier placement may have been rejected by a former owner and a
+// later one accepted by its successor, and the home would run the same replicas a second time.
 #ifndef CATKINFORD_PROCESS_PART_TRACKER_H_
 #define CATKINFORD_PROCESS_PART_TRACKER_H_
 
@@ -29,33 +29,34 @@
 };
 
 enum class part_event : uint8_t {
-  kNone,     // not of a part that is open, known already, or an answer to an earlier message
+  kNone,     // not about a tracked part, known already, or an answer to an earlier message
   kPlaced,   // its record is durable there
-  kRefused,  // it surely does not live there and never will: free to live elsewhere
+  kRefused,  // it is not in that shard and never will be: it may be placed elsewhere
   kOver,     // nothing of it runs any more
 };
 
 class part_tracker {
  public:
-  // How long an answer is waited for before the message is sent again; each time twice as long, to
-  // a limit, since an answer that always comes after the next sending would never count.
+  // `resend`: how long to wait for an answer before the message is sent again. The time doubles
+  // with each round up to a limit, since an answer that always arrives after the next sending would
+  // never count.
   explicit part_tracker(std::chrono::milliseconds resend) : resend_(resend) {}
 
-  // Parts in these shards are to be placed; those that are placed already are placed again, with
-  // what the job's record says of them now. `first_send`: of this owner; the numbers of an earlier
-  // owner must not come again.
+  // Places the parts in these shards; parts that are placed already are placed again with the
+  // current content of the job's record. `first_send`: the first send number of this owner; numbers
+  // of an earlier owner must not be reused.
   void Open(const request_id& id, const std::vector<std::string>& shards, uint64_t first_send,
             monotonic_time now);
   void Cancel(const request_id& id, monotonic_time now);
-  // A shard has changed hands: each part there is placed again. Mostly the new owner has read its
-  // record; but one that has given the part up, since its domain is evacuated, says so only then.
+  // The shard has a new owner: each part there is placed again. Usually the new owner has read its
+  // record, but one that gave the part up because its domain is evacuated reports that only then.
   void OnNewOwner(const std::string& shard, monotonic_time now);
   part_event OnAnswer(const part_answer_message& answer);
   void Close(const request_id& id);
 
   bool Has(const request_id& id) const { return jobs_.contains(id); }
   bool AllOver(const request_id& id) const;
-  // Shards whose word on their part is still missing; empty when all are placed.
+  // Shards that have not confirmed their part yet; empty when all parts are placed.
   std::vector<std::string> Unplaced(const request_id& id) const;
 
   void Tick(monotonic_time now, std::vector<part_call>& out);
@@ -66,7 +67,7 @@
   struct part {
     std::string shard;
     part_state state = part_state::kUnplaced;
-    uint64_t first_send = 0;  // that carries what is owed now
+    uint64_t first_send = 0;  // the first one with the current content
     uint64_t last_send = 0;
   };
   struct tracked_job {
--- a/src/process/peer_mailbox.cc
+++ b/src/process/peer_mailbox.cc
@@ -11,16 +11,16 @@
 using std::chrono::microseconds;
 using std::chrono::steady_clock;
 
-constexpr size_t kMaxQueued = 8192;  // messages that wait for one peer
+constexpr size_t kMaxQueued = 8192;  // messages queued for one peer
 constexpr int kServerThreads = 4;
 constexpr size_t kMaxBatchSize = 1000;
-// A batch leaves this often where the round trip is long, so that a message waits about half as
-// long for its turn. Measured in docs/design/021-peers-far-away.md.
+// With a long round trip, a batch leaves this often, so a message waits about half of this time.
+// Measured in docs/design/021-peers-far-away.md.
 constexpr microseconds kRoundTripPerBatch{2000};
-constexpr size_t kMaxBatchesInFlight = 32;  // under way to one peer
-constexpr int kRoundTripWeight = 8;         // of the past against the last call
+constexpr size_t kMaxBatchesInFlight = 32;  // to one peer
+constexpr int kRoundTripWeight = 8;         // weight of the history against the last call
 
-constexpr char kAccepted[] = "ok";  // the answer of a call that has no other
+constexpr char kAccepted[] = "ok";  // the reply of a call that returns no messages
 constexpr char kRejected[] = "refused";
 
 bool WantsReply(const peer_message& message) {
@@ -88,12 +88,12 @@
   if (to != nullptr && to->address == address) return;
   auto added = std::make_shared<peer>();
   added->address = address;
-  // The process at the old address is gone, or will be: what waits goes to the new one.
+  // The process at the old address is gone or will be: queued messages go to the new one.
   if (to != nullptr) added->queued = std::move(to->queued);
   to = std::move(added);
 }
 
-// What has gathered is dropped: whoever waits for an outcome sends again to another owner.
+// Queued messages are dropped: whoever waits for an outcome sends again to another owner.
 void peer_mailbox::RemovePeer(const std::string& name) {
   const std::lock_guard lock(mutex_);
   const auto found = peers_.find(name);
@@ -159,7 +159,7 @@
   Try(next);
 }
 
-// Tries once on a kept connection and once on a fresh one: a connection can go silent for good
+// Tries once on a kept connection and once on a new one: a connection can go silent permanently
 // while new ones work.
 void peer_mailbox::Try(const delivery_ptr& next) {
   counters_.bytes_sent += next->text.size();
@@ -176,7 +176,7 @@
   std::string answer;
   const bool read = result.status == transfer_status::kDone && ReadRpcResponse(result.body, answer);
   const bool answered = read && answer != kRejected;
-  // Refused for its signature: none of it was taken.
+  // Rejected for its signature: nothing was processed.
   const transfer_status status = read && !answered ? transfer_status::kNotSent : result.status;
   if (answered) ApplyAnswer(answer);
   if (answered || done->is_retry) {
--- a/src/process/peer_mailbox.h
+++ b/src/process/peer_mailbox.h
@@ -1,8 +1,8 @@
 // Messages to and from the other entries: batches in JSON-RPC calls, one thread for all peers.
 //
-// While a batch is under way the next one gathers, so batches grow with the load and an idle peer
-// costs nothing. To a peer in another region that would let a message wait for a round trip before
-// it starts on its own, so the longer the round trip, the more batches are under way at once.
+// While a batch is in flight the next one is queued, so batches grow with the load and an idle peer
+// costs nothing. To a peer in another region, a message would then wait for a whole round trip
+// before it is sent, so the longer the round trip, the more batches may be in flight at once.
 #ifndef CATKINFORD_PROCESS_PEER_MAILBOX_H_
 #define CATKINFORD_PROCESS_PEER_MAILBOX_H_
 
@@ -36,12 +36,12 @@
 
 class peer_mailbox {
  public:
-  // All are called on threads of the mailbox and must not block.
+  // Callbacks, called on threads of the mailbox; they must not block.
   using on_messages = std::function<void(std::vector<peer_message>)>;
-  // These messages got no confirmation, `status` says whether the peer may have seen them.
+  // These messages were not confirmed; `status` says whether the peer may have received them.
   using on_failure = std::function<void(const std::string& peer, transfer_status status,
                                         std::vector<message_body>)>;
-  // What the call that brought a heartbeat which wants a reply is answered with; none: nothing.
+  // The reply to a call with a heartbeat that wants one; none: no reply.
   using reply_maker = std::function<std::optional<heartbeat_message>()>;
 
   peer_mailbox(std::string own_name, int port, std::chrono::milliseconds call_timeout,
@@ -50,21 +50,21 @@
   peer_mailbox(const peer_mailbox&) = delete;
   peer_mailbox& operator=(const peer_mailbox&) = delete;
 
-  // False when the port cannot be had.
+  // False when the port can't be bound.
   bool Start();
-  // Sends what has gathered and waits for its answers, as long as two tries may take: the last word
-  // of a leaving owner is that its heir may take over.
+  // Sends what is queued and waits for the replies, at most as long as two tries may take: the last
+  // message of a leaving owner tells its successor to take over.
   void Stop();
 
-  // The five below: one thread only, the core's.
+  // The five below may only be called on the core's thread.
   void SetPeer(const std::string& name, const std::string& address);
   void RemovePeer(const std::string& name);
-  // Messages leave with Flush(). False when the peer is not known or too many wait for it already:
-  // surely not sent.
+  // Queues a message for the next Flush(). False, and certainly not sent, when the peer is unknown
+  // or its queue is full.
   bool Send(const std::string& name, message_body message);
-  // Sends what has gathered, to each peer that may have another batch under way.
+  // Sends the queued messages to each peer that may have another batch in flight.
   void Flush();
-  // The usual time of a call to a peer; zero until one was answered.
+  // Smoothed duration of a call to the peer; zero until one was answered.
   std::chrono::microseconds RoundTrip(const std::string& name) const;
 
   const mailbox_counters& Counters() const { return counters_; }
@@ -73,18 +73,18 @@
   struct peer {
     std::string address;
     std::vector<message_body> queued;
-    size_t in_flight = 0;  // batches
+    size_t in_flight = 0;  // number of batches
     std::chrono::microseconds round_trip{0};
   };
-  using peer_ptr = std::shared_ptr<peer>;  // shared with the calls that are under way
-  // What lives for one batch.
+  using peer_ptr = std::shared_ptr<peer>;  // shared with the calls in flight
+  // State of one batch.
   struct delivery {
     std::string name;
     peer_ptr to;
     std::vector<message_body> batch;
     std::string text;
     monotonic_time begun{};
-    transfer_status first = transfer_status::kDone;  // how the first try ended
+    transfer_status first = transfer_status::kDone;  // result of the first try
     bool is_retry = false;                           // this is the second try
   };
   using delivery_ptr = std::shared_ptr<delivery>;
@@ -92,7 +92,7 @@
   std::string Receive(const std::string& text);
   void ApplyAnswer(const std::string& answer);
   static size_t MaxInFlight(const peer& to);
-  // The next batch of a peer, or null when nothing has gathered. Under the lock.
+  // The next batch for a peer, or null when nothing is queued. Requires the lock.
   delivery_ptr NextBatch(const std::string& name, const peer_ptr& to);
   void Deliver(const delivery_ptr& next);
   void Try(const delivery_ptr& next);
@@ -107,10 +107,10 @@
   reply_maker reply_;
   rpc_server server_;
   http_client client_;
-  mutable std::mutex mutex_;  // guards the peers, what they hold, and the count
+  mutable std::mutex mutex_;  // guards the peers, their queues and the count
   std::condition_variable idle_;
   std::map<std::string, peer_ptr> peers_;
-  size_t in_flight_ = 0;  // batches, to all peers
+  size_t in_flight_ = 0;  // batches to all peers
   mailbox_counters counters_;
 };
 
