--- a/test/incarnation_test.cc
+++ b/test/incarnation_test.cc
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 #include "process/incarnation_store.h"
 #include "process/shard.h"
 
--- a/test/job_log_test.cc
+++ b/test/job_log_test.cc
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 #include "property.h"
 
 namespace catkinford {
--- a/test/ownership_model_test.cc
+++ b/test/ownership_model_test.cc
@@ -4,7 +4,7 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 #include "property.h"
 
 namespace catkinford {
--- a/test/ownership_simulation.cc
+++ b/test/ownership_simulation.cc
@@ -1,4 +1,4 @@
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 
 #include <algorithm>
 
--- a/test/ownership_test.cc
+++ b/test/ownership_test.cc
@@ -2,7 +2,7 @@
 #include <chrono>
 #include <string>
 
-#include "ownership_world.h"
+#include "ownership_simulation.h"
 
 namespace catkinford {
 namespace {
--- a/test/parts_simulation.cc
+++ b/test/parts_simulation.cc
@@ -1,4 +1,4 @@
-#include "parts_world.h"
+#include "parts_simulation.h"
 
 #include <algorithm>
 
--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "parts_world.h"
+#include "parts_simulation.h"
 #include "process/job_status.h"
 #include "process/service_split.h"
 
