--- a/test/evacuation_test.cc
+++ b/test/evacuation_test.cc
@@ -14,7 +14,7 @@
 
 constexpr milliseconds kWait{13000};
 
-// An evacuation whose store calls the test answers by hand.
+// An evacuation whose store calls the test answers itself.
 class evacuation_fixture {
  protected:
   static evacuation_options Options(bool dry_run = false) {
@@ -26,7 +26,7 @@
     return options;
   }
 
-  // The call that is sent now; none is an error.
+  // Requires exactly one call and returns it.
   store_request Call(evacuation& of) {
     std::vector<store_request> calls;
     of.Tick(now_, calls);
@@ -42,7 +42,7 @@
     REQUIRE(of.OnReply(call.tag, reply, now_));
   }
 
-  // Until the shard's record is to be raised.
+  // Runs up to the call that raises the shard's epoch.
   store_request Raise(evacuation& of) {
     Answer(of, Call(of), store_status::kDone);
     Answer(of, Call(of), store_status::kDone);
@@ -66,8 +66,8 @@
 
 }  // namespace
 
-// An operator evacuates the wrong domain, or one that is merely slow. Were its jobs moved, each
-// would run twice for as long as its own owner goes on.
+// An operator evacuates a domain that is not lost. If its jobs were moved, each would run twice
+// while its own owner continues.
 TEST_CASE_METHOD(evacuation_fixture, "evacuation, member holds a lease, changes nothing",
                  "[evacuation]") {
   evacuation work(Options(), tags_);
@@ -80,8 +80,8 @@
   CHECK(IsQuiet(work));
 }
 
-// The last owner may have renewed its tasks' leases until its epoch was raised. Taken over at once,
-// its endpoints would run their tasks beside the moved ones until those leases lapse.
+// The last owner may have renewed its tasks' leases until its epoch was raised. If the shard were
+// taken over at once, its tasks would run beside the moved ones until those leases expire.
 TEST_CASE_METHOD(evacuation_fixture, "evacuation, epochs raised, waits out the tasks' leases",
                  "[evacuation]") {
   evacuation work(Options(), tags_);
@@ -99,8 +99,8 @@
   CHECK(work.Epoch(0) == 9);
 }
 
-// The store takes the raised record and its reply is lost. The wait must count from the definite
-// answer, and the record must not be raised a second time.
+// The store accepts the raised record and its reply is lost. The wait must count from the definite
+// answer, and the epoch must not be raised a second time.
 TEST_CASE_METHOD(evacuation_fixture, "evacuation, reply lost, sends the same call again",
                  "[evacuation]") {
   evacuation work(Options(), tags_);
@@ -118,7 +118,7 @@
   CHECK(work.TimeLeft(now_) == kWait);
 }
 
-// An entry of the domain comes back and takes its shard while an operator evacuates it.
+// An entry of the domain comes back and takes its shard during an evacuation.
 TEST_CASE_METHOD(evacuation_fixture, "evacuation, shard taken meanwhile, stops", "[evacuation]") {
   evacuation work(Options(), tags_);
   const store_request raise = Raise(work);
--- a/test/incarnation_test.cc
+++ b/test/incarnation_test.cc
@@ -17,13 +17,13 @@
 
 constexpr char kEntry[] = "entry-a";
 
-// Successive owners of one shard with one endpoint, whose lives the test counts, and the store.
+// Successive owners of one shard with one endpoint, whose incarnation the test sets, and the store.
 class incarnation_fixture {
  public:
   incarnation_fixture() { TakeOver(); }
 
  protected:
-  // The next owner, up to the list of the endpoint.
+  // Starts the next owner and runs until the endpoint is listed.
   void TakeOver(const std::vector<restored_job>& jobs = {}) {
     shard_options options;
     options.name = "sapporo-ch/0";
@@ -63,8 +63,8 @@
     owner_->OnFence(fence.endpoint, fence.token, reply, now_);
   }
 
-  // What the caller of a request that is not repeatable hears when it asks again; a request that
-  // is taken in, to be started, has no outcome yet.
+  // The outcome for a caller that repeats a non-repeatable request; none for a request that is
+  // accepted to be started.
   std::optional<outcome_kind> RetryRequest() {
     place_message place;
     place.id = {1, ++requests_};
@@ -95,16 +95,16 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(incarnation_fixture, "incarnations, endpoint lives on, new owner is certain",
+TEST_CASE_METHOD(incarnation_fixture, "incarnations, endpoint keeps running, new owner is certain",
                  "[incarnation]") {
   CHECK(RetryRequest() == std::nullopt);
   TakeOver();
   CHECK(RetryRequest() == std::nullopt);
 }
 
-// An endpoint restarts after the old owner started work there and before the new one listed it. Its
-// list is empty and looks whole; a caller that asks again would have its booking made twice.
-TEST_CASE_METHOD(incarnation_fixture, "incarnations, endpoint forgot, new owner says unknown",
+// An endpoint restarts after the old owner started work there and before the new one lists it. Its
+// listing is empty and looks complete; a repeated request would run a second time.
+TEST_CASE_METHOD(incarnation_fixture, "incarnations, endpoint lost its state, answers unknown",
                  "[incarnation]") {
   ++incarnation_;
   TakeOver();
@@ -113,9 +113,10 @@
   CHECK(RetryRequest() == std::nullopt);
 }
 
-// The owner that saw the restart dies, too, before the callers have given up asking.
+// The owner that saw the restart is lost too, while callers still repeat their requests.
 TEST_CASE_METHOD(incarnation_fixture,
-                 "incarnations, endpoint forgot, second new owner says unknown", "[incarnation]") {
+                 "incarnations, endpoint lost its state, second new owner answers unknown",
+                 "[incarnation]") {
   ++incarnation_;
   TakeOver();
   Run(seconds{20});
@@ -126,9 +127,9 @@
   CHECK(RetryRequest() == std::nullopt);
 }
 
-// The store goes out right after a takeover. Until the record is read nothing can be said of what
-// ran before, and nothing that is not repeatable may start.
-TEST_CASE_METHOD(incarnation_fixture, "incarnations, record not read, holds the request",
+// The store goes down right after a takeover. Until the record is read it is unknown what ran
+// before, and nothing non-repeatable may start.
+TEST_CASE_METHOD(incarnation_fixture, "incarnations, record not read, defers the request",
                  "[incarnation]") {
   store_up_ = false;
   TakeOver();
@@ -139,9 +140,10 @@
   CHECK(owner_->AllListed());
 }
 
-// A reconciliation that must not run twice was accepted, perhaps started, and its endpoint forgot.
+// A non-repeatable job was accepted and perhaps started, and its endpoint lost its state.
 TEST_CASE_METHOD(incarnation_fixture,
-                 "incarnations, endpoint forgot, accepted job is not run again", "[incarnation]") {
+                 "incarnations, endpoint lost its state, accepted job is not run again",
+                 "[incarnation]") {
   ++incarnation_;
   restored_job job;
   job.spec.id = {2, 1};
--- a/test/job_log_test.cc
+++ b/test/job_log_test.cc
@@ -20,7 +20,7 @@
 constexpr uint64_t kSeed = 20261202;
 constexpr size_t kSegmentBytes = 4096;
 
-// One owner's log and the calls that it has under way.
+// One owner's log and its calls in flight.
 class log_writer {
  public:
   log_writer(fake_store& store, uint64_t epoch, size_t segment_bytes) : store_(store) {
@@ -32,12 +32,12 @@
     log = std::make_unique<job_log>(options, tags_);
   }
 
-  // Time goes on and calls are made; they reach the store with Arrive().
+  // Advances the time and makes calls; they reach the store with Arrive().
   void Tick() {
     now_ += milliseconds{300};
     log->Tick(now_, under_way_);
   }
-  // The store does the oldest call; `lost`: its reply does not come.
+  // The store executes the oldest call; with `lost` its reply is lost.
   void Arrive(bool lost) {
     if (under_way_.empty()) return;
     const store_request call = under_way_.front();
@@ -48,7 +48,7 @@
     log->OnReply(call.tag, reply, now_);
     for (const job_notice& notice : log->TakeNotices()) notices.push_back(notice);
   }
-  // The store refuses the oldest call.
+  // The store rejects the oldest call.
   void RejectCall() {
     const uint64_t tag = under_way_.front().tag;
     under_way_.erase(under_way_.begin());
@@ -139,7 +139,7 @@
   CHECK(read.plan == job.plan);
 }
 
-// An entry of an earlier version wrote how many tasks of a job had failed, and not which.
+// Earlier versions recorded how many tasks of a job had failed, and not which.
 TEST_CASE("durable job, record of an earlier version, keeps the number of failed tasks",
           "[job_log]") {
   const std::optional<log_segment> read = DecodeSegment(
@@ -149,7 +149,8 @@
   CHECK(read->entries.at(0).job.failed == std::vector<bool>{false, true, false});
 }
 
-TEST_CASE_METHOD(job_log_fixture, "job log, many jobs at once, are one call", "[job_log]") {
+TEST_CASE_METHOD(job_log_fixture, "job log, many jobs at once, are written by one call",
+                 "[job_log]") {
   const int before = first_.calls;
   for (uint64_t i = 0; i < 10; ++i) first_.log->Append(Job(i));
   first_.Run(3);
@@ -157,8 +158,8 @@
   CHECK(first_.calls - before == 1);
 }
 
-// The store takes the record of a job and its reply is lost. Told "not durable", the caller would
-// submit the job once more and it would run twice.
+// The store accepts the record of a job and its reply is lost. If the caller were answered "not
+// durable" it would submit the job again and it would run twice.
 TEST_CASE_METHOD(job_log_fixture, "job log, reply lost, job is durable once", "[job_log]") {
   first_.log->Append(Job(1));
   first_.Tick();
@@ -172,13 +173,13 @@
   CHECK(TakeOver(2)->log->Jobs().size() == 2);
 }
 
-// The store is out for long and a caller wants an answer. "Not run" may be said only while the
-// record is surely nowhere: a later owner runs whatever it finds.
-TEST_CASE_METHOD(job_log_fixture, "job log, store out, gives up only what was never written",
+// The store is down and a caller waits for an answer. "Not run" may be answered only while the
+// record is certain not to be in the store, since a later owner runs whatever it finds.
+TEST_CASE_METHOD(job_log_fixture, "job log, store down, withdraws only what was never written",
                  "[job_log]") {
   first_.log->Append(Job(1));
   first_.Tick();
-  CHECK_FALSE(first_.log->Withdraw(Job(1).id));  // its call is under way
+  CHECK_FALSE(first_.log->Withdraw(Job(1).id));  // its call is in flight
   first_.log->Append(Job(2));
   SECTION("refused: nothing was written") {
     first_.RejectCall();
@@ -200,10 +201,9 @@
   }
 }
 
-// An owner is paused with a job's record on its way to the store, and another entry takes over.
-// If the record got in behind the new owner's back, the caller would hear "accepted" for a job that
-// nobody runs.
-TEST_CASE_METHOD(job_log_fixture, "job log, old owner writes after the takeover, is shut out",
+// An owner is paused with a job's record in flight, and another entry takes over. If the record
+// were still written, the caller would get "accepted" for a job that nobody runs.
+TEST_CASE_METHOD(job_log_fixture, "job log, old owner writes after the takeover, is fenced off",
                  "[job_log]") {
   first_.log->Append(Job(1));
   first_.Tick();
@@ -215,7 +215,7 @@
   CHECK(next->log->Jobs().empty());
 }
 
-// The other order: the old owner's record gets in while the new owner is reading.
+// The old owner's record is written while the new owner reads the log.
 TEST_CASE_METHOD(job_log_fixture, "job log, old owner writes during the takeover, is not lost",
                  "[job_log]") {
   log_writer next{store_, 2, kSegmentBytes};
@@ -227,7 +227,7 @@
   CHECK(next.log->Jobs().contains(Job(1).id));
 }
 
-TEST_CASE_METHOD(job_log_fixture, "job log, jobs over, segments go away", "[job_log]") {
+TEST_CASE_METHOD(job_log_fixture, "job log, jobs over, segments are deleted", "[job_log]") {
   first_.log->Append(Job(100000));
   for (uint64_t i = 0; i < 500; ++i) {
     first_.log->Append(Job(i));
@@ -268,7 +268,7 @@
 
 namespace {
 
-// A random history of owners, each with a higher epoch, of which only the newest should be heard.
+// A random history of owners with rising epochs, of which only the newest may make entries durable.
 class log_history {
  public:
   void NewOwner() { writers_.push_back(std::make_unique<log_writer>(store_, ++epoch_, 600)); }
@@ -293,8 +293,8 @@
     }
     writer.notices.clear();
   }
-  // Whether the newest owner that got ready knows all that anybody was told. Once that one is
-  // shut out by a newcomer which is not ready yet, nobody has to know anything.
+  // Whether the newest owner that became ready knows everything that was reported durable. Nothing
+  // is required once that owner is fenced off by one that is not ready yet.
   bool NewestKnowsAll() const {
     for (auto writer = writers_.rbegin(); writer != writers_.rend(); ++writer) {
       const job_log_state state = (*writer)->log->State();
@@ -307,7 +307,7 @@
  private:
   static constexpr uint32_t kTasks = 3;
 
-  // The lowest identity; the map's own order differs from run to run.
+  // The lowest identity: the order of the map differs from run to run.
   static std::optional<request_id> First(const log_writer& writer) {
     std::optional<request_id> first;
     for (const auto& [id, job] : writer.log->Jobs()) {
@@ -335,22 +335,23 @@
   std::vector<std::unique_ptr<log_writer>> writers_;
   uint64_t next_job_ = 1;
   uint64_t epoch_ = 0;
-  std::map<request_id, uint32_t> promised_;  // bits of finished tasks
+  std::map<request_id, uint32_t> promised_;  // bit set of finished tasks
   std::set<request_id> over_;
-  std::set<request_id> finish_requested_;  // its end may be in the log, though nobody was told so
+  std::set<request_id> finish_requested_;  // its end may be in the log without a notice
 };
 
-// A number below `limit`, of whatever size the case is.
+// A uniform number below `limit`, independent of the size of the test case.
 size_t Below(size_t limit) {
   return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange<size_t>(0, limit));
 }
 
 }  // namespace
 
-// Owners die or are paused at any point, wake up again, and lose replies, in any order. Whatever
-// one of them was told to be durable must be known to the newest one, or a caller was told
-// "accepted" for a job that nobody runs, or a finished task runs again.
-TEST_CASE("job log, any interleaving of owners and lost replies, keeps what it said", "[job_log]") {
+// Owners are lost or paused at any point, resume, and lose replies, in any order. What was reported
+// durable must be known to the newest owner, or an accepted job is not run or a finished task runs
+// again.
+TEST_CASE("job log, any interleaving of owners and lost replies, keeps what it reported",
+          "[job_log]") {
   const bool held = Holds({kSeed, 500}, [] {
     log_history history;
     history.NewOwner();
--- a/test/membership_test.cc
+++ b/test/membership_test.cc
@@ -18,7 +18,8 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kTick{50};
-constexpr size_t kExchangeBytes = 472;  // of the JSON-RPC library's call and reply without texts
+constexpr size_t kExchangeBytes =
+    472;  // of the JSON-RPC library's call and reply without the texts
 constexpr uint64_t kIncarnation = 1764716400123456;  // as long as a real one
 
 // A fleet whose entries send each other heartbeats without delay.
@@ -75,7 +76,7 @@
     bytes_[to] += texts;
   }
 
-  // As the node does: a refused call is told to the neighbours.
+  // As in the node: a refused call is reported to the neighbours.
   void ReportSilent(const std::string& from, const std::string& to) {
     membership& own = *nodes_[from].members;
     const bool was_up = own.IsUp(to);
@@ -100,7 +101,7 @@
     return status;
   }
 
-  // Returns what the text takes on the wire, where each quote is escaped.
+  // Returns the size of the text on the wire, where each quote is escaped.
   size_t Deliver(const std::string& from, membership& to) {
     const std::string text =
         EncodeBatch(from, {nodes_[from].members->Heartbeat(StatusOf(from), now_)});
@@ -125,7 +126,7 @@
     }
   }
 
-  // Entries that count `name` as up.
+  // Number of entries that see `name` as up.
   int CountSeenUp(const std::string& name) const {
     return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& item) {
       return item.second.members->IsUp(name);
@@ -136,7 +137,7 @@
   std::map<std::string, node> nodes_;
   std::vector<instance> list_;
   std::map<std::string, size_t> bytes_;
-  std::string cut_;  // a domain that reaches no other one
+  std::string cut_;  // a domain that can't reach any other
 };
 
 class target_size_fixture : public fleet_fixture {
@@ -146,11 +147,12 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fleet_fixture, "membership, six entries, all know all", "[membership]") {
+TEST_CASE_METHOD(fleet_fixture, "membership, six entries, all see each other up", "[membership]") {
   for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 5);
 }
 
-TEST_CASE_METHOD(target_size_fixture, "membership, 54 entries, all know all within the budget",
+TEST_CASE_METHOD(target_size_fixture,
+                 "membership, 54 entries, all see each other up within the byte budget",
                  "[membership]") {
   for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 53);
   bytes_.clear();
@@ -164,12 +166,12 @@
   for (const auto& [name, one] : nodes_) CHECK(one.changes.empty());
 }
 
-// An entry dies. Its neighbours must hear of it soon, since one of them takes its shards over and
-// their callers wait; the others only stop sending it requests.
+// An entry is lost. Its neighbours must notice soon, since one of them takes over its shards while
+// callers wait; other entries only stop sending requests to it.
 TEST_CASE_METHOD(target_size_fixture, "membership, entry killed, neighbours notice first",
                  "[membership]") {
   nodes_.erase("d4-e2");
-  // Its predecessor's next call is refused, and the others are told of that.
+  // Its predecessor's next call is refused, which is reported to the other neighbours.
   Run(seconds{1});
   for (int entry = 0; entry < 6; ++entry) {
     if (entry != 2) CHECK_FALSE(nodes_.at(Name(4, entry)).members->IsUp("d4-e2"));
@@ -179,9 +181,9 @@
   CHECK(CountSeenUp("d4-e3") == 52);
 }
 
-// Entries pass on what they have heard. If news got younger on its way, a dead entry would be kept
-// alive by those who tell each other of it.
-TEST_CASE_METHOD(fleet_fixture, "membership, dead entry, is not kept alive by hearsay",
+// Entries forward statuses. If a status became younger on its way, entries would keep a lost one up
+// by forwarding its status to each other.
+TEST_CASE_METHOD(fleet_fixture, "membership, lost entry, is not kept up by forwarded statuses",
                  "[membership]") {
   nodes_.erase("d1-e0");
   Run(seconds{25});
@@ -191,7 +193,7 @@
   }
 }
 
-// An instance is replaced by a new one of the same name. Late news of the old process must not
+// An instance is replaced by a new one of the same name. A late status of the old process must not
 // count for the new one.
 TEST_CASE_METHOD(fleet_fixture, "membership, instance replaced, joins by itself", "[membership]") {
   nodes_.erase("d1-e0");
@@ -213,7 +215,7 @@
   CHECK(CountSeenUp("d2-e9") == 6);
 }
 
-TEST_CASE_METHOD(fleet_fixture, "membership, entry gone from the list and silent, is forgotten",
+TEST_CASE_METHOD(fleet_fixture, "membership, entry unlisted and silent, is forgotten",
                  "[membership]") {
   nodes_.erase("d1-e0");
   std::erase_if(list_, [](const instance& one) { return one.name == "d1-e0"; });
@@ -221,21 +223,21 @@
   for (const auto& [name, one] : nodes_) CHECK_FALSE(one.members->Members().contains("d1-e0"));
 }
 
-TEST_CASE_METHOD(fleet_fixture, "membership, domain cut off and back, heals by itself",
+TEST_CASE_METHOD(fleet_fixture, "membership, domain cut off and back, recovers by itself",
                  "[membership]") {
   cut_ = "d0";
   Run(seconds{30});
-  CHECK(CountSeenUp("d0-e0") == 0);  // a cut domain's entries do not reach each other here either
+  CHECK(CountSeenUp("d0-e0") == 0);  // entries of a cut domain do not reach each other here either
   CHECK(CountSeenUp("d1-e0") == 3);
   cut_.clear();
   Run(seconds{10});
   for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 5);
 }
 
-// The network loses calls to an entry that hangs and refuses none: nothing tells at once. The
-// neighbours notice that its words stop, and that must not take longer than the ring needs.
-TEST_CASE_METHOD(target_size_fixture, "membership, entry hangs, neighbours notice by its silence",
-                 "[membership]") {
+// Calls to an entry that hangs time out instead of being refused, so only the missing heartbeats
+// show it. The neighbours must notice within the time that the ring needs.
+TEST_CASE_METHOD(target_size_fixture,
+                 "membership, entry hangs, neighbours notice missing heartbeats", "[membership]") {
   nodes_.at("d4-e2").hangs = true;
   Run(seconds{8});
   for (int entry = 0; entry < 6; ++entry) {
@@ -243,10 +245,9 @@
   }
 }
 
-// A message is held back by the network and arrives seconds later, when the entry that it tells of
-// is dead, or another owns its shard. Taken as news, it would bring the dead entry back and send
-// requests to the old owner.
-TEST_CASE_METHOD(fleet_fixture, "membership, word of a dead entry arrives late, is no news",
+// A delayed message reports an entry that was lost meanwhile, or whose shard moved. If it were
+// applied, the entry would look up again and get requests for shards that it does not own.
+TEST_CASE_METHOD(fleet_fixture, "membership, status of a lost entry arrives late, is ignored",
                  "[membership]") {
   const heartbeat_message late = nodes_.at("d1-e1").members->Heartbeat(StatusOf("d1-e1"), now_);
   Run(seconds{2});
@@ -259,9 +260,9 @@
   CHECK_FALSE(other.IsUp("d1-e0"));
 }
 
-// One neighbour cannot reach an entry that all others reach, and says so to them. What they have
-// heard of the entry since goes before that.
-TEST_CASE_METHOD(target_size_fixture, "membership, entry called silent but heard since, stays up",
+// One neighbour can't reach an entry that all others reach, and reports it silent. A later status
+// of the entry takes precedence over that report.
+TEST_CASE_METHOD(target_size_fixture, "membership, entry reported silent but seen since, is up",
                  "[membership]") {
   membership& other = *nodes_.at("d4-e3").members;
   const member& one = *other.Find("d4-e2");
@@ -273,9 +274,8 @@
   CHECK(other.IsUp("d4-e2"));
 }
 
-// What an entry says of itself reaches the whole fleet by turns: its configuration version and the
-// epoch of its shard.
-TEST_CASE_METHOD(target_size_fixture, "membership, entry with a new version and epoch, all hear",
+// An entry's configuration version and the epoch of its shard must reach the whole fleet.
+TEST_CASE_METHOD(target_size_fixture, "membership, entry with a new version and epoch, all learn",
                  "[membership]") {
   nodes_.at("d3-e3").config_version = 123457;
   nodes_.at("d3-e3").epoch = 13;
--- a/test/ownership_model_test.cc
+++ b/test/ownership_model_test.cc
@@ -18,7 +18,7 @@
 constexpr int kEntries = 3;
 constexpr milliseconds kHealLimit{12000};
 
-// A number below `limit`, of whatever size the case is.
+// A uniform number below `limit`, independent of the size of the test case.
 int Below(int limit) { return *rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, limit)); }
 
 std::string NameOf(int entry) { return absl::StrCat("e", entry); }
@@ -29,7 +29,7 @@
   }
 }
 
-// One fault or one mend, at a random entry.
+// One fault or one repair at a random entry.
 void InjectFault(ownership_simulation& simulation) {
   const std::string name = NameOf(Below(kEntries));
   const int action = Below(12);
@@ -41,7 +41,8 @@
     return;
   }
   if (action == 0) simulation.Kill(name);
-  if (action == 1) simulation.Add(name);  // replaced while the old process is cut off at once
+  if (action == 1)
+    simulation.Add(name);  // replaced while the old process is cut off at the same time
   if (action == 2 || action == 3) simulation.Pause(name);
   if (action == 4 || action == 5) simulation.Resume(name);
   if (action == 6) simulation.CutFromStore(name, Below(2) == 0);
@@ -59,7 +60,7 @@
     simulation.Resume(name);
     simulation.CutFromStore(name, false);
   }
-  // Fresh ones come in the place of entries that were told to leave.
+  // New entries replace those that were told to leave.
   for (int entry = 0; entry < kEntries; ++entry) {
     if (simulation.Has(NameOf(entry)) && simulation.Owner(NameOf(entry)).Releasing()) {
       simulation.Kill(NameOf(entry));
@@ -68,7 +69,7 @@
   AddMissing(simulation);
 }
 
-// Random faults with random time between them, then a mended world.
+// Random faults with random time between them, then all are repaired.
 void Run(const ownership_simulation_options& options) {
   ownership_simulation simulation(options);
   AddMissing(simulation);
@@ -97,9 +98,9 @@
 
 }  // namespace
 
-// Entries die, pause, are replaced, lose the store, each other and replies, and are told to leave,
-// in any order. Whatever happens, no endpoint takes a start from two owners of the same epoch, nor
-// one of an old owner after one of a new; and once all is mended every shard has an owner.
+// Entries are killed, paused, replaced, released and cut off from the store and each other, and
+// replies are lost, in any order. No endpoint may accept starts from two owners of the same epoch,
+// or from an old owner after a new one; after the repair every shard must have an owner.
 TEST_CASE("ownership, random faults, never two owners and healed after", "[ownership_model]") {
   CHECK(Holds({kSeed, kCases}, [] { Run({2, true, milliseconds{1}}); }));
 }
--- a/test/ownership_simulation.h
+++ b/test/ownership_simulation.h
@@ -1,6 +1,6 @@
-// A failure domain in one thread: entries that run the real ownership state machine, a store with
-// leases, one endpoint for each shard, and messages that take time, get lost or wait for a paused
-// process. Time is simulated; nothing here waits or reads a clock.
+// Simulates a failure domain in one thread: entries that run the real ownership state machine, a
+// store with leases, one endpoint for each shard, and messages that are delayed, lost or held for a
+// paused process. Time is simulated; nothing here waits or reads a clock.
 #ifndef CATKINFORD_TEST_OWNERSHIP_SIMULATION_H_
 #define CATKINFORD_TEST_OWNERSHIP_SIMULATION_H_
 
@@ -48,8 +48,9 @@
 struct ownership_simulation_options {
   uint32_t shards = 1;
   bool endpoints_fence = true;
-  std::chrono::milliseconds delay{1};   // of every message, one way
-  std::chrono::milliseconds jitter{0};  // of a start on its way to the endpoint: up to this more
+  std::chrono::milliseconds delay{1};  // of every message, one way
+  std::chrono::milliseconds jitter{
+      0};  // up to this much more for a start on its way to the endpoint
 };
 
 class ownership_simulation {
@@ -57,34 +58,34 @@
   explicit ownership_simulation(ownership_simulation_options options) : options_(options) {}
 
   // Faults.
-  void Add(const std::string& name);  // also a new process of a name that was there
+  void Add(const std::string& name);  // also a new process of an existing name
   void Kill(const std::string& name) { entries_.erase(name); }
   void Pause(const std::string& name) { At(name).paused = true; }
   void Resume(const std::string& name);
   void CutFromStore(const std::string& name, bool cut) { At(name).cut_from_store = cut; }
   void CutPeers(bool cut) { peers_cut_ = cut; }
   void SetStoreDown(bool down) { store_down_ = down; }
-  // The next `count` replies of writes get lost; the writes take effect.
+  // The replies of the next `count` writes are lost; the writes take effect.
   void LoseReplies(int count) { replies_to_lose_ = count; }
   void Release(const std::string& name);
 
   void Run(std::chrono::milliseconds duration);
-  // False when the condition did not come true within `limit`.
+  // False when the condition was not met within `limit`.
   bool RunUntil(const std::function<bool()>& condition, std::chrono::milliseconds limit);
 
-  // Views.
+  // Observation.
   monotonic_time Now() const { return now_; }
   bool Has(const std::string& name) const { return entries_.contains(name); }
   ownership& Owner(const std::string& name) { return *At(name).machine; }
   fake_store& Store() { return store_; }
-  // The one entry that owns the shard and may start there; empty when there is none or several.
+  // The only entry that owns the shard and may start there; empty when there is none or several.
   std::string OwnerOf(uint32_t shard) const;
   const std::vector<accepted_start>& Starts() const { return starts_; }
   // Starts since `since`, of one shard.
   std::vector<accepted_start> StartsSince(uint32_t shard, monotonic_time since) const;
   int Claims() const { return claims_; }
   uint64_t StoreCalls() const { return store_calls_; }
-  // The promise: what a broken one looks like, or an empty text.
+  // Describes a violation of the ownership guarantees; empty when there is none.
   std::string Violation() const;
 
  private:
@@ -97,7 +98,7 @@
     std::map<std::string, monotonic_time> heard;
     std::set<std::string> silent;
     std::map<uint32_t, uint64_t> listed;         // shard, epoch under which its endpoint was listed
-    std::vector<std::function<void()>> waiting;  // messages that came while it was paused
+    std::vector<std::function<void()>> waiting;  // messages that arrived while it was paused
   };
   using message = std::function<void()>;
 
@@ -106,7 +107,8 @@
   void Later(message action) { After(options_.delay, std::move(action)); }
   void After(std::chrono::milliseconds delay, message action);
   std::chrono::milliseconds StartDelay();
-  // Delivers to the process with this incarnation, now or when it wakes up; else drops.
+  // Delivers to the process with this incarnation, now or when it resumes; drops the message if
+  // that process is lost.
   void DeliverTo(const std::string& name, uint64_t incarnation,
                  const std::function<void(entry&)>& action);
   void Heartbeats(const std::string& name, entry& receiver);
--- a/test/ownership_test.cc
+++ b/test/ownership_test.cc
@@ -60,8 +60,7 @@
   CHECK(simulation_.StoreCalls() - before <= 84);
 }
 
-// An entry's process dies. Callers of its shard wait until the other entry of the domain starts
-// their work.
+// After an entry's process is lost, callers of its shard wait until the other entry takes it over.
 TEST_CASE_METHOD(ownership_fixture, "ownership, owner killed, shard is owned again within 3 s",
                  "[ownership]") {
   simulation_.Kill("a");
@@ -69,8 +68,8 @@
   CHECK(simulation_.Owner("b").Epoch(0) == 2);
 }
 
-// The dead entry's instance is replaced at once by one of the same name, and the other entry of
-// the domain is gone too: the newcomer must not wait for a lease of its own name for ever.
+// All entries of a domain are lost and one is replaced under the same name: the new process must
+// not wait for a lease of its own name forever.
 TEST_CASE_METHOD(ownership_fixture, "ownership, all entries replaced, newcomers own the shard",
                  "[ownership]") {
   simulation_.Kill("a");
@@ -80,9 +79,8 @@
   CHECK(simulation_.RunUntil([&] { return !simulation_.OwnerOf(0).empty(); }, kTakeoverLimit));
 }
 
-// An owner stops for ten seconds, as when its instance is moved or swaps, and then goes on with
-// what it had in hand. Its starts reach the endpoint after the new owner's and must be refused,
-// else the same work runs in two places.
+// An owner pauses for ten seconds and then continues with what it had in flight. Its starts reach
+// the endpoint after the new owner's and must be rejected, or the same work runs twice.
 TEST_CASE_METHOD(ownership_fixture, "ownership, owner paused past its lease, starts nothing after",
                  "[ownership]") {
   simulation_.Pause("a");
@@ -98,9 +96,9 @@
   CHECK(simulation_.OwnerOf(0) == "b");
 }
 
-// The store loses its replies just when a claim is made. An entry that believed in failure would
-// leave the shard without an owner; one that believed in success might not be it.
-TEST_CASE_METHOD(ownership_fixture, "ownership, reply of a claim lost, shard is owned all the same",
+// The store's reply to a claim is lost. Taking it for a failure would leave the shard without an
+// owner; taking it for a success could give it two.
+TEST_CASE_METHOD(ownership_fixture, "ownership, reply of a claim lost, shard gets an owner",
                  "[ownership]") {
   simulation_.Kill("a");
   REQUIRE(simulation_.RunUntil(
@@ -111,9 +109,8 @@
   CHECK(simulation_.Owner("b").Epoch(0) == 2);
 }
 
-// The store is out for a minute, and every lease lapses in it. Nobody has done anything wrong, and
-// callers must not notice.
-TEST_CASE_METHOD(ownership_fixture, "ownership, store out and all leases lapsed, owner goes on",
+// The store is down for a minute and every lease expires. Owners and callers must not be affected.
+TEST_CASE_METHOD(ownership_fixture, "ownership, store down and all leases expired, owner stays",
                  "[ownership]") {
   simulation_.SetStoreDown(true);
   const monotonic_time out = simulation_.Now();
@@ -127,9 +124,9 @@
   CHECK(simulation_.StartsSince(0, out).size() > 6000);
 }
 
-// Only the owner has lost the store. It cannot accept durable jobs, so its peer, which asks it
-// first, gets the shard after a while.
-TEST_CASE_METHOD(ownership_fixture, "ownership, owner alone cut from the store, yields to its peer",
+// Only the owner is cut off from the store. It can't accept durable jobs, so its peer gets the
+// shard after querying it for a while.
+TEST_CASE_METHOD(ownership_fixture, "ownership, owner cut off from the store, yields to its peer",
                  "[ownership]") {
   simulation_.CutFromStore("a", true);
   CHECK(RunUntilOwner("b", seconds{8}));
@@ -138,9 +135,9 @@
   CHECK(simulation_.OwnerOf(0) == "b");
 }
 
-// Entries of one domain cannot reach each other, but both reach the store and the endpoints. The
-// owner is alive, and the shard must not go back and forth.
-TEST_CASE_METHOD(ownership_fixture, "ownership, entries cut from each other, owner stays",
+// The entries of a domain can't reach each other, but both reach the store and the endpoints. The
+// shard must not move back and forth.
+TEST_CASE_METHOD(ownership_fixture, "ownership, entries cut off from each other, owner stays",
                  "[ownership]") {
   simulation_.CutPeers(true);
   simulation_.Run(seconds{10});
@@ -148,7 +145,7 @@
   CHECK(simulation_.Claims() == 1);
 }
 
-TEST_CASE_METHOD(ownership_fixture, "ownership, graceful release, heir starts without a gap",
+TEST_CASE_METHOD(ownership_fixture, "ownership, graceful release, successor starts without a gap",
                  "[ownership]") {
   const monotonic_time asked = simulation_.Now();
   simulation_.Release("a");
@@ -161,10 +158,11 @@
   CHECK(simulation_.Store().Items(simulation_.Now()).count("member/d/a") == 0);
 }
 
-// The last entry of a domain is told to stop before its replacement is up. It keeps the shard, so
-// that the newcomer gets it from its hands.
+// The last entry of a domain is told to stop before its replacement is up. It must keep the shard
+// and hand it over to the replacement.
 TEST_CASE_METHOD(ownership_fixture,
-                 "ownership, release without an heir, owner goes on until one is", "[ownership]") {
+                 "ownership, release without a successor, owner stays until one joins",
+                 "[ownership]") {
   simulation_.Kill("b");
   simulation_.Run(seconds{3});
   simulation_.Release("a");
@@ -187,9 +185,9 @@
   CHECK(simulation_.Claims() == 2);
 }
 
-// An instance is replaced under its old name while the old process was only paused. The old one
-// wakes up and must not drive out the new one.
-TEST_CASE_METHOD(ownership_fixture, "ownership, old process of the name wakes up, stands back",
+// An instance was replaced under its name while the old process was paused. The old process must
+// not replace the new one's records when it resumes.
+TEST_CASE_METHOD(ownership_fixture, "ownership, old process of the name resumes, yields",
                  "[ownership]") {
   simulation_.Store().Put("member/d/a",
                           ToText(member_record{"a", 99, "a:1", "", "other lease", false}));
@@ -200,7 +198,7 @@
             ->incarnation == 99);
 }
 
-TEST_CASE_METHOD(four_shards_fixture, "ownership, several shards, entries share and stay settled",
+TEST_CASE_METHOD(four_shards_fixture, "ownership, several shards, are balanced and stay in place",
                  "[ownership]") {
   const auto shards_of = [&](const std::string& name) {
     int count = 0;
@@ -216,8 +214,8 @@
   CHECK(simulation_.Claims() == claims);
 }
 
-// The platform's endpoints do not fence. An owner that wakes up after a pause has only its clock
-// to tell it that another may have taken its place.
+// Endpoints do not fence. An owner that resumes after a pause has only its clock to detect that
+// another may have taken over.
 TEST_CASE_METHOD(unfenced_fixture, "ownership without fencing, owner paused, starts nothing after",
                  "[ownership]") {
   simulation_.Pause("a");
@@ -231,9 +229,9 @@
   }
 }
 
-// Without fencing and without the store an owner cannot know that it is still alone, so it stops
-// starting work; it goes on when the store is back.
-TEST_CASE_METHOD(unfenced_fixture, "ownership without fencing, store out, waits and goes on after",
+// Without fencing and without the store an owner can't know that it is still the only one, so it
+// must stop starting work until the store is back.
+TEST_CASE_METHOD(unfenced_fixture, "ownership without fencing, store down, waits and resumes after",
                  "[ownership]") {
   simulation_.SetStoreDown(true);
   simulation_.Run(seconds{2});
--- a/test/parts_simulation.cc
+++ b/test/parts_simulation.cc
@@ -116,7 +116,7 @@
   }
 }
 
-// Evenly to the other sites that have endpoints.
+// Splits evenly over the other sites that have endpoints.
 std::vector<job_part> parts_simulation::SplitAwayFrom(size_t site, uint32_t tasks) const {
   std::vector<job_part> parts;
   for (size_t other = 0; other < kSites; ++other) {
@@ -173,7 +173,7 @@
 
 void parts_simulation::Handle(const sent_message& sent) {
   site_state& at = sites_[sent.to];
-  if (at.epoch != sent.to_epoch || cut_[sent.to]) return;  // its process is gone
+  if (at.epoch != sent.to_epoch || cut_[sent.to]) return;  // its process is lost
   if (const auto* place = std::get_if<place_message>(&sent.body)) {
     at.owner->Place(EntryOf(sent.from), *place, now_);
   } else if (const auto* cancel = std::get_if<cancel_message>(&sent.body)) {
@@ -235,7 +235,7 @@
   if (action.job_ended) writes_.push_back({site, action.task.job, std::nullopt});
 }
 
-// All that one shard has under way.
+// Commits all writes of one shard that are in flight.
 void parts_simulation::Commit(size_t site) {
   for (const log_write& write : std::exchange(writes_, {})) {
     if (write.site == site) {
--- a/test/parts_simulation.h
+++ b/test/parts_simulation.h
@@ -1,5 +1,6 @@
-// Three shards, one in each failure domain, with a log and one endpoint each, and messages between
-// them that are lost, doubled and late: for tests of jobs that are spread over shards.
+// Simulates three shards, one in each failure domain, each with a log and one endpoint, and
+// messages between them that are lost, duplicated and delayed. For tests of jobs that are spread
+// over shards.
 #ifndef CATKINFORD_TEST_PARTS_SIMULATION_H_
 #define CATKINFORD_TEST_PARTS_SIMULATION_H_
 
@@ -27,20 +28,20 @@
  public:
   explicit parts_simulation(uint64_t seed);
 
-  // A service of `replicas`, spread evenly, whose home is the first site. As often as a caller
-  // asks.
+  // Places a service of `replicas`, spread evenly, whose home is the first site. May be repeated,
+  // as by a caller.
   void Start(uint32_t replicas);
   void Cancel();
-  // Lets all shards act, and carries out what they want.
+  // Lets all shards act and executes their actions.
   void Step(std::chrono::milliseconds time);
-  // A new owner under a higher epoch reads the log; the endpoint runs on. Of the writes under way
-  // some may still have come through.
+  // A new owner with a higher epoch reads the log; the endpoint keeps running. Writes in flight may
+  // or may not have taken effect.
   void ReplaceOwner(size_t site);
-  // All that runs in a site's domain dies, its owner too; another entry answers for the shard and
-  // moves its jobs, until an owner of the domain takes it back by ReplaceOwner().
+  // Everything in a site's domain is lost, including its owner; another entry answers for the shard
+  // and moves its jobs until ReplaceOwner() gives the shard back to the domain.
   void LoseAndEvacuate(size_t site);
   void CutOff(size_t site, bool cut) { cut_[site] = cut; }
-  // How the world treats messages and records from now on, in percent.
+  // Probabilities of faults of messages and records, in percent.
   struct odds {
     int lost = 0;
     int doubled = 0;
@@ -49,17 +50,17 @@
     int slow_store = 0;
   };
   void SetOdds(const odds& to) { odds_ = to; }
-  // Teams may have this many tasks waiting in a site.
+  // Sets how many tasks of a team may be queued in a site.
   void SetQueueLimit(size_t site, uint32_t tasks);
 
-  // For each replica, at how many endpoints it runs now.
+  // For each replica, the number of endpoints where it runs now.
   std::map<uint32_t, int> Running() const;
   std::set<uint32_t> RunningAt(size_t site) const;
-  // Whether a replica ever ran at two endpoints at once.
+  // Whether a replica ever ran at two endpoints at the same time.
   bool RanTwice() const { return ran_twice_; }
   const std::vector<outcome>& Outcomes() const { return outcomes_; }
   bool WasReported(outcome_kind kind) const;
-  // Its caller heard that it was cancelled.
+  // Whether the caller was answered that the service is over.
   bool WasReportedOver() const;
   monotonic_time Now() const { return now_; }
   shard& At(size_t site) { return *sites_[site].owner; }
@@ -76,7 +77,7 @@
     std::map<request_id, place_message> log;
     std::set<task_id> running;
   };
-  // A write to a log that is under way.
+  // A write to a log that is in flight.
   struct log_write {
     size_t site = 0;
     request_id job;
@@ -86,7 +87,7 @@
   struct sent_message {
     size_t from = 0;
     size_t to = 0;
-    uint64_t to_epoch = 0;  // the process that it is addressed to
+    uint64_t to_epoch = 0;  // epoch of the process it is addressed to
     parts_message body;
   };
 
--- a/test/peer_mailbox_test.cc
+++ b/test/peer_mailbox_test.cc
@@ -1,4 +1,4 @@
-// The mailbox between entries, over real calls on this machine.
+// The mailbox between entries, with real calls on the local machine.
 #include "process/peer_mailbox.h"
 
 #include <catch2/catch.hpp>
@@ -19,11 +19,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kWaitLimit{20000};  // of a test that waits for what has to come
+constexpr milliseconds kWaitLimit{20000};  // for events that are expected to occur
 constexpr milliseconds kCallTimeout{10000};
-constexpr milliseconds kShortTimeout{1000};  // where a call is meant to time out
+constexpr milliseconds kShortTimeout{1000};  // for calls that are meant to time out
 
-// The mailbox of one entry, and a peer that can hold back its answers.
+// The mailbox of one entry, and a peer that can delay its answers.
 class mailbox_fixture {
  protected:
   explicit mailbox_fixture(milliseconds call_timeout = kCallTimeout)
@@ -40,8 +40,8 @@
     if (server_ != nullptr) server_->Stop();
   }
 
-  // A peer that answers once `held_` batches wait in it at the same time. Our own server, since its
-  // answers may come later: libjsonrpccpp's may have two connections on one thread, and the second
+  // A peer that answers once `held_` batches wait at the same time. Uses our own server, which can
+  // answer later: libjsonrpccpp's server may serve two connections on one thread, and the second
   // would wait for the first.
   void Serve() {
     http_server_options options;
@@ -92,7 +92,7 @@
   std::vector<http_server::token> waiting_;
   size_t most_waiting_ = 0;
   size_t held_ = 1;
-  std::vector<size_t> batches_;  // messages in each, as they came
+  std::vector<size_t> batches_;  // number of messages in each, in order of arrival
   size_t lost_ = 0;
   std::optional<transfer_status> lost_status_;
   std::unique_ptr<http_server> server_;
@@ -107,11 +107,11 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(mailbox_fixture, "mailbox, peer busy with a batch, gathers the next one",
+TEST_CASE_METHOD(mailbox_fixture, "mailbox, peer busy with a batch, queues the next one",
                  "[mailbox]") {
   Serve();
   from_.SetPeer("to", UrlOfPeer());
-  Hold(2);  // never reached: one batch at a time goes to a peer whose distance is unknown
+  Hold(2);  // never reached: a peer with unknown round trip gets one batch at a time
   Ask(1);
   REQUIRE(WaitFor([this] { return batches_.size() == 1; }));
   Ask(2);
@@ -121,9 +121,9 @@
   CHECK(batches_[1] == 2);
 }
 
-// Two regions are 80 ms from each other and back. With one batch at a time a message waits for the
-// answers to those before it, and a caller sees 230 ms where the way there and back takes 80.
-TEST_CASE_METHOD(mailbox_fixture, "mailbox, peer far away, has many batches under way",
+// With a round trip of 80 ms and one batch at a time, a message waits for the answers to earlier
+// ones, and a caller sees 230 ms instead of 80.
+TEST_CASE_METHOD(mailbox_fixture, "mailbox, peer far away, has many batches in flight",
                  "[mailbox]") {
   Serve();
   fault_proxy distance;
@@ -137,7 +137,7 @@
   REQUIRE(WaitFor([this] { return batches_.size() == 1; }));
   while (from_.RoundTrip("to") == milliseconds{0}) std::this_thread::sleep_for(milliseconds{1});
   CHECK(from_.RoundTrip("to") >= milliseconds{20});
-  Hold(4);  // none is answered until four are there
+  Hold(4);  // no answer before four have arrived
   for (uint32_t i = 1; i <= 4; ++i) {
     Ask(i);
     std::this_thread::sleep_for(milliseconds{1});
@@ -148,8 +148,8 @@
   distance.Stop();
 }
 
-// Something between the two ends has lost track of the connection: what is sent on it never
-// arrives. The message has to come through all the same, on a new connection.
+// A kept connection went silent in the network: nothing sent on it arrives. The message must still
+// be delivered, on a new connection.
 TEST_CASE_METHOD(short_timeout_fixture, "mailbox, connection silent, delivers on a fresh one",
                  "[mailbox]") {
   Serve();
@@ -167,7 +167,7 @@
   proxy.Stop();
 }
 
-TEST_CASE_METHOD(mailbox_fixture, "mailbox, nobody at the address, tells that nothing was sent",
+TEST_CASE_METHOD(mailbox_fixture, "mailbox, no peer at the address, reports not sent",
                  "[mailbox]") {
   from_.SetPeer("to", "http://127.0.0.1:1");
   Ask(1);
@@ -176,7 +176,8 @@
 }
 
 TEST_CASE_METHOD(short_timeout_fixture,
-                 "mailbox, peer takes a batch and never answers, may have sent it", "[mailbox]") {
+                 "mailbox, peer receives a batch and never answers, reports maybe sent",
+                 "[mailbox]") {
   Serve();
   from_.SetPeer("to", UrlOfPeer());
   Hold(3);
@@ -185,9 +186,9 @@
   CHECK(lost_status_ == transfer_status::kMaybeSent);
 }
 
-// The last word of a leaving owner is that its heir may take over at once. Were it dropped, the
-// heir would wait until the lease lapses.
-TEST_CASE_METHOD(mailbox_fixture, "mailbox, stopped, delivers what had gathered first",
+// The last message of a leaving owner tells its successor to take over at once. If it were dropped,
+// the successor would wait until the lease expires.
+TEST_CASE_METHOD(mailbox_fixture, "mailbox, stopped, delivers its queued messages first",
                  "[mailbox]") {
   Serve();
   from_.SetPeer("to", UrlOfPeer());
--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -27,7 +27,7 @@
                                                    [](const auto& one) { return one.second == 1; });
 }
 
-// Three domains, each with one shard of which `room` replicas' worth is free.
+// Three domains, each with one shard that has free capacity for `room` replicas.
 class split_fixture {
  protected:
   split_fixture() : routes_(Options()) {}
@@ -50,7 +50,7 @@
     routes_.OnReport(domain + "-0", report, now_);
   }
 
-  // Replicas by shard.
+  // Number of replicas by shard.
   std::map<std::string, uint32_t> Split(uint32_t replicas) const {
     place_message service;
     service.kind = workload_kind::kService;
@@ -72,19 +72,19 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(split_fixture, "service split, room in all domains, is even", "[parts]") {
+TEST_CASE_METHOD(split_fixture, "service split, capacity in all domains, is even", "[parts]") {
   for (const char* domain : {"sapporo-ch", "otaru", "asahikawa"}) Report(domain, 100);
   CHECK(Split(6) ==
         std::map<std::string, uint32_t>{{"asahikawa/0", 2}, {"otaru/0", 2}, {"sapporo-ch/0", 2}});
   CHECK(Split(2).size() == 2);
 }
 
-// A domain is cut off, another one nearly full, in the third no endpoint is large enough. A service
-// must still be taken, by whoever can hold it.
-TEST_CASE_METHOD(split_fixture, "service split, domain without room or word, leaves it out",
+// One domain is cut off, another nearly full, and a third has no endpoint that is large enough. The
+// service must still be placed where it fits.
+TEST_CASE_METHOD(split_fixture, "service split, domain without capacity or report, is left out",
                  "[parts]") {
   Report("sapporo-ch", 100);
-  SECTION("nobody else is heard of: all of it stays at home") { CHECK(Split(6).empty()); }
+  SECTION("no other domain has reported: all of it stays at home") { CHECK(Split(6).empty()); }
   SECTION("one domain is nearly full") {
     Report("otaru", 1);
     CHECK(Split(6) == std::map<std::string, uint32_t>{{"otaru/0", 1}, {"sapporo-ch/0", 5}});
@@ -93,7 +93,7 @@
     Report("otaru", 100, 500);
     CHECK(Split(6).empty());
   }
-  SECTION("an owner that is listing its endpoints counts as having room") {
+  SECTION("an owner that is listing its endpoints counts as having capacity") {
     Report("otaru", 100);
     shard_report listing;
     listing.shard = "otaru/0";
@@ -104,9 +104,8 @@
   }
 }
 
-TEST_CASE(
-    "spread service, asked for, runs in every domain and is accepted when all have recorded it",
-    "[parts]") {
+TEST_CASE("spread service, placed, runs in every domain and is accepted when all have recorded it",
+          "[parts]") {
   parts_simulation simulation(1);
   simulation.Start(kReplicas);
   CHECK(!simulation.WasReported(outcome_kind::kAccepted));
@@ -121,9 +120,10 @@
   CHECK(simulation.WasReported(outcome_kind::kFailed));
 }
 
-// A domain is cut off just as a service comes. Its caller must not wait for the end of the cut, and
-// must be told which replicas nobody has confirmed; they come once the domain is back.
-TEST_CASE("spread service, domain cut off, is accepted with its name and whole later", "[parts]") {
+// A domain is cut off when a service is placed. Its caller must be answered before the domain is
+// back, with the shards that have not confirmed; their replicas start once the domain is back.
+TEST_CASE("spread service, domain cut off, is accepted with its name and completed later",
+          "[parts]") {
   parts_simulation simulation(2);
   simulation.CutOff(2, true);
   simulation.Start(kReplicas);
@@ -136,9 +136,9 @@
   CHECK(EachRunsOnce(simulation, kReplicas));
 }
 
-// The other shards have no room in their queues. The service is accepted all the same and its
-// replicas wait at home, instead of being counted as placed and never run.
-TEST_CASE("spread service, part turned away, runs at its home", "[parts]") {
+// The queue of another shard is full. Replicas that it rejects must be queued at the home instead
+// of being counted as placed and never run.
+TEST_CASE("spread service, part rejected, runs at its home", "[parts]") {
   parts_simulation simulation(3);
   simulation.SetQueueLimit(1, 1);
   simulation.Start(kReplicas);
@@ -152,10 +152,11 @@
   CHECK(EachRunsOnce(simulation, kReplicas));
 }
 
-// A caller cancels a service while one domain is cut off. It must not hear that all is over while
-// replicas run on there.
-TEST_CASE("spread service, cancelled with a domain cut off, is over only when that has heard",
-          "[parts]") {
+// A service is cancelled while one domain is cut off. Its caller must not be told that it is over
+// while replicas still run there.
+TEST_CASE(
+    "spread service, cancelled with a domain cut off, is over only when that domain has confirmed",
+    "[parts]") {
   parts_simulation simulation(4);
   simulation.Start(kReplicas);
   Run(simulation, 20);
@@ -170,10 +171,10 @@
   CHECK(simulation.WasReported(outcome_kind::kFailed));
 }
 
-// Messages are lost, doubled and late, owners die, records fail, the caller asks again and perhaps
-// cancels. A user would notice a replica that runs in two domains, or none at all after all is
-// well.
-TEST_CASE("spread service, any history of faults, never runs a replica twice and ends whole",
+// Messages are lost, duplicated and delayed, owners are lost, records fail, the caller repeats its
+// request and may cancel. No replica may run in two domains, and all must run once the faults are
+// over.
+TEST_CASE("spread service, any history of faults, never runs a replica twice and ends complete",
           "[parts]") {
   for (uint64_t seed = 1; seed <= kHistories; ++seed) {
     INFO("seed " << seed);
@@ -202,7 +203,7 @@
     simulation.SetOdds({});
     for (size_t site = 0; site < kSites; ++site) simulation.CutOff(site, false);
     if (with_losses) simulation.ReplaceOwner(static_cast<size_t>(simulation.Below(3)));
-    // What its caller was told is over stays over, whoever owns the shards by then.
+    // What its caller was told is over must stay over, whichever entry owns the shards by then.
     const bool over = simulation.WasReportedOver();
     if (!cancelled && !over) simulation.Start(kReplicas);
     if (cancelled && !over) simulation.Cancel();
@@ -217,10 +218,10 @@
   }
 }
 
-// A shard changes hands while a part is placed there. The old owner turned the part away, and its
-// word is late; the new owner has taken the part since. Believed, that word would have the home run
-// the same replicas once more.
-TEST_CASE("part keeper, refusal of an earlier sending, does not count", "[parts]") {
+// A shard changes its owner while a part is placed there. The old owner rejected the part and its
+// answer is late; the new owner has accepted the part. If the late rejection counted, the home
+// would run the same replicas again.
+TEST_CASE("part tracker, rejection of an earlier sending, does not count", "[parts]") {
   part_tracker tracker(milliseconds{500});
   const request_id id{1, 1};
   monotonic_time now = monotonic_time{} + std::chrono::hours{1};
@@ -239,7 +240,7 @@
   CHECK(tracker.OnAnswer(refusal) == part_event::kRefused);
 }
 
-// A service is cancelled while the placement of one part is still on its way. Coming after the
+// A service is cancelled while the placement of one part is in flight. If it took effect after the
 // cancel, it would start replicas of a job that its caller was told is over.
 TEST_CASE("spread service, part cancelled before it came, never starts", "[parts]") {
   parts_simulation simulation(5);
@@ -260,8 +261,8 @@
   CHECK(simulation.Running().empty());
 }
 
-// A domain is lost for good and an operator says so. Its replicas must run elsewhere, those of the
-// service whose home it was as well; and when it comes back after all, nothing runs there again.
+// A domain is lost and evacuated. Its replicas must run elsewhere, also those of a service whose
+// home it was, and must not start there again when the domain comes back.
 TEST_CASE("spread service, domain evacuated, runs elsewhere and stays there", "[parts]") {
   const auto lost = GENERATE(size_t{0}, size_t{1});
   parts_simulation simulation(6);
@@ -280,9 +281,9 @@
   CHECK(simulation.Running().empty());
 }
 
-// A domain with batch work is lost. What had ended must not run again elsewhere, what may run again
-// goes on in another domain, and of what may not, the caller is told that nobody knows.
-TEST_CASE("evacuated shard, batch jobs, moves what is left and gives up what may run once",
+// A domain with batch work is lost. Finished tasks must not run again elsewhere, repeatable ones
+// continue in another domain, and non-repeatable ones are answered as unknown.
+TEST_CASE("evacuated shard, batch jobs, moves unfinished tasks and gives up what may run only once",
           "[parts]") {
   team_names teams;
   shard_options options;
@@ -340,10 +341,11 @@
   CHECK(answers[2].ended->kind == outcome_kind::kUnknown);
 }
 
-// Homes split by the free room in heartbeats, and find the parts of an evacuated domain by the word
-// of an entry of another one. Left out of the message, all replicas would stand in one domain, and
-// those of the evacuated one nowhere.
-TEST_CASE("heartbeat, report of free room and of a shard elsewhere, arrives whole", "[parts]") {
+// Homes split services by the free capacity in heartbeats and find the parts of an evacuated domain
+// by the report of an entry in another domain. Without these fields all replicas would be placed in
+// one domain, and those of the evacuated one not found.
+TEST_CASE("heartbeat, report of free capacity and of another domain's shard, arrives complete",
+          "[parts]") {
   entry_status status;
   status.name = "otaru-0";
   status.incarnation = 1;
@@ -367,7 +369,7 @@
   CHECK(heartbeat.entries.front().shards[1].shard == "asahikawa/0");
 }
 
-TEST_CASE("job status, parts in several shards, is whole with all of them", "[parts]") {
+TEST_CASE("job status, parts in several shards, is complete with all of them", "[parts]") {
   job_status status;
   status.Start({"otaru/0", "sapporo-ch/0", "asahikawa/0"});
   status_answer home;
--- a/test/shard_fixture.h
+++ b/test/shard_fixture.h
@@ -1,4 +1,4 @@
-// One shard with two endpoints, whose calls the test answers by hand.
+// One shard with two endpoints, whose calls the test answers itself.
 #ifndef CATKINFORD_TEST_SHARD_FIXTURE_H_
 #define CATKINFORD_TEST_SHARD_FIXTURE_H_
 
@@ -66,7 +66,7 @@
 
   void Advance(std::chrono::milliseconds by) { now_ += by; }
 
-  // Lets the shard act and keeps what it wants done.
+  // Lets the shard act and keeps its actions.
   void Act() {
     actions_.clear();
     shard_.Act(now_, actions_);
@@ -88,7 +88,7 @@
     return reply;
   }
 
-  // Answers every fence under way with `tasks` on ep-0 and nothing on ep-1.
+  // Answers every fence in flight with `tasks` on ep-0 and nothing on ep-1.
   void AnswerFences(const std::vector<task_status>& tasks = {}) {
     Act();
     for (const fence_action& fence : Actions<fence_action>()) {
@@ -98,7 +98,7 @@
     }
   }
 
-  // The only start that is asked for.
+  // Requires exactly one start action and returns it.
   start_action OneStart() {
     Act();
     const auto starts = Actions<start_action>();
@@ -118,7 +118,7 @@
     shard_.OnStart(start.endpoint, start.token, start.tasks, reply, now_);
   }
 
-  // The sync that is under way at `endpoint` since the last Act().
+  // The sync sent to `endpoint` by the last Act().
   std::optional<sync_action> SyncAt(endpoint_index endpoint) const {
     for (const sync_action& sync : Actions<sync_action>()) {
       if (sync.endpoint == endpoint) return sync;
--- a/test/shard_restart_test.cc
+++ b/test/shard_restart_test.cc
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-// A request that is not to be repeated, sent to an endpoint, and nothing heard of it yet.
+// A non-repeatable request whose start was sent to an endpoint and is not answered yet.
 class sent_start_fixture : public shard_fixture {
  public:
   sent_start_fixture() {
@@ -23,7 +23,7 @@
   }
 
  protected:
-  // Two syncs fail: the endpoint is silent, and is fenced again under a raised token.
+  // Two syncs fail: the endpoint is silent and is fenced again with a raised token.
   fence_action FailSyncs() {
     shard_.OnSync(start_.endpoint, sync_->call.epoch, endpoint_reply{}, now_);
     Act();
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-// A new owner has work at hand before it knows what runs at its endpoints. What it started there
-// now could be more than they hold, on top of what its predecessor started.
+// A new owner has work before it knows what runs at its endpoints. Starting it could exceed their
+// capacity, on top of what its predecessor started.
 TEST_CASE_METHOD(shard_fixture, "shard, endpoints not listed, starts nothing there", "[shard]") {
   shard_.Place(kEntry, Place(1), now_);
   Act();
@@ -60,8 +60,8 @@
   CHECK(OneStart().endpoint == fences[0].endpoint);
 }
 
-// Something between the two ends has lost track of the kept connections. An owner that asked again
-// on one of them would take a healthy endpoint for dead and lose what runs there.
+// A kept connection went silent in the network. An owner that retried on it would take a healthy
+// endpoint for lost and lose its tasks.
 TEST_CASE_METHOD(sent_start_fixture, "shard, sync failed, asks again on a fresh connection",
                  "[shard]") {
   CHECK_FALSE(sync_->fresh_connection);
@@ -73,11 +73,10 @@
   CHECK(again->call.wait == milliseconds{0});
 }
 
-// The reply to a start is lost, and before that is known the endpoint was listed under a raised
-// token without the task. It did not run and never will: it starts at once, without another round
-// of fencing in which the endpoint gets no work.
-TEST_CASE_METHOD(sent_start_fixture, "shard, reply lost after a newer list, starts again at once",
-                 "[shard]") {
+// A start's reply is lost after the endpoint was already listed, without the task, under a raised
+// token. The task can't have run and must start again at once, without another round of fencing.
+TEST_CASE_METHOD(sent_start_fixture,
+                 "shard, reply lost after a newer listing, starts again at once", "[shard]") {
   const fence_action fence = FailSyncs();
   shard_.OnFence(fence.endpoint, fence.token, Done(), now_);
   LoseStartReply(start_);
@@ -86,9 +85,9 @@
   CHECK(again.tasks[0].id.attempt > start_.tasks[0].id.attempt);
 }
 
-// The same, with that list still on its way: it decides, and until it comes nothing new is sent to
-// an endpoint of which nothing is known.
-TEST_CASE_METHOD(sent_start_fixture, "shard, reply lost before a newer list, waits for the list",
+// The same with that listing still on its way: it decides, and nothing new is sent to the endpoint
+// before it arrives.
+TEST_CASE_METHOD(sent_start_fixture, "shard, reply lost before a newer listing, waits for it",
                  "[shard]") {
   const fence_action fence = FailSyncs();
   LoseStartReply(start_);
@@ -99,13 +98,13 @@
   CHECK(OneStart().tasks[0].id.attempt > start_.tasks[0].id.attempt);
 }
 
-// The endpoint runs a payment and restarts before its reply is out. The list of its next life does
-// not show the payment; started again, it would be made twice.
-TEST_CASE_METHOD(sent_start_fixture, "shard, endpoint restarted with a start under way, is unknown",
+// The endpoint restarts with a non-repeatable task before its reply is sent. The listing of its
+// next incarnation does not show the task; starting it again would run it twice.
+TEST_CASE_METHOD(sent_start_fixture, "shard, endpoint restarted with a start in flight, is unknown",
                  "[shard]") {
   shard_.OnSync(start_.endpoint, sync_->call.epoch, ListingOf(2), now_);
   const fence_action fence = OneFence();
-  CHECK(fence.token > start_.token);  // else the start could still arrive in the new life
+  CHECK(fence.token > start_.token);  // else the start could still arrive in the new incarnation
   shard_.OnFence(fence.endpoint, fence.token, ListingOf(2), now_);
   LoseStartReply(start_);
   std::vector<answer_action> answers;
--- a/test/shard_test.cc
+++ b/test/shard_test.cc
@@ -30,8 +30,8 @@
   CHECK(answers[0].result.answer == "booked");
 }
 
-// A caller asks twice for the same booking, through two entries. If both were started, the room
-// would be booked twice.
+// Two entries place the same identity. If both placements were started, the request would run
+// twice.
 TEST_CASE_METHOD(shard_fixture, "shard, identity placed twice, starts once and answers both",
                  "[shard]") {
   AnswerFences();
@@ -46,8 +46,8 @@
 }
 
 // A new owner gets a request that the old owner may have started on an endpoint that does not
-// answer yet. Starting it elsewhere would run it in two places.
-TEST_CASE_METHOD(shard_fixture, "shard, endpoint not listed, holds an identity that may run there",
+// answer yet. Starting it on another endpoint would run it twice.
+TEST_CASE_METHOD(shard_fixture, "shard, endpoint not listed, defers an identity that may run there",
                  "[shard]") {
   shard_.Place(kEntry, Place(1, false), now_);
   Act();
@@ -64,9 +64,9 @@
   CHECK(answers[0].result.kind == outcome_kind::kUnknown);
 }
 
-// The old owner had started the request and died. Its caller's entry asks the new owner, which
-// finds it in the endpoint's list: the caller gets the answer of that run, not of a second one.
-TEST_CASE_METHOD(shard_fixture, "shard, identity found in a list, answers from that run",
+// The old owner started the request and was lost. The new owner finds it in an endpoint's listing
+// and must return the answer of that run instead of starting a second one.
+TEST_CASE_METHOD(shard_fixture, "shard, identity found in a listing, answers from that run",
                  "[shard]") {
   task_status listed;
   listed.id = {{1, 1}, 0, 3};
@@ -84,9 +84,9 @@
   CHECK(answers[0].result.answer == "booked before");
 }
 
-// The reply to a start is lost. The start may still lie in a buffer of a paused endpoint, so it is
-// neither repeated nor given up before the endpoint has been fenced with a raised token and listed.
-TEST_CASE_METHOD(shard_fixture, "shard, start reply lost, decides by a list under a raised token",
+// The reply to a start is lost. The start may still be in a buffer of a paused endpoint, so it is
+// neither repeated nor given up before the endpoint was fenced with a raised token and listed.
+TEST_CASE_METHOD(shard_fixture, "shard, start reply lost, decides by a listing at a raised token",
                  "[shard]") {
   AnswerFences();
   shard_.Place(kEntry, Place(1), now_);
@@ -98,7 +98,7 @@
   REQUIRE(fences.size() == 1);
   CHECK(fences[0].token > start.token);
   CHECK(OwnerEpochOf(fences[0].token) == 7);
-  SECTION("not listed: it never started and never will, and is started anew") {
+  SECTION("not listed: it can't start any more and is started anew") {
     shard_.OnFence(start.endpoint, fences[0].token, Done(), now_);
     const start_action again = OneStart();
     CHECK(again.tasks[0].id.attempt > start.tasks[0].id.attempt);
@@ -116,7 +116,7 @@
   }
 }
 
-// The endpoint dies with a payment in it that must not be made twice. It may have been made.
+// An endpoint is lost with non-repeatable work, which may have run: it must not be started again.
 TEST_CASE_METHOD(shard_fixture, "shard, endpoint lost with non-repeatable work, answers unknown",
                  "[shard]") {
   AnswerFences();
@@ -141,8 +141,8 @@
   CHECK(answers[0].result.kind == outcome_kind::kUnknown);
 }
 
-// Another entry has taken the shard over while this one was paused. The endpoint refuses our
-// epoch, and that refusal is proof that nothing was started by us.
+// Another entry took over the shard while this one was paused. The endpoint rejects our epoch,
+// which proves that this start did not take effect.
 TEST_CASE_METHOD(shard_fixture, "shard, fenced off, gives the shard up", "[shard]") {
   AnswerFences();
   shard_.Place(kEntry, Place(1), now_);
@@ -157,8 +157,8 @@
   CHECK(superseded[0].epoch == 8);
 }
 
-// A batch job is accepted. If it were answered before its record stands in the store, the death of
-// this entry would lose work that a team was told is safe.
+// If a batch job were accepted before its record is in the store, losing this entry would lose the
+// job.
 TEST_CASE_METHOD(shard_fixture, "shard, durable job, is accepted only once recorded", "[shard]") {
   AnswerFences();
   place_message place = Place(1);
@@ -187,9 +187,9 @@
   }
 }
 
-// The store is out for minutes. A caller that submits batch work is told so while it still waits,
-// and the work is not started later all the same.
-TEST_CASE_METHOD(shard_fixture, "shard, record not taken for long, gives the job up", "[shard]") {
+// While the store is down, the caller of a durable job must be answered while it still waits, and
+// the job must not start later.
+TEST_CASE_METHOD(shard_fixture, "shard, record not accepted in time, gives the job up", "[shard]") {
   AnswerFences();
   place_message place = Place(1);
   place.kind = workload_kind::kBatch;
@@ -209,10 +209,9 @@
   CHECK(Actions<withdraw_action>().empty());
 }
 
-// An entry sends a request again while it has no outcome, and that sending is overtaken by the
-// refusal. Its caller has been told that nothing ran, and what comes late must not run; when the
-// caller itself asks anew it is another matter.
-TEST_CASE_METHOD(shard_fixture, "shard, refused and sent again late, does not run", "[shard]") {
+// A repeated placement arrives after the request was rejected. Its caller was told that nothing
+// ran, so it must not run; a new request of the caller with the same identity may.
+TEST_CASE_METHOD(shard_fixture, "shard, rejected and sent again late, does not run", "[shard]") {
   AnswerFences();
   place_message place = Place(1, false);
   place.ask = 5;
@@ -232,9 +231,9 @@
   OneStart();
 }
 
-// An entry is being stopped and its shard can be handed to nobody. What it has begun is finished;
-// what comes now would keep it from ending and is refused, which is true as nothing was started.
-TEST_CASE_METHOD(shard_fixture, "shard, closed, finishes what it knows and refuses the rest",
+// An owner is stopping and its shard can't be handed over. Requests it knows are finished; new ones
+// would keep it from stopping and are rejected.
+TEST_CASE_METHOD(shard_fixture, "shard, closed, finishes known requests and rejects new ones",
                  "[shard]") {
   AnswerFences();
   shard_.Place(kEntry, Place(1), now_);
@@ -251,8 +250,8 @@
   CHECK(shard_.HasCallers());
 }
 
-// A batch task ends while the store is down. Its endpoint must keep the end: else a new owner would
-// find neither a record nor a list entry, and the reconciliation would run a second time.
+// A batch task ends while the store is down. If its endpoint forgot the end, a new owner would find
+// neither a record nor a listing entry and would run the task a second time.
 TEST_CASE_METHOD(shard_fixture, "shard, end not recorded, is not acknowledged to the endpoint",
                  "[shard]") {
   AnswerFences();
@@ -284,9 +283,9 @@
   CHECK(SyncAt(start.endpoint)->call.cursor == 1);
 }
 
-// A batch job runs when its shard's owner dies, and its caller cancels it at the next owner before
-// that has heard of every endpoint. Told "cancelled, not run" then, the job would run on.
-TEST_CASE_METHOD(shard_fixture, "shard, restored job cancelled before the lists, is stopped first",
+// A restored job is cancelled before its new owner has listed every endpoint. If "cancelled, not
+// run" were answered then, the job would run on.
+TEST_CASE_METHOD(shard_fixture, "shard, restored job cancelled before listings, is stopped first",
                  "[shard]") {
   restored_job job;
   job.spec = Place(1);
@@ -307,9 +306,9 @@
   CHECK(Actions<stop_action>().front().ids == std::vector<task_id>{running.id});
 }
 
-// A job is cancelled and its owner dies before the store has heard of it. The next owner finds the
-// job in its log and runs it, so nobody may have been told until then that it is over.
-TEST_CASE_METHOD(shard_fixture, "shard, cancelled job, is told over once that is recorded",
+// A job is cancelled and its owner is lost before that is recorded. The next owner runs the job
+// from its log, so the end must not be reported before it is recorded.
+TEST_CASE_METHOD(shard_fixture, "shard, cancelled job, is reported over once that is recorded",
                  "[shard]") {
   AnswerFences();
   place_message place = Place(1);
@@ -331,10 +330,10 @@
   CHECK(Actions<answer_action>().front().result.reason == refusal_reason::kCancelled);
 }
 
-// The last task of a job ends, that is recorded, and the owner dies before its caller has heard.
-// The caller asks the next owner, and must get the answer, or what went wrong, and not an empty
-// one.
-TEST_CASE_METHOD(shard_fixture, "shard, job ended under an earlier owner, is told with its words",
+// The last task of a job ends and is recorded, and the owner is lost before the caller is answered.
+// The next owner must return the recorded answer or fault, not an empty one.
+TEST_CASE_METHOD(shard_fixture,
+                 "shard, job ended under an earlier owner, returns its recorded result",
                  "[shard]") {
   AnswerFences();
   restored_job well;
