--- a/src/process/message.cc
+++ b/src/process/message.cc
@@ -397,12 +397,12 @@
   return {{"type", "ask_owner"}, {"shard", ask.shard}};
 }
 
-json EncodeBody(const owner_answer_message& alive) {
-  return {{"type", "owner_alive"}, {"shard", alive.shard}, {"holds", alive.holds}};
+json EncodeBody(const owner_answer_message& answer) {
+  return {{"type", "owner_alive"}, {"shard", answer.shard}, {"holds", answer.holds}};
 }
 
-json EncodeBody(const not_owner_message& wrong) {
-  return {{"type", "not_owner"}, {"id", ToHex(wrong.id)}, {"shard", wrong.shard}};
+json EncodeBody(const not_owner_message& not_owner) {
+  return {{"type", "not_owner"}, {"id", ToHex(not_owner.id)}, {"shard", not_owner.shard}};
 }
 
 json EncodeBody(const release_message& /*release*/) { return {{"type", "release"}}; }
--- a/src/process/ownership.cc
+++ b/src/process/ownership.cc
@@ -252,7 +252,7 @@
   state.held_epoch = state.record.epoch;
   state.held_lease = lease;
   // Rewriting our own record must not cut short the wait for the previous owner's starts.
-  if (!from_self) state.start_after = now + options_.flight_margin;
+  if (!from_self) state.start_after = now + options_.in_flight_margin;
   state.first_query_received = {};
   out.events.push_back({ownership_event_kind::kGained, shard, state.held_epoch, options_.name});
 }
--- a/src/process/ownership.h
+++ b/src/process/ownership.h
@@ -36,7 +36,7 @@
   // Without fencing: how much earlier than the store an owner treats its lease as expired, and how
   // long a new owner waits for starts that the old one had in flight.
   std::chrono::milliseconds clock_margin{150};
-  std::chrono::milliseconds flight_margin{500};
+  std::chrono::milliseconds in_flight_margin{500};
   // How long a leaving owner waits without an answer from the store, or without a member to hand a
   // shard to. As long as a call to the store may take: another one would time out too.
   std::chrono::milliseconds hand_over_timeout{2000};
--- a/src/process/peer_mailbox.cc
+++ b/src/process/peer_mailbox.cc
@@ -180,10 +180,10 @@
   const transfer_status status = read && !answered ? transfer_status::kNotSent : result.status;
   if (answered) ApplyAnswer(answer);
   if (answered || done->is_retry) {
-    const bool surely_not =
+    const bool not_sent =
         done->first == transfer_status::kNotSent && status == transfer_status::kNotSent;
     if (!answered) {
-      failed_(done->name, surely_not ? transfer_status::kNotSent : transfer_status::kMaybeSent,
+      failed_(done->name, not_sent ? transfer_status::kNotSent : transfer_status::kMaybeSent,
               std::move(done->batch));
     }
     OnDone(done, answered);
@@ -201,9 +201,10 @@
     peer& to = *done->to;
     --to.in_flight;
     if (answered) {
-      const auto took = std::chrono::duration_cast<microseconds>(steady_clock::now() - done->begun);
+      const auto elapsed =
+          std::chrono::duration_cast<microseconds>(steady_clock::now() - done->begun);
       const bool first = to.round_trip == microseconds{0};
-      to.round_trip += first ? took : (took - to.round_trip) / kRoundTripWeight;
+      to.round_trip += first ? elapsed : (elapsed - to.round_trip) / kRoundTripWeight;
     }
     next = NextBatch(done->name, done->to);
     if (--in_flight_ == 0) idle_.notify_all();
--- a/src/process/shard.cc
+++ b/src/process/shard.cc
@@ -153,8 +153,8 @@
 bool shard::HasCallers() const {
   return !deferred_.empty() || std::any_of(jobs_.begin(), jobs_.end(), [](const auto& at) {
     const job_state& job = at.second;
-    const bool told = job.accepted && IsDurable(job.spec.kind);
-    return !job.ended && !told && !job.entries.empty();
+    const bool reported = job.accepted && IsDurable(job.spec.kind);
+    return !job.ended && !reported && !job.entries.empty();
   });
 }
 
--- a/src/process/shard_capacity.cc
+++ b/src/process/shard_capacity.cc
@@ -158,11 +158,11 @@
 }
 
 bool shard_capacity::CanEverHold(const resources& each, uint32_t count) const {
-  uint64_t room = 0;
+  uint64_t fitting = 0;
   for (const shape_count& shape : shapes_) {
-    room += uint64_t{CountFitting(each, shape.capacity)} * shape.most;
+    fitting += uint64_t{CountFitting(each, shape.capacity)} * shape.most;
   }
-  return room >= count;
+  return fitting >= count;
 }
 
 std::string shard_capacity::ExplainNeverFits(const resources& each) const {
--- a/src/process/shard_endpoints.cc
+++ b/src/process/shard_endpoints.cc
@@ -133,12 +133,12 @@
   incarnations wanted;
   for (const endpoint_record& at : endpoints_) {
     if (!at.present) continue;
-    const bool whole =
+    const bool complete =
         at.checked_incarnation != 0 && (at.state_lost_at == monotonic_time{} ||
                                         now - at.state_lost_at >= options_.identity_window);
     const auto before = recorded_.find(at.address.name);
-    if (whole) wanted[at.address.name] = at.checked_incarnation;
-    if (!whole && before != recorded_.end()) wanted[at.address.name] = before->second;
+    if (complete) wanted[at.address.name] = at.checked_incarnation;
+    if (!complete && before != recorded_.end()) wanted[at.address.name] = before->second;
   }
   return wanted;
 }
@@ -298,8 +298,8 @@
   for (const auto& [id, job] : jobs_) {
     for (uint32_t i = 0; i < job.tasks.size(); ++i) {
       const task_progress& task = job.tasks[i];
-      const bool is_there = task.endpoint == index && IsUnderWay(task.phase);
-      if (is_there) tasks.push_back({id, i, task.attempt});
+      const bool is_at_endpoint = task.endpoint == index && IsUnderWay(task.phase);
+      if (is_at_endpoint) tasks.push_back({id, i, task.attempt});
     }
   }
   return tasks;
@@ -357,9 +357,9 @@
   for (const task_call_result& result : reply.results) {
     if (reply.status != endpoint_status::kDone || result.result == call_result::kUnknown) continue;
     decided.insert(result.id);
-    const bool took =
+    const bool started =
         result.result == call_result::kStarted || result.result == call_result::kAlready;
-    if (!took) {
+    if (!started) {
       OnStartFailed(result.id, result.result == call_result::kBroken, now);
       continue;
     }
--- a/src/process/shard_evacuate.cc
+++ b/src/process/shard_evacuate.cc
@@ -82,15 +82,16 @@
 bool shard::RejectEvacuated(const std::string& entry, const place_message& place) {
   const bool can_move = IsDurable(place.kind) && place.repeatable && place.home.empty();
   if (can_move) return false;
-  const bool surely_new = place.fresh || !place.home.empty();
+  const bool certainly_new = place.fresh || !place.home.empty();
   const std::string why = "its failure domain was evacuated";
-  job_state asked;
-  asked.spec.home = place.home;
-  asked.spec.send = place.send;
+  job_state rejected;
+  rejected.spec.home = place.home;
+  rejected.spec.send = place.send;
   // Not fresh: the same identity may have run before the domain was lost.
-  Reply(entry, asked,
-        surely_new ? RefusedOutcome(place.id, refusal_reason::kOwnerUnreachable, kRetryAfter, why)
-                   : UnknownOutcome(place.id, why));
+  Reply(entry, rejected,
+        certainly_new
+            ? RefusedOutcome(place.id, refusal_reason::kOwnerUnreachable, kRetryAfter, why)
+            : UnknownOutcome(place.id, why));
   return true;
 }
 
--- a/src/process/shard_tasks.cc
+++ b/src/process/shard_tasks.cc
@@ -74,14 +74,14 @@
   const bool is_late = end.reason == refusal_reason::kDeadline;
   std::string detail = job->fault.empty() ? end.detail : job->fault;
   if (is_late && detail.empty()) detail = "its deadline passed before all of its tasks had started";
-  outcome told = FailedOutcome(end.task.job, detail);
-  if (may_have_run) told = UnknownOutcome(end.task.job, "one of its runs was lost");
+  outcome reported = FailedOutcome(end.task.job, detail);
+  if (may_have_run) reported = UnknownOutcome(end.task.job, "one of its runs was lost");
   // Neither "not run" nor "ran" is certain for a job that an earlier owner may have started.
   if (is_late && !job->ever_ran) {
-    told =
+    reported =
         UnknownOutcome(end.task.job, "its deadline passed and it may have run under another owner");
   }
-  End(end.task.job, *job, std::move(told), now);
+  End(end.task.job, *job, std::move(reported), now);
 }
 
 void shard::AddStart(const command& next, start_action& start) {
@@ -253,8 +253,8 @@
   // nothing.
   const bool is_service = job.spec.kind == workload_kind::kService;
   const bool is_home = job.spec.home.empty();
-  const bool goes_on = is_service || job.unrecorded_plans > 0 || (is_home && HasElsewhere(job));
-  if (!job.spec.parts.empty() && !job.cancelled && goes_on) return;
+  const bool continues = is_service || job.unrecorded_plans > 0 || (is_home && HasElsewhere(job));
+  if (!job.spec.parts.empty() && !job.cancelled && continues) return;
   if (std::optional<outcome> end = EndOf(job)) End(id, job, *std::move(end), now);
 }
 
--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -39,13 +39,13 @@
     return options;
   }
 
-  void Report(const std::string& domain, uint32_t room, uint32_t largest = 16000) {
+  void Report(const std::string& domain, uint32_t capacity, uint32_t largest = 16000) {
     shard_report report;
     report.shard = ShardName(domain, 0);
     report.epoch = 1;
     report.endpoints = 4;
     report.summary.open_endpoints = 4;
-    report.summary.free = {room * 1000, room * 1000, 0, room};
+    report.summary.free = {capacity * 1000, capacity * 1000, 0, capacity};
     report.summary.largest_capacity = {largest, 32768, 0, 8};
     routes_.OnReport(domain + "-0", report, now_);
   }
--- a/test/shard_test.cc
+++ b/test/shard_test.cc
@@ -336,19 +336,19 @@
                  "shard, job ended under an earlier owner, returns its recorded result",
                  "[shard]") {
   AnswerFences();
-  restored_job well;
-  well.spec = Place(1);
-  well.spec.kind = workload_kind::kBatch;
-  well.spec.tasks = 2;
-  restored_job badly = well;
-  badly.spec.id = {2, 2};
-  well.done = {0, 1};
-  well.answer = "balanced";
-  badly.done = {0};
-  badly.failed = {1};
-  badly.fault = "disk full";
-  shard_.Restore({well, badly}, now_);
-  for (const restored_job& job : {well, badly}) shard_.Place(kEntry, job.spec, now_);
+  restored_job completed;
+  completed.spec = Place(1);
+  completed.spec.kind = workload_kind::kBatch;
+  completed.spec.tasks = 2;
+  restored_job faulty = completed;
+  faulty.spec.id = {2, 2};
+  completed.done = {0, 1};
+  completed.answer = "balanced";
+  faulty.done = {0};
+  faulty.failed = {1};
+  faulty.fault = "disk full";
+  shard_.Restore({completed, faulty}, now_);
+  for (const restored_job& job : {completed, faulty}) shard_.Place(kEntry, job.spec, now_);
   Act();
   const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 2);
