--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -27,7 +27,7 @@
                                                    [](const auto& one) { return one.second == 1; });
 }
 
-// Three domains, each with one shard that has free capacity for `room` replicas.
+// Three domains, each with one shard that has free capacity for `capacity` replicas.
 class split_fixture {
  protected:
   split_fixture() : routes_(Options()) {}
