--- a/src/process/incarnation_store.cc
+++ b/src/process/incarnation_store.cc
@@ -106,8 +106,7 @@
   }
   value.known.clear();
   for (const store_item& item : reply.items) {
-    if (is_read && item.key != KeyOf(shard_name))
-      continue;  // a read of shard 1 also returns shard 10
+    if (is_read && item.key != KeyOf(shard_name)) continue;  // shard 10, read with shard 1
     if (is_read) value.revision = item.revision;
     value.known = Parse(item.value);
   }
--- a/src/process/job_store.cc
+++ b/src/process/job_store.cc
@@ -126,8 +126,7 @@
     job_log& log = *found->second.log;
     result = what.is_change ? log.Replace(RecordOf(*place)) : log.Append(RecordOf(*place));
   }
-  if (what.is_change)
-    return;  // not queued: the shard is lost, and its next owner reads the old one
+  if (what.is_change) return;  // if not queued, the shard is lost: the next owner reads the old one
   if (result == append_result::kKnown) from.OnRecorded(what.job, true, now);
   if (result == append_result::kTooLarge || result == append_result::kNotReady) {
     from.OnRecorded(what.job, false, now);
--- a/src/process/membership.cc
+++ b/src/process/membership.cc
@@ -12,9 +12,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr int kMissedHeartbeats = 4;  // overdue by this many heartbeats: suspect
-constexpr int kMissedRounds =
-    2;  // overdue by this many rounds over the other domains, both ways: suspect
+constexpr int kMissedHeartbeats = 4;        // overdue by this many heartbeats: suspect
+constexpr int kMissedRounds = 2;            // of the other domains, both ways: suspect
 constexpr int kDownFactor = 2;              // overdue by this many times that: down
 constexpr milliseconds kHopAllowance{5};    // age that a status gains on its way
 constexpr seconds kForgetAfter{60};         // silent and not listed
@@ -83,8 +82,7 @@
     const member* known = Find(name);
     const bool is_unknown = known == nullptr || known->status.incarnation == 0;
     if (!is_unknown || (known != nullptr && known->listed)) continue;
-    FindOrAdd(name, options_.failure_domain, record.address).last_heard =
-        now;  // keeps it from being forgotten meanwhile
+    FindOrAdd(name, options_.failure_domain, record.address).last_heard = now;  // not forgotten
   }
   Forget(now);
 }
--- a/src/process/message.h
+++ b/src/process/message.h
@@ -38,8 +38,7 @@
   std::vector<job_part> parts;
   std::string home;   // the shard that answers for the whole job; empty when that is `shard`
   uint64_t send = 0;  // from a home to the owner of a part: number of this sending
-  uint64_t ask =
-      0;  // from an entry: number of the caller's request for this identity, the same when repeated
+  uint64_t ask = 0;   // from an entry: number of the caller's request, the same when repeated
   uint64_t plan = 0;  // how often `parts` has changed
 };
 
--- a/src/process/ownership.h
+++ b/src/process/ownership.h
@@ -24,9 +24,8 @@
 namespace catkinford {
 
 struct ownership_options {
-  std::string name;  // of this entry
-  uint64_t incarnation =
-      0;  // of this process; higher than that of any earlier process of this name
+  std::string name;          // of this entry
+  uint64_t incarnation = 0;  // of this process; higher than that of any earlier one
   std::string failure_domain;
   std::string address;  // for peers
   std::string caller_address;
@@ -187,8 +186,7 @@
   monotonic_time members_changed_{};
   monotonic_time last_poll_done_{};
   monotonic_time release_begun_{};
-  monotonic_time
-      no_successor_since_{};  // epoch of the clock: there is a successor, or none was needed
+  monotonic_time no_successor_since_{};  // zero: there is one, or none is needed
   bool releasing_ = false;
 };
 
--- a/src/process/ownership_decisions.cc
+++ b/src/process/ownership_decisions.cc
@@ -15,9 +15,8 @@
 constexpr milliseconds kConfirmationValid{1000};  // how long an owner's confirmation counts
 constexpr milliseconds kClaimFallback{800};  // when the member chosen to claim a shard does not
 constexpr milliseconds kReadBackDelay{50};   // from a lost or rejected write to the next read
-constexpr milliseconds kBalanceDelay{
-    5000};                             // members must be unchanged for this long before balancing
-constexpr uint32_t kMinImbalance = 2;  // difference in shards that justifies a hand-over
+constexpr milliseconds kBalanceDelay{5000};  // without a change of members
+constexpr uint32_t kMinImbalance = 2;        // difference in shards that justifies a hand-over
 
 }  // namespace
 
@@ -45,8 +44,8 @@
 // Whether the shard's recorded owner certainly or very likely no longer acts for it.
 bool ownership::OwnerIsLost(uint32_t shard, monotonic_time now, ownership_actions& out) {
   shard_state& state = shards_[shard];
-  const bool fenced_off =
-      IsSelf(state.record);  // we held it, and an endpoint has seen a higher epoch
+  // We held it, and an endpoint has seen a higher epoch.
+  const bool fenced_off = IsSelf(state.record);
   if (state.revision == 0 || fenced_off) return true;
   const auto member = members_.find(state.record.owner);
   if (member != members_.end()) {
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -329,15 +329,14 @@
   std::set<request_id> services_;  // not ended
   identity_memory identities_;     // requests that a caller waits for; outlives their job_state
   part_tracker parts_;             // jobs whose home is this shard
-  std::set<std::pair<monotonic_time, request_id>>
-      accept_timeouts_;  // when "accepted" is sent at the latest
+  // The latest time to answer "accepted", by job.
+  std::set<std::pair<monotonic_time, request_id>> accept_timeouts_;
   refusal_memory refusals_;
   evacuation_counts evacuated_;
   std::vector<deferred_place> deferred_;
   std::vector<request_id> restored_;  // not resumed yet: some endpoint is not listed
-  std::set<std::pair<monotonic_time, request_id>>
-      deadlines_;                                          // of requests that a caller waits for
-  std::set<std::pair<monotonic_time, request_id>> ended_;  // when each may be forgotten
+  std::set<std::pair<monotonic_time, request_id>> deadlines_;        // of requests with a caller
+  std::set<std::pair<monotonic_time, request_id>> ended_;            // when each may be forgotten
   std::set<std::pair<monotonic_time, request_id>> unrecorded_jobs_;  // when to give each up
   // By job and task index: the endpoint that reported an end which is not in the store yet.
   absl::flat_hash_map<std::pair<request_id, uint32_t>, endpoint_index> unrecorded_;
--- a/test/membership_test.cc
+++ b/test/membership_test.cc
@@ -18,8 +18,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kTick{50};
-constexpr size_t kExchangeBytes =
-    472;  // of the JSON-RPC library's call and reply without the texts
+constexpr size_t kExchangeBytes = 472;  // of a JSON-RPC call and reply without the texts
 constexpr uint64_t kIncarnation = 1764716400123456;  // as long as a real one
 
 // A fleet whose entries send each other heartbeats without delay.
--- a/test/ownership_simulation.h
+++ b/test/ownership_simulation.h
@@ -48,9 +48,8 @@
 struct ownership_simulation_options {
   uint32_t shards = 1;
   bool endpoints_fence = true;
-  std::chrono::milliseconds delay{1};  // of every message, one way
-  std::chrono::milliseconds jitter{
-      0};  // up to this much more for a start on its way to the endpoint
+  std::chrono::milliseconds delay{1};   // of every message, one way
+  std::chrono::milliseconds jitter{0};  // up to this much more for a start
 };
 
 class ownership_simulation {
