--- a/src/process/decision_admission.cc
+++ b/src/process/decision_admission.cc
@@ -42,7 +42,7 @@
   const uint32_t together = request.kind == workload_kind::kGang ? request.tasks : 1;
   if (floor_known && !endpoints.CanEverHold(request.each, together)) {
     return admission{false, refusal_reason::kNeverFits, milliseconds{0},
-                     endpoints.WhyNever(request.each)};
+                     endpoints.ExplainNeverFits(request.each)};
   }
   const team_record& team = teams[request.team];
   const resources& limit = team.terms.limit;
--- a/src/process/decision_impl.h
+++ b/src/process/decision_impl.h
@@ -23,7 +23,7 @@
 #include "process/job_table.h"
 #include "process/run_estimates.h"
 #include "process/service_policy.h"
-#include "process/shard_floor.h"
+#include "process/shard_capacity.h"
 #include "process/team_table.h"
 #include "process/waiting_queues.h"
 
@@ -176,7 +176,7 @@
   uint64_t random_state;
   uint64_t signature = 0;
   job_table jobs;
-  shard_floor endpoints;
+  shard_capacity endpoints;
   team_table teams;
   waiting_queues queues;
   run_estimates estimates;
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -158,14 +158,14 @@
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   Release(handle, index, task_state::kFailed);
   if (endpoint_fault) {
-    if (endpoints.NoteRun(endpoint, true, now)) {
+    if (endpoints.RecordRun(endpoint, true, now)) {
       timers.push(
           {endpoints[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
     }
   } else {
     // The endpoint has less free capacity than we assume. Without a pause the same start would be
     // sent and rejected repeatedly, at the rate of the network round trip.
-    endpoints.Cool(endpoint, true);
+    endpoints.SetCooling(endpoint, true);
     timers.push({now + kCoolingTime, timer_kind::kCoolingOver, endpoint, 0});
   }
   job_record& job = jobs[handle];
@@ -270,7 +270,7 @@
   const endpoint_index endpoint = jobs[handle].tasks[index].endpoint;
   EndRun(handle, index, end, now);
   const bool counts_for_health = end == task_end::kDone || end == task_end::kFailed;
-  if (counts_for_health && endpoints.NoteRun(endpoint, end == task_end::kFailed, now)) {
+  if (counts_for_health && endpoints.RecordRun(endpoint, end == task_end::kFailed, now)) {
     timers.push(
         {endpoints[endpoint].health.EjectedUntil(), timer_kind::kEjectionOver, endpoint, 0});
   }
--- a/src/process/decision_reservations.cc
+++ b/src/process/decision_reservations.cc
@@ -111,7 +111,7 @@
   for (endpoint_index endpoint = 0; endpoint < endpoints.Size(); ++endpoint) {
     if (!endpoints.Open().Contains(endpoint)) continue;
     const endpoint_record& e = endpoints[endpoint];
-    const uint32_t most = std::min(count, CountFitting(each, e.FreeInTime()));
+    const uint32_t most = std::min(count, CountFitting(each, e.FreeEventually()));
     if (most == 0) continue;
     const resources lacks = SubtractOrZero(Times(each, most), e.Free());
     candidates.push_back({DominantShare(lacks, e.capacity) / most, {endpoint, most}});
@@ -142,7 +142,7 @@
     const bool stuck =
         slot.stop_due != monotonic_time{} && last_decide >= slot.stop_due + kStopTimeout;
     if (ending && !stuck) room += job.request.each;
-    if (!ending && GivesWay(job.request)) preemptible.push_back(task);
+    if (!ending && IsPreemptible(job.request)) preemptible.push_back(task);
   }
   const auto cheaper = [this](const task_ref& a, const task_ref& b) {
     const job_record& x = jobs[a.job];
@@ -241,7 +241,7 @@
 // them. An estimate may be wrong, so only preemptible jobs are accepted: they are stopped at the
 // preemption time, and the job with the reservation starts no later.
 bool decision_core::impl::Backfill(const job_record& job, monotonic_time now) {
-  if (!GivesWay(job.request)) return false;
+  if (!IsPreemptible(job.request)) return false;
   const std::chrono::milliseconds run =
       estimates.UpperEstimate(job.request.team, job.request.kind, job.request.declared_run_time);
   if (run.count() == 0) return false;
--- a/src/process/decision_rounds.cc
+++ b/src/process/decision_rounds.cc
@@ -79,7 +79,7 @@
       Enqueue(due.subject, false);
       break;
     case timer_kind::kCoolingOver:
-      endpoints.Cool(due.subject, false);
+      endpoints.SetCooling(due.subject, false);
       break;
     case timer_kind::kEjectionOver:
       endpoints.EndEjection(due.subject, now);
@@ -122,7 +122,7 @@
     if (endpoints.CanEverHold(job.request.each, all_at_once ? job.waiting : 1)) return;
     job.failed += job.waiting;
     RemoveWaiting(handle);
-    EndIfOver(handle, refusal_reason::kNeverFits, endpoints.WhyNever(job.request.each));
+    EndIfOver(handle, refusal_reason::kNeverFits, endpoints.ExplainNeverFits(job.request.each));
   });
 }
 
--- a/src/process/gang_policy.cc
+++ b/src/process/gang_policy.cc
@@ -10,7 +10,7 @@
 constexpr uint32_t kProbes = 256;  // candidates probed before the full search
 
 // Assigns as many of the missing tasks to the endpoint as fit. False when none is missing any more.
-bool Fill(const shard_floor& endpoints, const resources& each, endpoint_index endpoint,
+bool Fill(const shard_capacity& endpoints, const resources& each, endpoint_index endpoint,
           uint32_t& missing, std::vector<endpoint_index>& out) {
   const uint32_t here = std::min(missing, CountFitting(each, endpoints[endpoint].Free()));
   out.insert(out.end(), here, endpoint);
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-bool gang_policy::Choose(const shard_floor& endpoints, const job_record& job, uint32_t count,
+bool gang_policy::Choose(const shard_capacity& endpoints, const job_record& job, uint32_t count,
                          std::vector<endpoint_index>& out) const {
   const resources& each = job.request.each;
   const free_index& open = endpoints.Open();
--- a/src/process/interactive_policy.cc
+++ b/src/process/interactive_policy.cc
@@ -10,8 +10,8 @@
 
 }  // namespace
 
-bool interactive_policy::Choose(const shard_floor& endpoints, const job_record& job, uint32_t count,
-                                std::vector<endpoint_index>& out) const {
+bool interactive_policy::Choose(const shard_capacity& endpoints, const job_record& job,
+                                uint32_t count, std::vector<endpoint_index>& out) const {
   if (count != 1) return false;
   const resources& need = job.request.each;
   best_candidate<std::tuple<bool, int, uint32_t>> best;
--- a/src/process/placement_policy.h
+++ b/src/process/placement_policy.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "process/job_table.h"
-#include "process/shard_floor.h"
+#include "process/shard_capacity.h"
 
 namespace catkinford {
 
@@ -15,8 +15,8 @@
 // appends nothing and returns false when they do not all fit now. It has no other effect.
 template <typename policy>
 concept placement_policy =
-    requires(const policy& p, const shard_floor& endpoints, const job_record& job, uint32_t count,
-             std::vector<endpoint_index>& out) {
+    requires(const policy& p, const shard_capacity& endpoints, const job_record& job,
+             uint32_t count, std::vector<endpoint_index>& out) {
       { p.Choose(endpoints, job, count, out) } -> std::same_as<bool>;
     };
 
--- a/src/process/team_table.cc
+++ b/src/process/team_table.cc
@@ -121,7 +121,7 @@
 }
 
 bool team_table::WithinGrant(team_index team, const resources& each, uint32_t count,
-                             const shard_floor& endpoints) const {
+                             const shard_capacity& endpoints) const {
   const team_record* t = Find(team);
   if (t == nullptr || endpoints.UnfencedTasksUnbounded()) return false;
   const resources& unfenced = endpoints.Unfenced();
--- a/src/process/team_table.h
+++ b/src/process/team_table.h
@@ -9,7 +9,7 @@
 
 #include "process/decision_core.h"
 #include "process/free_index.h"
-#include "process/shard_floor.h"
+#include "process/shard_capacity.h"
 #include "process/usage_forecast.h"
 
 namespace catkinford {
@@ -54,7 +54,7 @@
   // is not fenced yet counts as if this team used all of it: a former owner may have started tasks
   // there for any team, and the limit could be exceeded unnoticed.
   bool WithinGrant(team_index team, const resources& each, uint32_t count,
-                   const shard_floor& endpoints) const;
+                   const shard_capacity& endpoints) const;
   // Whether the team is at or below the fraction of the cell that its weight gives it among the
   // teams with running or waiting tasks.
   bool WithinShare(team_index team) const { return !BeyondShare(team, 1.0); }
--- a/test/membership_test.cc
+++ b/test/membership_test.cc
@@ -18,7 +18,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kTick{50};
-constexpr size_t kExchangeBytes = 472;  // of the JSON-RPC library's call and reply without texts
+constexpr size_t kExchangeBytes = 472;  // of a JSON-RPC call and reply without the texts
 constexpr uint64_t kIncarnation = 1764716400123456;  // as long as a real one
 
 // A fleet whose entries send each other heartbeats without delay.
@@ -40,7 +40,7 @@
     uint64_t incarnation = 1;
     std::unique_ptr<membership> members;
     std::vector<member_change> changes;
-    uint64_t beat = 0;
+    uint64_t heartbeat = 0;
     uint64_t config_version = 123456;
     std::string shard;
     uint64_t epoch = 12;
@@ -67,7 +67,7 @@
     if (target != nodes_.end() && target->second.hangs) return;
     const bool reachable =
         target != nodes_.end() && cut_ != nodes_[from].domain && cut_ != target->second.domain;
-    if (!reachable) return NoteSilent(from, to);
+    if (!reachable) return ReportSilent(from, to);
     const bool near = nodes_[from].domain == target->second.domain;
     size_t texts = Deliver(from, *target->second.members);
     if (!near) texts += Deliver(to, *nodes_[from].members);
@@ -75,31 +75,35 @@
     bytes_[to] += texts;
   }
 
-  // As the node does: a refused call is told to the neighbours.
-  void NoteSilent(const std::string& from, const std::string& to) {
+  // As in the node: a refused call is reported to the neighbours.
+  void ReportSilent(const std::string& from, const std::string& to) {
     membership& own = *nodes_[from].members;
     const bool was_up = own.IsUp(to);
     own.OnSilent(to, now_);
     const member* one = own.Find(to);
     if (!was_up || one == nullptr || one->failure_domain != nodes_[from].domain) return;
-    const silent_message silent{to, one->word.incarnation, one->word.beat};
+    const silent_message silent{to, one->status.incarnation, one->status.heartbeat};
     for (const std::string& name : own.LiveNeighbours()) {
       if (nodes_.contains(name)) nodes_[name].members->OnSilent(silent, now_);
     }
   }
 
-  entry_word WordOf(const std::string& name) {
+  entry_status StatusOf(const std::string& name) {
     node& one = nodes_[name];
-    entry_word word{name,       absl::StrCat(name, ":1"), one.incarnation,
-                    ++one.beat, milliseconds{0},          one.config_version};
-    if (!one.shard.empty()) word.shards.push_back({one.shard, one.epoch, 78});
-    return word;
+    entry_status status{name,
+                        absl::StrCat(name, ":1"),
+                        one.incarnation,
+                        ++one.heartbeat,
+                        milliseconds{0},
+                        one.config_version};
+    if (!one.shard.empty()) status.shards.push_back({one.shard, one.epoch, 78});
+    return status;
   }
 
-  // Returns what the text takes on the wire, where each quote is escaped.
+  // Returns the size of the text on the wire, where each quote is escaped.
   size_t Deliver(const std::string& from, membership& to) {
     const std::string text =
-        EncodeBatch(from, {nodes_[from].members->Heartbeat(WordOf(from), now_)});
+        EncodeBatch(from, {nodes_[from].members->Heartbeat(StatusOf(from), now_)});
     const std::vector<peer_message> messages = DecodeBatch(text);
     REQUIRE(messages.size() == 1);
     to.OnHeartbeat(std::get<heartbeat_message>(messages[0].body), now_);
@@ -121,8 +125,8 @@
     }
   }
 
-  // Entries that count `name` as up.
-  int Believers(const std::string& name) const {
+  // Number of entries that see `name` as up.
+  int CountSeenUp(const std::string& name) const {
     return static_cast<int>(std::count_if(nodes_.begin(), nodes_.end(), [&](const auto& item) {
       return item.second.members->IsUp(name);
     }));
@@ -132,7 +136,7 @@
   std::map<std::string, node> nodes_;
   std::vector<instance> list_;
   std::map<std::string, size_t> bytes_;
-  std::string cut_;  // a domain that reaches no other one
+  std::string cut_;  // a domain that can't reach any other
 };
 
 class target_size_fixture : public fleet_fixture {
@@ -142,13 +146,14 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fleet_fixture, "membership, six entries, all know all", "[membership]") {
-  for (const auto& [name, one] : nodes_) CHECK(Believers(name) == 5);
+TEST_CASE_METHOD(fleet_fixture, "membership, six entries, all see each other up", "[membership]") {
+  for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 5);
 }
 
-TEST_CASE_METHOD(target_size_fixture, "membership, 54 entries, all know all within the budget",
+TEST_CASE_METHOD(target_size_fixture,
+                 "membership, 54 entries, all see each other up within the byte budget",
                  "[membership]") {
-  for (const auto& [name, one] : nodes_) CHECK(Believers(name) == 53);
+  for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 53);
   bytes_.clear();
   for (auto& [name, one] : nodes_) one.changes.clear();
   Run(seconds{30});
@@ -160,44 +165,44 @@
   for (const auto& [name, one] : nodes_) CHECK(one.changes.empty());
 }
 
-// An entry dies. Its neighbours must hear of it soon, since one of them takes its shards over and
-// their callers wait; the others only stop sending it requests.
+// An entry is lost. Its neighbours must notice soon, since one of them takes over its shards while
+// callers wait; other entries only stop sending requests to it.
 TEST_CASE_METHOD(target_size_fixture, "membership, entry killed, neighbours notice first",
                  "[membership]") {
   nodes_.erase("d4-e2");
-  // Its predecessor's next call is refused, and the others are told of that.
+  // Its predecessor's next call is refused, which is reported to the other neighbours.
   Run(seconds{1});
   for (int entry = 0; entry < 6; ++entry) {
     if (entry != 2) CHECK_FALSE(nodes_.at(Name(4, entry)).members->IsUp("d4-e2"));
   }
   Run(seconds{23});
-  CHECK(Believers("d4-e2") == 0);
-  CHECK(Believers("d4-e3") == 52);
+  CHECK(CountSeenUp("d4-e2") == 0);
+  CHECK(CountSeenUp("d4-e3") == 52);
 }
 
-// Entries pass on what they have heard. If news got younger on its way, a dead entry would be kept
-// alive by those who tell each other of it.
-TEST_CASE_METHOD(fleet_fixture, "membership, dead entry, is not kept alive by hearsay",
+// Entries forward statuses. If a status became younger on its way, entries would keep a lost one up
+// by forwarding its status to each other.
+TEST_CASE_METHOD(fleet_fixture, "membership, lost entry, is not kept up by forwarded statuses",
                  "[membership]") {
   nodes_.erase("d1-e0");
   Run(seconds{25});
-  CHECK(Believers("d1-e0") == 0);
+  CHECK(CountSeenUp("d1-e0") == 0);
   for (const auto& [name, one] : nodes_) {
     CHECK(one.members->Members().at("d1-e0").state == member_state::kDown);
   }
 }
 
-// An instance is replaced by a new one of the same name. Late news of the old process must not
+// An instance is replaced by a new one of the same name. A late status of the old process must not
 // count for the new one.
 TEST_CASE_METHOD(fleet_fixture, "membership, instance replaced, joins by itself", "[membership]") {
   nodes_.erase("d1-e0");
   Run(seconds{2});
   Add("d1-e0", "d1", kIncarnation + 7);
   Run(seconds{5});
-  CHECK(Believers("d1-e0") == 5);
+  CHECK(CountSeenUp("d1-e0") == 5);
   membership& other = *nodes_.at("d1-e1").members;
   other.OnHeartbeat({"d1", false, {{"d1-e0", "elsewhere:1", 1, 99999, milliseconds{0}}}}, now_);
-  CHECK(other.Members().at("d1-e0").word.incarnation == kIncarnation + 7);
+  CHECK(other.Members().at("d1-e0").status.incarnation == kIncarnation + 7);
   CHECK(other.Members().at("d1-e0").address == "d1-e0:1");
 }
 
@@ -206,10 +211,10 @@
   Add("d2-e9", "d2", kIncarnation);
   list_.pop_back();
   Run(seconds{4});
-  CHECK(Believers("d2-e9") == 6);
+  CHECK(CountSeenUp("d2-e9") == 6);
 }
 
-TEST_CASE_METHOD(fleet_fixture, "membership, entry gone from the list and silent, is forgotten",
+TEST_CASE_METHOD(fleet_fixture, "membership, entry unlisted and silent, is forgotten",
                  "[membership]") {
   nodes_.erase("d1-e0");
   std::erase_if(list_, [](const instance& one) { return one.name == "d1-e0"; });
@@ -217,21 +222,21 @@
   for (const auto& [name, one] : nodes_) CHECK_FALSE(one.members->Members().contains("d1-e0"));
 }
 
-TEST_CASE_METHOD(fleet_fixture, "membership, domain cut off and back, heals by itself",
+TEST_CASE_METHOD(fleet_fixture, "membership, domain cut off and back, recovers by itself",
                  "[membership]") {
   cut_ = "d0";
   Run(seconds{30});
-  CHECK(Believers("d0-e0") == 0);  // a cut domain's entries do not reach each other here either
-  CHECK(Believers("d1-e0") == 3);
+  CHECK(CountSeenUp("d0-e0") == 0);  // entries of a cut domain do not reach each other here either
+  CHECK(CountSeenUp("d1-e0") == 3);
   cut_.clear();
   Run(seconds{10});
-  for (const auto& [name, one] : nodes_) CHECK(Believers(name) == 5);
+  for (const auto& [name, one] : nodes_) CHECK(CountSeenUp(name) == 5);
 }
 
-// The network loses calls to an entry that hangs and refuses none: nothing tells at once. The
-// neighbours notice that its words stop, and that must not take longer than the ring needs.
-TEST_CASE_METHOD(target_size_fixture, "membership, entry hangs, neighbours notice by its silence",
-                 "[membership]") {
+// Calls to an entry that hangs time out instead of being refused, so only the missing heartbeats
+// show it. The neighbours must notice within the time that the ring needs.
+TEST_CASE_METHOD(target_size_fixture,
+                 "membership, entry hangs, neighbours notice missing heartbeats", "[membership]") {
   nodes_.at("d4-e2").hangs = true;
   Run(seconds{8});
   for (int entry = 0; entry < 6; ++entry) {
@@ -239,50 +244,48 @@
   }
 }
 
-// A message is held back by the network and arrives seconds later, when the entry that it tells of
-// is dead, or another owns its shard. Taken as news, it would bring the dead entry back and send
-// requests to the old owner.
-TEST_CASE_METHOD(fleet_fixture, "membership, word of a dead entry arrives late, is no news",
+// A delayed message reports an entry that was lost meanwhile, or whose shard moved. If it were
+// applied, the entry would look up again and get requests for shards that it does not own.
+TEST_CASE_METHOD(fleet_fixture, "membership, status of a lost entry arrives late, is ignored",
                  "[membership]") {
-  const heartbeat_message late = nodes_.at("d1-e1").members->Heartbeat(WordOf("d1-e1"), now_);
+  const heartbeat_message late = nodes_.at("d1-e1").members->Heartbeat(StatusOf("d1-e1"), now_);
   Run(seconds{2});
   nodes_.erase("d1-e0");
   Run(seconds{25});
   membership& other = *nodes_.at("d0-e0").members;
-  const std::vector<std::string> news = other.OnHeartbeat(late, now_);
+  const std::vector<std::string> updated = other.OnHeartbeat(late, now_);
   Run(milliseconds{100});
-  CHECK(news.empty());
+  CHECK(updated.empty());
   CHECK_FALSE(other.IsUp("d1-e0"));
 }
 
-// One neighbour cannot reach an entry that all others reach, and says so to them. What they have
-// heard of the entry since goes before that.
-TEST_CASE_METHOD(target_size_fixture, "membership, entry called silent but heard since, stays up",
+// One neighbour can't reach an entry that all others reach, and reports it silent. A later status
+// of the entry takes precedence over that report.
+TEST_CASE_METHOD(target_size_fixture, "membership, entry reported silent but seen since, is up",
                  "[membership]") {
   membership& other = *nodes_.at("d4-e3").members;
   const member& one = *other.Find("d4-e2");
-  const silent_message early{"d4-e2", one.word.incarnation, one.word.beat - 1};
+  const silent_message early{"d4-e2", one.status.incarnation, one.status.heartbeat - 1};
   CHECK_FALSE(other.OnSilent(early, now_));
-  const silent_message now{"d4-e2", one.word.incarnation, one.word.beat};
+  const silent_message now{"d4-e2", one.status.incarnation, one.status.heartbeat};
   CHECK(other.OnSilent(now, now_));
   Run(seconds{3});
   CHECK(other.IsUp("d4-e2"));
 }
 
-// What an entry says of itself reaches the whole fleet by turns: its configuration version and the
-// epoch of its shard.
-TEST_CASE_METHOD(target_size_fixture, "membership, entry with a new version and epoch, all hear",
+// An entry's configuration version and the epoch of its shard must reach the whole fleet.
+TEST_CASE_METHOD(target_size_fixture, "membership, entry with a new version and epoch, all learn",
                  "[membership]") {
   nodes_.at("d3-e3").config_version = 123457;
   nodes_.at("d3-e3").epoch = 13;
   Run(seconds{20});
   for (const auto& [name, one] : nodes_) {
     if (name == "d3-e3") continue;
-    const entry_word& word = one.members->Find("d3-e3")->word;
-    CHECK(word.config_version == 123457);
-    REQUIRE(word.shards.size() == 1);
-    CHECK(word.shards[0].epoch == 13);
-    CHECK(word.shards[0].shard == nodes_.at("d3-e3").shard);
+    const entry_status& status = one.members->Find("d3-e3")->status;
+    CHECK(status.config_version == 123457);
+    REQUIRE(status.shards.size() == 1);
+    CHECK(status.shards[0].epoch == 13);
+    CHECK(status.shards[0].shard == nodes_.at("d3-e3").shard);
   }
 }
 
--- a/test/shard_fixture.h
+++ b/test/shard_fixture.h
@@ -1,4 +1,4 @@
-// One shard with two endpoints, whose calls the test answers by hand.
+// One shard with two endpoints, whose calls the test answers itself.
 #ifndef CATKINFORD_TEST_SHARD_FIXTURE_H_
 #define CATKINFORD_TEST_SHARD_FIXTURE_H_
 
@@ -66,14 +66,14 @@
 
   void Advance(std::chrono::milliseconds by) { now_ += by; }
 
-  // Lets the shard act and keeps what it wants done.
+  // Lets the shard act and keeps its actions.
   void Act() {
     actions_.clear();
     shard_.Act(now_, actions_);
   }
 
   template <typename Action>
-  std::vector<Action> Taken() const {
+  std::vector<Action> Actions() const {
     std::vector<Action> taken;
     for (const shard_action& action : actions_) {
       if (const auto* one = std::get_if<Action>(&action)) taken.push_back(*one);
@@ -88,20 +88,20 @@
     return reply;
   }
 
-  // Answers every fence under way with `tasks` on ep-0 and nothing on ep-1.
+  // Answers every fence in flight with `tasks` on ep-0 and nothing on ep-1.
   void AnswerFences(const std::vector<task_status>& tasks = {}) {
     Act();
-    for (const fence_action& fence : Taken<fence_action>()) {
+    for (const fence_action& fence : Actions<fence_action>()) {
       endpoint_reply reply = Done();
       if (fence.endpoint == 0) reply.tasks = tasks;
       shard_.OnFence(fence.endpoint, fence.token, reply, now_);
     }
   }
 
-  // The only start that is asked for.
+  // Requires exactly one start action and returns it.
   start_action OneStart() {
     Act();
-    const auto starts = Taken<start_action>();
+    const auto starts = Actions<start_action>();
     REQUIRE(starts.size() == 1);
     return starts[0];
   }
@@ -118,9 +118,9 @@
     shard_.OnStart(start.endpoint, start.token, start.tasks, reply, now_);
   }
 
-  // The sync that is under way at `endpoint` since the last Act().
+  // The sync sent to `endpoint` by the last Act().
   std::optional<sync_action> SyncAt(endpoint_index endpoint) const {
-    for (const sync_action& sync : Taken<sync_action>()) {
+    for (const sync_action& sync : Actions<sync_action>()) {
       if (sync.endpoint == endpoint) return sync;
     }
     return std::nullopt;
--- a/test/shard_test.cc
+++ b/test/shard_test.cc
@@ -23,15 +23,15 @@
   reply.finished.push_back({start.tasks[0].id, 1, task_result::kOk, milliseconds{5}, "booked"});
   shard_.OnSync(start.endpoint, sync->call.epoch, reply, now_);
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].entry == kEntry);
   CHECK(answers[0].result.kind == outcome_kind::kCompleted);
   CHECK(answers[0].result.answer == "booked");
 }
 
-// A caller asks twice for the same booking, through two entries. If both were started, the room
-// would be booked twice.
+// Two entries place the same identity. If both placements were started, the request would run
+// twice.
 TEST_CASE_METHOD(shard_fixture, "shard, identity placed twice, starts once and answers both",
                  "[shard]") {
   AnswerFences();
@@ -39,34 +39,34 @@
   const start_action start = OneStart();
   shard_.Place("entry-b", Place(1), now_);
   Act();
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<start_action>().empty());
   AnswerStart(start, call_result::kStarted);
   Act();
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<start_action>().empty());
 }
 
 // A new owner gets a request that the old owner may have started on an endpoint that does not
-// answer yet. Starting it elsewhere would run it in two places.
-TEST_CASE_METHOD(shard_fixture, "shard, endpoint not listed, holds an identity that may run there",
+// answer yet. Starting it on another endpoint would run it twice.
+TEST_CASE_METHOD(shard_fixture, "shard, endpoint not listed, defers an identity that may run there",
                  "[shard]") {
   shard_.Place(kEntry, Place(1, false), now_);
   Act();
-  CHECK(Taken<start_action>().empty());
-  for (const fence_action& fence : Taken<fence_action>()) {
+  CHECK(Actions<start_action>().empty());
+  for (const fence_action& fence : Actions<fence_action>()) {
     if (fence.endpoint == 1) shard_.OnFence(1, fence.token, Done(), now_);
   }
   Act();
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<start_action>().empty());
   Advance(milliseconds{5001});
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.kind == outcome_kind::kUnknown);
 }
 
-// The old owner had started the request and died. Its caller's entry asks the new owner, which
-// finds it in the endpoint's list: the caller gets the answer of that run, not of a second one.
-TEST_CASE_METHOD(shard_fixture, "shard, identity found in a list, answers from that run",
+// The old owner started the request and was lost. The new owner finds it in an endpoint's listing
+// and must return the answer of that run instead of starting a second one.
+TEST_CASE_METHOD(shard_fixture, "shard, identity found in a listing, answers from that run",
                  "[shard]") {
   task_status listed;
   listed.id = {{1, 1}, 0, 3};
@@ -78,27 +78,27 @@
   AnswerFences({listed});
   shard_.Place(kEntry, Place(1, false), now_);
   Act();
-  CHECK(Taken<start_action>().empty());
-  const auto answers = Taken<answer_action>();
+  CHECK(Actions<start_action>().empty());
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.answer == "booked before");
 }
 
-// The reply to a start is lost. The start may still lie in a buffer of a paused endpoint, so it is
-// neither repeated nor given up before the endpoint has been fenced with a raised token and listed.
-TEST_CASE_METHOD(shard_fixture, "shard, start reply lost, decides by a list under a raised token",
+// The reply to a start is lost. The start may still be in a buffer of a paused endpoint, so it is
+// neither repeated nor given up before the endpoint was fenced with a raised token and listed.
+TEST_CASE_METHOD(shard_fixture, "shard, start reply lost, decides by a listing at a raised token",
                  "[shard]") {
   AnswerFences();
   shard_.Place(kEntry, Place(1), now_);
   const start_action start = OneStart();
   LoseStartReply(start);
   Act();
-  CHECK(Taken<start_action>().empty());
-  const auto fences = Taken<fence_action>();
+  CHECK(Actions<start_action>().empty());
+  const auto fences = Actions<fence_action>();
   REQUIRE(fences.size() == 1);
   CHECK(fences[0].token > start.token);
   CHECK(OwnerEpochOf(fences[0].token) == 7);
-  SECTION("not listed: it never started and never will, and is started anew") {
+  SECTION("not listed: it can't start any more and is started anew") {
     shard_.OnFence(start.endpoint, fences[0].token, Done(), now_);
     const start_action again = OneStart();
     CHECK(again.tasks[0].id.attempt > start.tasks[0].id.attempt);
@@ -112,11 +112,11 @@
     reply.tasks.push_back(running);
     shard_.OnFence(start.endpoint, fences[0].token, reply, now_);
     Act();
-    CHECK(Taken<start_action>().empty());
+    CHECK(Actions<start_action>().empty());
   }
 }
 
-// The endpoint dies with a payment in it that must not be made twice. It may have been made.
+// An endpoint is lost with non-repeatable work, which may have run: it must not be started again.
 TEST_CASE_METHOD(shard_fixture, "shard, endpoint lost with non-repeatable work, answers unknown",
                  "[shard]") {
   AnswerFences();
@@ -135,14 +135,14 @@
   }
   Advance(milliseconds{11001});
   Act();
-  CHECK(Taken<start_action>().empty());
-  const auto answers = Taken<answer_action>();
+  CHECK(Actions<start_action>().empty());
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.kind == outcome_kind::kUnknown);
 }
 
-// Another entry has taken the shard over while this one was paused. The endpoint refuses our
-// epoch, and that refusal is proof that nothing was started by us.
+// Another entry took over the shard while this one was paused. The endpoint rejects our epoch,
+// which proves that this start did not take effect.
 TEST_CASE_METHOD(shard_fixture, "shard, fenced off, gives the shard up", "[shard]") {
   AnswerFences();
   shard_.Place(kEntry, Place(1), now_);
@@ -152,13 +152,13 @@
   reply.epoch = TokenOf(8);
   shard_.OnStart(start.endpoint, start.token, start.tasks, reply, now_);
   Act();
-  const auto superseded = Taken<superseded_action>();
+  const auto superseded = Actions<superseded_action>();
   REQUIRE(superseded.size() == 1);
   CHECK(superseded[0].epoch == 8);
 }
 
-// A batch job is accepted. If it were answered before its record stands in the store, the death of
-// this entry would lose work that a team was told is safe.
+// If a batch job were accepted before its record is in the store, losing this entry would lose the
+// job.
 TEST_CASE_METHOD(shard_fixture, "shard, durable job, is accepted only once recorded", "[shard]") {
   AnswerFences();
   place_message place = Place(1);
@@ -166,75 +166,74 @@
   place.deadline_left = {};
   shard_.Place(kEntry, std::move(place), now_);
   Act();
-  CHECK(Taken<record_action>().size() == 1);
-  CHECK(Taken<answer_action>().empty());
-  CHECK(Taken<start_action>().empty());
+  CHECK(Actions<record_action>().size() == 1);
+  CHECK(Actions<answer_action>().empty());
+  CHECK(Actions<start_action>().empty());
   SECTION("recorded: accepted and started") {
     shard_.OnRecorded({1, 1}, true, now_);
     Act();
-    const auto answers = Taken<answer_action>();
+    const auto answers = Actions<answer_action>();
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].result.kind == outcome_kind::kAccepted);
-    CHECK(Taken<start_action>().size() == 1);
+    CHECK(Actions<start_action>().size() == 1);
   }
   SECTION("not recorded: refused, and never started") {
     shard_.OnRecorded({1, 1}, false, now_);
     Act();
-    const auto answers = Taken<answer_action>();
+    const auto answers = Actions<answer_action>();
     REQUIRE(answers.size() == 1);
     CHECK(answers[0].result.reason == refusal_reason::kNotDurable);
-    CHECK(Taken<start_action>().empty());
+    CHECK(Actions<start_action>().empty());
   }
 }
 
-// The store is out for minutes. A caller that submits batch work is told so while it still waits,
-// and the work is not started later all the same.
-TEST_CASE_METHOD(shard_fixture, "shard, record not taken for long, gives the job up", "[shard]") {
+// While the store is down, the caller of a durable job must be answered while it still waits, and
+// the job must not start later.
+TEST_CASE_METHOD(shard_fixture, "shard, record not accepted in time, gives the job up", "[shard]") {
   AnswerFences();
   place_message place = Place(1);
   place.kind = workload_kind::kBatch;
   place.deadline_left = {};
   shard_.Place(kEntry, std::move(place), now_);
   Act();
-  CHECK(Taken<withdraw_action>().empty());
+  CHECK(Actions<withdraw_action>().empty());
   now_ += seconds{6};
   Act();
-  REQUIRE(Taken<withdraw_action>().size() == 1);
+  REQUIRE(Actions<withdraw_action>().size() == 1);
   shard_.OnRecorded({1, 1}, false, now_);
   Act();
-  REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>()[0].result.reason == refusal_reason::kNotDurable);
+  REQUIRE(Actions<answer_action>().size() == 1);
+  CHECK(Actions<answer_action>()[0].result.reason == refusal_reason::kNotDurable);
   now_ += seconds{6};
   Act();
-  CHECK(Taken<withdraw_action>().empty());
+  CHECK(Actions<withdraw_action>().empty());
 }
 
-// An entry sends a request again while it has no outcome, and that sending is overtaken by the
-// refusal. Its caller has been told that nothing ran, and what comes late must not run; when the
-// caller itself asks anew it is another matter.
-TEST_CASE_METHOD(shard_fixture, "shard, refused and sent again late, does not run", "[shard]") {
+// A repeated placement arrives after the request was rejected. Its caller was told that nothing
+// ran, so it must not run; a new request of the caller with the same identity may.
+TEST_CASE_METHOD(shard_fixture, "shard, rejected and sent again late, does not run", "[shard]") {
   AnswerFences();
   place_message place = Place(1, false);
   place.ask = 5;
   shard_.Place(kEntry, place, now_);
   shard_.Cancel(kEntry, {place.id, place.shard, "", 0}, now_);
   Act();
-  REQUIRE_FALSE(Taken<answer_action>().empty());
-  CHECK(Taken<answer_action>()[0].result.kind == outcome_kind::kRefused);
+  REQUIRE_FALSE(Actions<answer_action>().empty());
+  CHECK(Actions<answer_action>()[0].result.kind == outcome_kind::kRefused);
   Act();
   shard_.Place(kEntry, place, now_);
   Act();
-  CHECK(Taken<start_action>().empty());
-  REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>()[0].result.kind == outcome_kind::kRefused);
+  CHECK(Actions<start_action>().empty());
+  REQUIRE(Actions<answer_action>().size() == 1);
+  CHECK(Actions<answer_action>()[0].result.kind == outcome_kind::kRefused);
   place.ask = 6;
   shard_.Place(kEntry, place, now_);
   OneStart();
 }
 
-// An entry is being stopped and its shard can be handed to nobody. What it has begun is finished;
-// what comes now would keep it from ending and is refused, which is true as nothing was started.
-TEST_CASE_METHOD(shard_fixture, "shard, closed, finishes what it knows and refuses the rest",
+// An owner is stopping and its shard can't be handed over. Requests it knows are finished; new ones
+// would keep it from stopping and are rejected.
+TEST_CASE_METHOD(shard_fixture, "shard, closed, finishes known requests and rejects new ones",
                  "[shard]") {
   AnswerFences();
   shard_.Place(kEntry, Place(1), now_);
@@ -244,15 +243,15 @@
   shard_.Place("entry-b", Place(1, false), now_);
   shard_.Place(kEntry, Place(2), now_);
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.id == request_id{2, 2});
   CHECK(answers[0].result.reason == refusal_reason::kShuttingDown);
   CHECK(shard_.HasCallers());
 }
 
-// A batch task ends while the store is down. Its endpoint must keep the end: else a new owner would
-// find neither a record nor a list entry, and the reconciliation would run a second time.
+// A batch task ends while the store is down. If its endpoint forgot the end, a new owner would find
+// neither a record nor a listing entry and would run the task a second time.
 TEST_CASE_METHOD(shard_fixture, "shard, end not recorded, is not acknowledged to the endpoint",
                  "[shard]") {
   AnswerFences();
@@ -264,7 +263,7 @@
   Act();
   shard_.OnRecorded({1, 1}, true, now_);
   Act();
-  const start_action start = Taken<start_action>().at(0);
+  const start_action start = Actions<start_action>().at(0);
   AnswerStart(start, call_result::kStarted);
   Act();
   endpoint_reply reply = Done();
@@ -284,9 +283,9 @@
   CHECK(SyncAt(start.endpoint)->call.cursor == 1);
 }
 
-// A batch job runs when its shard's owner dies, and its caller cancels it at the next owner before
-// that has heard of every endpoint. Told "cancelled, not run" then, the job would run on.
-TEST_CASE_METHOD(shard_fixture, "shard, restored job cancelled before the lists, is stopped first",
+// A restored job is cancelled before its new owner has listed every endpoint. If "cancelled, not
+// run" were answered then, the job would run on.
+TEST_CASE_METHOD(shard_fixture, "shard, restored job cancelled before listings, is stopped first",
                  "[shard]") {
   restored_job job;
   job.spec = Place(1);
@@ -294,7 +293,7 @@
   job.spec.deadline_left = {};
   shard_.Restore({job}, now_);
   shard_.Cancel(kEntry, {{1, 1}, "sapporo-ch/0", "", 0}, now_);
-  CHECK(Taken<answer_action>().empty());
+  CHECK(Actions<answer_action>().empty());
   task_status running;
   running.id = {{1, 1}, 0, 1};
   running.amount = job.spec.each;
@@ -302,14 +301,14 @@
   running.team = "booking";
   AnswerFences({running});
   Act();
-  CHECK(Taken<answer_action>().empty());
-  REQUIRE(Taken<stop_action>().size() == 1);
-  CHECK(Taken<stop_action>().front().ids == std::vector<task_id>{running.id});
+  CHECK(Actions<answer_action>().empty());
+  REQUIRE(Actions<stop_action>().size() == 1);
+  CHECK(Actions<stop_action>().front().ids == std::vector<task_id>{running.id});
 }
 
-// A job is cancelled and its owner dies before the store has heard of it. The next owner finds the
-// job in its log and runs it, so nobody may have been told until then that it is over.
-TEST_CASE_METHOD(shard_fixture, "shard, cancelled job, is told over once that is recorded",
+// A job is cancelled and its owner is lost before that is recorded. The next owner runs the job
+// from its log, so the end must not be reported before it is recorded.
+TEST_CASE_METHOD(shard_fixture, "shard, cancelled job, is reported over once that is recorded",
                  "[shard]") {
   AnswerFences();
   place_message place = Place(1);
@@ -322,36 +321,36 @@
   shard_.OnRecorded({1, 1}, true, now_);
   shard_.Cancel(kEntry, {{1, 1}, "sapporo-ch/0", "", 0}, now_);
   Act();
-  for (const answer_action& answer : Taken<answer_action>()) {
+  for (const answer_action& answer : Actions<answer_action>()) {
     CHECK(answer.result.kind == outcome_kind::kAccepted);
   }
   shard_.OnEndRecorded({1, 1});
   Act();
-  REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>().front().result.reason == refusal_reason::kCancelled);
+  REQUIRE(Actions<answer_action>().size() == 1);
+  CHECK(Actions<answer_action>().front().result.reason == refusal_reason::kCancelled);
 }
 
-// The last task of a job ends, that is recorded, and the owner dies before its caller has heard.
-// The caller asks the next owner, and must get the answer, or what went wrong, and not an empty
-// one.
-TEST_CASE_METHOD(shard_fixture, "shard, job ended under an earlier owner, is told with its words",
+// The last task of a job ends and is recorded, and the owner is lost before the caller is answered.
+// The next owner must return the recorded answer or fault, not an empty one.
+TEST_CASE_METHOD(shard_fixture,
+                 "shard, job ended under an earlier owner, returns its recorded result",
                  "[shard]") {
   AnswerFences();
-  restored_job well;
-  well.spec = Place(1);
-  well.spec.kind = workload_kind::kBatch;
-  well.spec.tasks = 2;
-  restored_job badly = well;
-  badly.spec.id = {2, 2};
-  well.done = {0, 1};
-  well.answer = "balanced";
-  badly.done = {0};
-  badly.failed = {1};
-  badly.fault = "disk full";
-  shard_.Restore({well, badly}, now_);
-  for (const restored_job& job : {well, badly}) shard_.Place(kEntry, job.spec, now_);
+  restored_job completed;
+  completed.spec = Place(1);
+  completed.spec.kind = workload_kind::kBatch;
+  completed.spec.tasks = 2;
+  restored_job faulty = completed;
+  faulty.spec.id = {2, 2};
+  completed.done = {0, 1};
+  completed.answer = "balanced";
+  faulty.done = {0};
+  faulty.failed = {1};
+  faulty.fault = "disk full";
+  shard_.Restore({completed, faulty}, now_);
+  for (const restored_job& job : {completed, faulty}) shard_.Place(kEntry, job.spec, now_);
   Act();
-  const auto answers = Taken<answer_action>();
+  const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 2);
   CHECK(answers[0].result.kind == outcome_kind::kCompleted);
   CHECK(answers[0].result.answer == "balanced");
