--- a/bench/capacity_entry.cc
+++ b/bench/capacity_entry.cc
@@ -16,8 +16,8 @@
 constexpr double kKeepalivesPerLease = 3;  // process/registration
 constexpr double kOwnerPolls = 1;          // process/ownership: a second, each of two ranges
 constexpr double kGrantPlans = 1.0 / 60;   // process/grant_keeper: of all teams, a second and shard
-constexpr double kConfigReads = 0.2;       // process/config_keeper: a second
-constexpr double kConfigHistory = 2;       // process/history_keeper: on the way to the store
+constexpr double kConfigReads = 0.2;       // process/config_store: a second
+constexpr double kConfigHistory = 2;       // process/config_history_store: on the way to the store
 constexpr double kLedgerCopies = 3;        // process/grant_keeper: in force, pending, text
 constexpr double kEventsPerTask = 8;       // docs/EVENTS.md: a request's way
 
--- a/src/process/history_keeper.h
+++ b/src/process/config_history_store.h
@@ -4,8 +4,8 @@
 // A version is kept before the swap that supersedes it, never after: an entry that dies in between
 // leaves the version in force and listed, and no accepted version can be missing. A text that lost
 // its swap was never in force, is never kept, and so never shows.
-#ifndef CATKINFORD_PROCESS_HISTORY_KEEPER_H_
-#define CATKINFORD_PROCESS_HISTORY_KEEPER_H_
+#ifndef CATKINFORD_PROCESS_CONFIG_HISTORY_STORE_H_
+#define CATKINFORD_PROCESS_CONFIG_HISTORY_STORE_H_
 
 #include <cstdint>
 #include <functional>
@@ -20,63 +20,63 @@
 
 namespace catkinford {
 
-enum class keep_end : uint8_t {
-  kKept,
+enum class save_outcome : uint8_t {
+  kSaved,
   kSuperseded,   // a later version was in force already
   kUnavailable,  // the store did not take it; asking again does no harm
 };
 
-class history_keeper {
+class config_history_store {
  public:
   // Hands a reply over to the core thread; see node::Post.
   using poster = std::function<void(std::function<void(monotonic_time)>)>;
-  using on_kept = std::function<void(keep_end, monotonic_time)>;
+  using on_saved = std::function<void(save_outcome, monotonic_time)>;
   // Absent: the store gave no answer.
   using on_list = std::function<void(std::optional<config_history>, monotonic_time)>;
   // kDone with the text, kAbsent when it is not kept, else kUnavailable.
   using on_text = std::function<void(store_status, std::string, monotonic_time)>;
 
-  history_keeper(store_adapter& store, history_bounds bounds, poster post);
+  config_history_store(store_adapter& store, history_bounds bounds, poster post);
 
   // All results come on the core thread.
-  void Keep(uint64_t version, const std::string& text, on_kept done);
+  void Save(uint64_t version, const std::string& text, on_saved done);
   // This entry has kept it, so that it may be superseded without asking the store again.
-  bool HasKept(uint64_t version) const { return version == kept_; }
+  bool HasSaved(uint64_t version) const { return version == saved_; }
   void List(on_list done);
   void Text(uint64_t version, on_text done);
 
  private:
   // One version on its way into the store.
-  struct open_keep {
+  struct pending_save {
     past_version past;
     std::string text;
-    std::vector<on_kept> done;
+    std::vector<on_saved> done;
     config_history history;
     uint64_t expect = 0;  // revision of the list that `history` was read from
     bool is_new = false;  // the text was not there before
     int tries = 0;
   };
-  using keep_state = std::shared_ptr<open_keep>;
+  using save_handle = std::shared_ptr<pending_save>;
 
   void Swap(const std::string& key, uint64_t expect, const std::optional<std::string>& value,
             std::function<void(const store_reply&, monotonic_time)> done);
-  void ReadHistory(const keep_state& keep);
-  void PutText(const keep_state& keep);
-  void OnHistory(const keep_state& keep, monotonic_time now);
-  void DeleteDropped(const keep_state& keep);
-  void PutHistory(const keep_state& keep);
-  void End(const keep_state& keep, keep_end end, monotonic_time now);
-  void OnSuperseded(const keep_state& keep, monotonic_time now);
-  void OnHistoryReply(const keep_state& keep, const store_reply& reply, monotonic_time now);
+  void ReadHistory(const save_handle& pending);
+  void PutText(const save_handle& pending);
+  void OnHistory(const save_handle& pending, monotonic_time now);
+  void DeleteDropped(const save_handle& pending);
+  void PutHistory(const save_handle& pending);
+  void End(const save_handle& pending, save_outcome end, monotonic_time now);
+  void OnSuperseded(const save_handle& pending, monotonic_time now);
+  void OnHistoryReply(const save_handle& pending, const store_reply& reply, monotonic_time now);
 
   store_adapter& store_;
   history_bounds bounds_;
   poster post_;
-  keep_state under_way_;
+  save_handle in_flight_;
   uint64_t writes_ = 0;  // names each write
-  uint64_t kept_ = 0;    // the highest version that this entry knows to be kept
+  uint64_t saved_ = 0;   // the highest version that this entry knows to be kept
 };
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_HISTORY_KEEPER_H_
+#endif  // CATKINFORD_PROCESS_CONFIG_HISTORY_STORE_H_
--- a/src/process/config_keeper.cc
+++ b/src/process/config_store.cc
@@ -1,4 +1,4 @@
-#include "process/config_keeper.h"
+#include "process/config_store.h"
 
 #include <utility>
 
@@ -13,34 +13,34 @@
 // within a second, but a peer that keeps silent must not hold a version back for long.
 constexpr milliseconds kReadInterval{5000};
 constexpr milliseconds kFirstReadInterval{200};  // until a first version is known
-constexpr milliseconds kRetry{500};
-constexpr int kChangeTries = 4;
+constexpr milliseconds kRetryDelay{500};
+constexpr int kChangeAttempts = 4;
 
 }  // namespace
 
-config_keeper::config_keeper(store_adapter& store, milliseconds key_grace, history_bounds bounds,
-                             poster post, on_version changed)
+config_store::config_store(store_adapter& store, milliseconds key_grace, history_bounds bounds,
+                           poster post, on_version changed)
     : store_(store),
       post_(std::move(post)),
       changed_(std::move(changed)),
       order_(key_grace),
       history_(store, bounds, post_) {}
 
-void config_keeper::Tick(bool is_watcher, monotonic_time now) {
+void config_store::Tick(bool is_watcher, monotonic_time now) {
   if (!reading_ && now >= next_read_) Read(now);
   if (is_watcher && !watching_ && now >= next_watch_) Watch(now);
 }
 
-void config_keeper::Read(monotonic_time now) {
+void config_store::Read(monotonic_time now) {
   reading_ = true;
   next_read_ = now + (order_.Version() == 0 ? kFirstReadInterval : kReadInterval);
   Refresh([this](bool answered, monotonic_time) {
     reading_ = false;
-    store_answers_ = answered;
+    store_up_ = answered;
   });
 }
 
-void config_keeper::Refresh(std::function<void(bool, monotonic_time)> done) {
+void config_store::Refresh(std::function<void(bool, monotonic_time)> done) {
   // A watch that does not wait: the whole document comes only when it is newer than ours.
   store_.Watch(kConfigKey, order_.Version(), milliseconds{0},
                [this, done = std::move(done)](store_reply reply) mutable {
@@ -55,14 +55,14 @@
                });
 }
 
-void config_keeper::Watch(monotonic_time now) {
+void config_store::Watch(monotonic_time now) {
   watching_ = true;
   next_watch_ = now + milliseconds{20};
   store_.Watch(kConfigKey, watched_, kWatchWait, [this](store_reply reply) {
     post_([this, reply = std::move(reply)](monotonic_time at) {
       watching_ = false;
       if (reply.status != store_status::kDone) {
-        next_watch_ = at + kRetry;
+        next_watch_ = at + kRetryDelay;
         return;
       }
       for (const store_item& item : reply.items) {
@@ -74,13 +74,13 @@
   });
 }
 
-void config_keeper::OnItem(const store_item& item, monotonic_time now) {
+void config_store::OnItem(const store_item& item, monotonic_time now) {
   Offer(item.revision, item.value, version_origin::kStore, now);
   order_.Confirm(item.revision, now);
 }
 
-void config_keeper::Offer(uint64_t version, const std::string& text, version_origin origin,
-                          monotonic_time now) {
+void config_store::Offer(uint64_t version, const std::string& text, version_origin origin,
+                         monotonic_time now) {
   // The watch may bring our own change before the reply to it: taken for another's, nobody would
   // tell the peers of it.
   const bool is_ours = own_writes_.contains(SignatureOf(text).write_id);
@@ -90,13 +90,13 @@
 
 // The next change then finds its predecessor kept, and costs one write between the operator and the
 // version in force. Whether this one succeeds does not matter: the next change makes sure.
-void config_keeper::KeepAhead(uint64_t version, const std::string& text) {
-  history_.Keep(version, text, [](keep_end, monotonic_time) {});
+void config_store::SaveCurrent(uint64_t version, const std::string& text) {
+  history_.Save(version, text, [](save_outcome, monotonic_time) {});
 }
 
-void config_keeper::Change(uint64_t expect, const std::string& text,
-                           const config_signature& signature,
-                           std::function<void(change_result, monotonic_time)> done) {
+void config_store::Change(uint64_t expect, const std::string& text,
+                          const config_signature& signature,
+                          std::function<void(change_result, monotonic_time)> done) {
   // What was read from an entry still carries the signature of its last writer.
   const std::string signed_text = SignConfiguration(WithoutSignature(text), signature);
   own_writes_.insert(signature.write_id);
@@ -106,41 +106,41 @@
     done(result, now);
   };
   if (expect <= order_.Version()) {
-    KeepAndSend(expect, signed_text, signature.write_id, std::move(done));
+    SaveAndSend(expect, signed_text, signature.write_id, std::move(done));
     return;
   }
   // The operator read it from another entry, which is ahead of this one.
   Refresh([this, expect, signed_text, write_id = signature.write_id, done = std::move(done)](
               bool answered, monotonic_time now) mutable {
     if (!answered) {
-      done({change_end::kUnavailable, 0, {}}, now);
+      done({change_outcome::kUnavailable, 0, {}}, now);
       return;
     }
-    KeepAndSend(expect, signed_text, write_id, std::move(done));
+    SaveAndSend(expect, signed_text, write_id, std::move(done));
   });
 }
 
 // An expected version that is not the one in force loses its swap, and there is nothing to keep.
-void config_keeper::KeepAndSend(uint64_t expect, const std::string& text,
-                                const std::string& write_id,
-                                std::function<void(change_result, monotonic_time)> done) {
-  if (expect == 0 || expect != order_.Version() || history_.HasKept(expect)) {
-    SendChange(expect, text, write_id, kChangeTries, std::move(done));
+void config_store::SaveAndSend(uint64_t expect, const std::string& text,
+                               const std::string& write_id,
+                               std::function<void(change_result, monotonic_time)> done) {
+  if (expect == 0 || expect != order_.Version() || history_.HasSaved(expect)) {
+    SendChange(expect, text, write_id, kChangeAttempts, std::move(done));
     return;
   }
-  history_.Keep(expect, order_.Text(),
-                [this, expect, text, write_id, done = std::move(done)](keep_end end,
+  history_.Save(expect, order_.Text(),
+                [this, expect, text, write_id, done = std::move(done)](save_outcome end,
                                                                        monotonic_time now) mutable {
-                  if (end == keep_end::kUnavailable) {
-                    done({change_end::kUnavailable, 0, {}}, now);
+                  if (end == save_outcome::kUnavailable) {
+                    done({change_outcome::kUnavailable, 0, {}}, now);
                     return;
                   }
                   // A superseded version loses its swap, whose answer tells what stands there.
-                  SendChange(expect, text, write_id, kChangeTries, std::move(done));
+                  SendChange(expect, text, write_id, kChangeAttempts, std::move(done));
                 });
 }
 
-void config_keeper::History(
+void config_store::History(
     std::function<void(std::optional<std::vector<past_version>>, monotonic_time)> done) {
   // First the version in force, then the list: one that is superseded in between is in the list.
   Refresh([this, done = std::move(done)](bool answered, monotonic_time now) mutable {
@@ -165,7 +165,8 @@
   });
 }
 
-void config_keeper::TextOf(uint64_t version, history_keeper::on_text done, monotonic_time now) {
+void config_store::TextOf(uint64_t version, config_history_store::on_text done,
+                          monotonic_time now) {
   if (version == order_.Version() && version != 0) {
     done(store_status::kDone, order_.Text(), now);
     return;
@@ -173,9 +174,8 @@
   history_.Text(version, std::move(done));
 }
 
-void config_keeper::SendChange(uint64_t expect, const std::string& text,
-                               const std::string& write_id, int tries,
-                               std::function<void(change_result, monotonic_time)> done) {
+void config_store::SendChange(uint64_t expect, const std::string& text, const std::string& write_id,
+                              int tries, std::function<void(change_result, monotonic_time)> done) {
   auto on_reply = [this, expect, text, write_id, tries,
                    done = std::move(done)](store_reply reply) mutable {
     post_([this, expect, text, write_id, tries, done = std::move(done),
@@ -188,38 +188,38 @@
 
 // A lost reply is followed by the same swap once more: it can only take effect once, and what then
 // stands there tells whether it was ours.
-void config_keeper::OnChangeReply(const store_reply& reply, uint64_t expect,
-                                  const std::string& text, const std::string& write_id, int tries,
-                                  std::function<void(change_result, monotonic_time)> done,
-                                  monotonic_time now) {
-  const bool was_lost = tries < kChangeTries;
+void config_store::OnChangeReply(const store_reply& reply, uint64_t expect, const std::string& text,
+                                 const std::string& write_id, int tries,
+                                 std::function<void(change_result, monotonic_time)> done,
+                                 monotonic_time now) {
+  const bool was_lost = tries < kChangeAttempts;
   if (reply.status == store_status::kDone) {
     Offer(reply.revision, text, version_origin::kStore, now);
-    KeepAhead(reply.revision, text);
-    done({change_end::kDone, reply.revision, {}}, now);
+    SaveCurrent(reply.revision, text);
+    done({change_outcome::kDone, reply.revision, {}}, now);
     return;
   }
   if (reply.status == store_status::kConflict) {
-    const store_item standing = reply.items.empty() ? store_item{} : reply.items.front();
-    if (!standing.value.empty()) OnItem(standing, now);
-    if (standing.value == text) {
-      KeepAhead(standing.revision, text);
-      done({change_end::kDone, standing.revision, {}}, now);
+    const store_item stored = reply.items.empty() ? store_item{} : reply.items.front();
+    if (!stored.value.empty()) OnItem(stored, now);
+    if (stored.value == text) {
+      SaveCurrent(stored.revision, text);
+      done({change_outcome::kDone, stored.revision, {}}, now);
       return;
     }
     // After a lost reply the standing value may have been written over ours.
-    done({was_lost ? change_end::kUnknown : change_end::kConflict, standing.revision,
-          standing.value},
+    done({was_lost ? change_outcome::kUnknown : change_outcome::kConflict, stored.revision,
+          stored.value},
          now);
     return;
   }
   if (tries <= 1) {
-    const bool surely_not = reply.status == store_status::kUnavailable && !was_lost;
-    done({surely_not ? change_end::kUnavailable : change_end::kUnknown, 0, {}}, now);
+    const bool undelivered = reply.status == store_status::kUnavailable && !was_lost;
+    done({undelivered ? change_outcome::kUnavailable : change_outcome::kUnknown, 0, {}}, now);
     return;
   }
   if (reply.status == store_status::kUnavailable && !was_lost) {
-    done({change_end::kUnavailable, 0, {}}, now);
+    done({change_outcome::kUnavailable, 0, {}}, now);
     return;
   }
   SendChange(expect, text, write_id, tries - 1, std::move(done));
--- a/src/process/config_keeper.h
+++ b/src/process/config_store.h
@@ -1,7 +1,7 @@
 // The configuration at this entry: read from the store, watched by one entry of each failure
 // domain, passed on between peers, changed by compare-and-swap.
-#ifndef CATKINFORD_PROCESS_CONFIG_KEEPER_H_
-#define CATKINFORD_PROCESS_CONFIG_KEEPER_H_
+#ifndef CATKINFORD_PROCESS_CONFIG_STORE_H_
+#define CATKINFORD_PROCESS_CONFIG_STORE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -13,33 +13,33 @@
 #include <vector>
 
 #include "connection/store_adapter.h"
-#include "process/history_keeper.h"
+#include "process/config_history_store.h"
 #include "version/config_signature.h"
 #include "version/version_order.h"
 
 namespace catkinford {
 
 // How a change ended at the store.
-enum class change_end : uint8_t { kDone, kConflict, kUnavailable, kUnknown };
+enum class change_outcome : uint8_t { kDone, kConflict, kUnavailable, kUnknown };
 
 // Where a new version came from.
 enum class version_origin : uint8_t { kOwnChange, kStore, kPeer };
 
 struct change_result {
-  change_end end = change_end::kUnknown;
+  change_outcome end = change_outcome::kUnknown;
   uint64_t version = 0;  // of the change, or of what stands there for a conflict
   std::string text;      // what stands there, for a conflict
 };
 
-class config_keeper {
+class config_store {
  public:
   // Hands a reply over to the core thread; see node::Post.
   using poster = std::function<void(std::function<void(monotonic_time)>)>;
   // A new version is in force here.
   using on_version = std::function<void(version_origin, monotonic_time)>;
 
-  config_keeper(store_adapter& store, std::chrono::milliseconds key_grace, history_bounds bounds,
-                poster post, on_version changed);
+  config_store(store_adapter& store, std::chrono::milliseconds key_grace, history_bounds bounds,
+               poster post, on_version changed);
 
   // `is_watcher`: this entry holds the watch of its failure domain.
   void Tick(bool is_watcher, monotonic_time now);
@@ -54,8 +54,8 @@
   // What is kept and what is in force, oldest first, as the store has it now; absent: no answer.
   void History(std::function<void(std::optional<std::vector<past_version>>, monotonic_time)> done);
   // The text of a version that is in force or kept.
-  void TextOf(uint64_t version, history_keeper::on_text done, monotonic_time now);
-  bool StoreAnswers() const { return store_answers_; }
+  void TextOf(uint64_t version, config_history_store::on_text done, monotonic_time now);
+  bool IsStoreUp() const { return store_up_; }
 
  private:
   // Asks the store for what is newer than our version; `done` hears whether it answered.
@@ -63,11 +63,11 @@
   void Read(monotonic_time now);
   void Watch(monotonic_time now);
   void OnItem(const store_item& item, monotonic_time now);
-  void KeepAhead(uint64_t version, const std::string& text);
+  void SaveCurrent(uint64_t version, const std::string& text);
   void OnChangeReply(const store_reply& reply, uint64_t expect, const std::string& text,
                      const std::string& write_id, int tries,
                      std::function<void(change_result, monotonic_time)> done, monotonic_time now);
-  void KeepAndSend(uint64_t expect, const std::string& text, const std::string& write_id,
+  void SaveAndSend(uint64_t expect, const std::string& text, const std::string& write_id,
                    std::function<void(change_result, monotonic_time)> done);
   void SendChange(uint64_t expect, const std::string& text, const std::string& write_id, int tries,
                   std::function<void(change_result, monotonic_time)> done);
@@ -76,11 +76,11 @@
   poster post_;
   on_version changed_;
   version_order order_;
-  history_keeper history_;
+  config_history_store history_;
   std::set<std::string> own_writes_;  // of changes that are under way here
   bool reading_ = false;
   bool watching_ = false;
-  bool store_answers_ = false;
+  bool store_up_ = false;
   uint64_t watched_ = 0;  // revision after which the watch asks
   monotonic_time next_read_{};
   monotonic_time next_watch_{};
@@ -88,4 +88,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_PROCESS_CONFIG_KEEPER_H_
+#endif  // CATKINFORD_PROCESS_CONFIG_STORE_H_
--- a/src/process/node.cc
+++ b/src/process/node.cc
@@ -12,7 +12,7 @@
 using std::chrono::steady_clock;
 
 constexpr size_t kRingSize = 65536;
-constexpr milliseconds kLongestSleep{50};
+constexpr milliseconds kMaxSleep{50};
 constexpr milliseconds kOwnershipTick{25};
 constexpr milliseconds kGaugeInterval{1000};
 constexpr milliseconds kPeerCallTimeout{500};
@@ -109,7 +109,7 @@
           [this](const std::string& peer, transfer_status status, std::vector<message_body> lost) {
             OnSendFailed(peer, status, std::move(lost));
           },
-          [this] { return Reply(); }),
+          [this] { return HeartbeatReply(); }),
       front_(FrontOptions(config_),
              [this](http_server::token token, http_request request) {
                OnHttp(token, std::move(request));
@@ -125,14 +125,14 @@
       grants_(store_, [this](core_task task) { Post(std::move(task)); }),
       members_(MembershipOptions(config_, incarnation_)),
       usage_(UsageOptions(config_, incarnation_)),
-      turns_(config_.name, config_.timing.instance_poll),
+      instance_polling_(config_.name, config_.timing.instance_poll),
       jobs_(
           config_.name,
           [this](const store_request& call, std::function<void(store_reply, monotonic_time)> done) {
             SendStoreRequest(call, std::move(done));
           }),
-      lives_(config_.name, [this](const store_request& call,
-                                  std::function<void(store_reply, monotonic_time)> done) {
+      incarnations_(config_.name, [this](const store_request& call,
+                                         std::function<void(store_reply, monotonic_time)> done) {
         SendStoreRequest(call, std::move(done));
       }) {}
 
@@ -188,12 +188,12 @@
     log_.Emit(event_code::kShutdownBegun, now, {}, 0, config_.name);
     for (auto& [domain, open] : evacuations_) {
       open.work.Stop("this entry is leaving");
-      LoseEvacuated(open, now);
+      RemoveEvacuatedShards(open, now);
     }
     Announce(now);
     ownership_actions actions;
     ownership_.Release(now, actions);
-    TakeOwnership(actions, now);
+    ApplyOwnershipActions(actions, now);
   });
 }
 
@@ -212,7 +212,7 @@
     const monotonic_time before = steady_clock::now();
     const auto wait = std::chrono::ceil<milliseconds>(NextWake(before) - before);
     tasks.clear();
-    if (!ring_.PopAll(tasks, std::clamp(wait, milliseconds{0}, kLongestSleep))) break;
+    if (!ring_.PopAll(tasks, std::clamp(wait, milliseconds{0}, kMaxSleep))) break;
     const monotonic_time now = steady_clock::now();
     for (core_task& task : tasks) task(now);
     Tick(now);
@@ -222,7 +222,7 @@
 }
 
 monotonic_time node::NextWake(monotonic_time now) const {
-  monotonic_time wake = std::min(now + kLongestSleep, table_.NextWake());
+  monotonic_time wake = std::min(now + kMaxSleep, table_.NextWake());
   for (const auto& [number, held] : shards_) wake = std::min(wake, held->NextWake());
   return wake;
 }
@@ -232,18 +232,18 @@
     next_ownership_tick_ = now + kOwnershipTick;
     ownership_actions actions;
     ownership_.Tick(now, actions);
-    TakeOwnership(actions, now);
+    ApplyOwnershipActions(actions, now);
     versions_.Tick(IsWatcher(config_.name, members_.LiveNeighbours()), now);
     PollInstances(now);
     TickMembers(now);
     TickStatus(now);
     TickEvacuations(now);
-    FollowOwners(now);
+    NotifyNewOwners(now);
   }
   OpenShards(now);
   for (auto& [number, held] : shards_) {
     jobs_.TakeNotices(number, *held, now);
-    lives_.Tick(*held, now);
+    incarnations_.Tick(*held, now);
   }
   std::vector<shard*> owned;
   owned.reserve(shards_.size());
@@ -251,13 +251,13 @@
   grants_.Tick(owned, versions_.Order().Config(), now);
   table_actions due;
   table_.Tick(now, due);
-  TakeTable(std::move(due), now);
-  RetryEarlyServices(now);
+  ApplyTableActions(std::move(due), now);
+  RetryDeferredServices(now);
   // Messages to ourselves and what the shards make of them, until nothing new comes.
   do {
     DeliverLocal(now);
-    ActShards(now);
-  } while (!local_.empty());
+    RunShardActions(now);
+  } while (!local_messages_.empty());
   // Records that the shards asked for just now. Left to the next round of the loop, each would wait
   // for up to its longest sleep.
   OpenShards(now);
@@ -276,7 +276,7 @@
 
 void node::Send(const std::string& entry, message_body body, monotonic_time now) {
   if (entry == config_.name) {
-    local_.push_back(std::move(body));
+    local_messages_.push_back(std::move(body));
     return;
   }
   const place_message* place = std::get_if<place_message>(&body);
@@ -287,7 +287,7 @@
 }
 
 void node::DeliverLocal(monotonic_time now) {
-  std::vector<message_body> messages = std::exchange(local_, {});
+  std::vector<message_body> messages = std::exchange(local_messages_, {});
   for (message_body& body : messages) OnMessage(config_.name, std::move(body), now);
 }
 
@@ -314,7 +314,7 @@
 void node::OnMessage(const std::string& from, message_body body, monotonic_time now) {
   if (auto* place = std::get_if<place_message>(&body)) {
     if (shard* to = FindShard(place->shard)) {
-      TakePlace(from, *to, std::move(*place), now);
+      OnPlace(from, *to, std::move(*place), now);
     } else {
       // Not ours (any more): this owner has not started it and will not, but an earlier send may
       // have reached another owner, so nothing is said of the request itself.
@@ -335,10 +335,10 @@
     OnHeartbeat(from, *beat, now);
   } else if (const auto* config = std::get_if<config_message>(&body)) {
     versions_.Offer(config->version, config->text, version_origin::kPeer, now);
-    SayVersion(from, now);
+    ConfirmVersion(from, now);
   } else if (const auto* message = std::get_if<config_step_message>(&body)) {
-    OnStep(message->step, now);
-    SayVersion(from, now);
+    OnVersionStep(message->step, now);
+    ConfirmVersion(from, now);
   } else if (const auto* ask = std::get_if<ask_owner_message>(&body)) {
     const owner_answer holds = ownership_.OnAsked(ask->shard, now);
     Send(from, owner_alive_message{ask->shard, holds.holds}, now);
@@ -350,7 +350,7 @@
   } else if (const auto* usage = std::get_if<usage_message>(&body)) {
     usage_.OnUsage(from, *usage, now);
   } else if (const auto* instances = std::get_if<instances_message>(&body)) {
-    if (turns_.OnMessage(from, *instances, now)) TakeInstances(now);
+    if (instance_polling_.OnMessage(from, *instances, now)) ApplyInstanceList(now);
   } else if (const auto* silent = std::get_if<silent_message>(&body)) {
     OnSilent(*silent, now);
   } else if (const auto* wrong = std::get_if<not_owner_message>(&body)) {
@@ -384,7 +384,7 @@
   metrics_.config_version.Set(static_cast<double>(versions_.Order().Version()));
   metrics_.peers_up.Set(static_cast<double>(up));
   metrics_.peers_down.Set(static_cast<double>(members_.Members().size() - up));
-  const bool store_up = versions_.StoreAnswers();
+  const bool store_up = versions_.IsStoreUp();
   metrics_.store_up.Set(store_up ? 1 : 0);
   metrics_.keys_trusted.Set(versions_.Order().KeysTrusted(now) ? 1 : 0);
   metrics_.ready.Set(IsReady() ? 1 : 0);
@@ -396,7 +396,7 @@
 }
 
 bool node::IsReady() const {
-  return !shutting_down_ && turns_.HasList() && versions_.Order().Version() > 0;
+  return !shutting_down_ && instance_polling_.HasList() && versions_.Order().Version() > 0;
 }
 
 // A request in flight is one whose caller still waits, here or at another entry: it keeps the
@@ -404,17 +404,17 @@
 // do not: a store that stays out would hold up every stop until the limit. Their endpoints' work
 // goes on under its leases, until those lapse or a later owner lists it.
 void node::CheckShutdown(monotonic_time now) {
-  const bool stranded = ownership_.CannotHandOver(now);
+  const bool cannot_hand_over = ownership_.CannotHandOver(now);
   bool have_callers = table_.Pending() > 0 || front_.Waiting() > 0;
   for (const auto& [number, held] : shards_) {
-    if (stranded) held->Close();
-    have_callers = have_callers || (stranded && held->HasCallers());
+    if (cannot_hand_over) held->Close();
+    have_callers = have_callers || (cannot_hand_over && held->HasCallers());
   }
   const bool handed_over = ownership_.Released() && shards_.empty();
-  const bool is_free = !have_callers && (handed_over || stranded);
-  if (!is_free && now < shutdown_deadline_) return;
+  const bool can_end = !have_callers && (handed_over || cannot_hand_over);
+  if (!can_end && now < shutdown_deadline_) return;
   const char* how = "the limit passed";
-  if (is_free) how = handed_over ? "nothing was cut off" : "no request was cut off; no heir";
+  if (can_end) how = handed_over ? "nothing was cut off" : "no request was cut off; no heir";
   log_.Emit(event_code::kShutdownDone, now, {}, 0, config_.name, how);
   done_ = true;
 }
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -26,7 +26,7 @@
 #include "connection/http_server.h"
 #include "connection/instance_adapter.h"
 #include "connection/store_adapter.h"
-#include "process/config_keeper.h"
+#include "process/config_store.h"
 #include "process/evacuation.h"
 #include "process/event_log.h"
 #include "process/gone_endpoints.h"
@@ -75,25 +75,25 @@
   using core_task = std::function<void(monotonic_time)>;
 
   // What this entry remembers of another one besides what the membership knows.
-  struct peer_notes {
+  struct peer_state {
     uint64_t incarnation = 0;
-    uint64_t config_sent = 0;      // the last version that it was sent
-    monotonic_time lags_since{};   // has an older configuration than we
-    monotonic_time next_config{};  // when it may be sent the configuration again
+    uint64_t config_sent = 0;           // the last version that it was sent
+    monotonic_time lagging_since{};     // has an older configuration than we
+    monotonic_time next_config_send{};  // when it may be sent the configuration again
   };
   // A status question that waits for answers of owners.
   struct open_status {
     http_server::token token = 0;
     std::string team;  // of the caller; empty for an operator
     request_id id;
-    job_status heard;
-    monotonic_time give_up{};
+    job_status status;
+    monotonic_time deadline{};
     monotonic_time wait_until{};
-    monotonic_time next_ask{};
+    monotonic_time next_poll{};
     bool cancel = false;  // cancel it once it is found
   };
   // A service that came before this entry had heard of every failure domain.
-  struct early_service {
+  struct deferred_service {
     std::string from;
     place_message place;
   };
@@ -101,18 +101,18 @@
   struct open_change {
     std::optional<http_server::token> token;  // absent: made by the entry itself
     uint64_t version = 0;                     // zero until the store has taken it
-    monotonic_time give_up{};
+    monotonic_time deadline{};
     std::vector<std::string> warnings;
     // What the entry does to whatever version is in force; false when nothing is left to do. Absent
     // where the operator sent a whole document.
     std::function<bool(configuration&)> edit;
     std::string by;
-    int tries = 0;
+    int attempts_left = 0;
   };
   // A cancel whose outcome comes from the owner.
   struct open_cancel {
     http_server::token token = 0;
-    monotonic_time give_up{};
+    monotonic_time deadline{};
   };
   // A failure domain that an operator has given up.
   struct open_evacuation {
@@ -120,7 +120,7 @@
     std::vector<open_cancel> waiting;  // operators
     monotonic_time next_move{};
     std::vector<uint32_t> numbers;  // of its shards here
-    bool told = false;
+    bool begin_logged = false;
   };
 
   // node.cc: the loop, ticks, peers.
@@ -135,23 +135,23 @@
   void Send(const std::string& entry, message_body body, monotonic_time now);
   void DeliverLocal(monotonic_time now);
   void OnHeartbeat(const std::string& from, const heartbeat_message& beat, monotonic_time now);
-  void OnWord(const member& of, monotonic_time now);
+  void OnEntryStatus(const member& of, monotonic_time now);
   void OnSilent(const std::string& peer, monotonic_time now);
   void OnSilent(const silent_message& silent, monotonic_time now);
   void SendHeartbeats(monotonic_time now);
   // To every other entry, at once: who owns what, that we leave. By turns they would hear of it
   // many seconds later.
   void Announce(monotonic_time now);
-  entry_word OwnWord();
-  void PrepareReply(monotonic_time now);
-  std::optional<heartbeat_message> Reply();
-  void FollowMembers(monotonic_time now);
+  entry_word OwnStatus();
+  void PrepareHeartbeatReply(monotonic_time now);
+  std::optional<heartbeat_message> HeartbeatReply();
+  void UpdatePeers(monotonic_time now);
   void TickMembers(monotonic_time now);
-  void TakeChanges(monotonic_time now);
+  void ApplyMemberChanges(monotonic_time now);
   usage_view UsageView() const;
   void PollInstances(monotonic_time now);
   void OnInstances(const instance_reply& reply, monotonic_time now);
-  void TakeInstances(monotonic_time now);
+  void ApplyInstanceList(monotonic_time now);
   void UpdateGauges(monotonic_time now);
   // node_metrics.cc: what is counted, and events about it.
   void UpdateCounters(monotonic_time now);
@@ -165,74 +165,74 @@
 
   // node_config.cc: versions and their spread.
   void OnVersion(version_origin origin, monotonic_time now);
-  void OnStep(const version_step& step, monotonic_time now);
+  void OnVersionStep(const version_step& step, monotonic_time now);
   // Sends a peer that has `known` what is in force here.
   void SendVersion(const member& to, uint64_t known, monotonic_time now);
-  void HelpLagging(const member& other, monotonic_time now);
-  std::chrono::milliseconds HelpDelay(const member& other) const;
+  void ResendToLagging(const member& other, monotonic_time now);
+  std::chrono::milliseconds ResendDelay(const member& other) const;
   // Whoever sends a version waits to hear that it is in force here.
-  void SayVersion(const std::string& to, monotonic_time now);
+  void ConfirmVersion(const std::string& to, monotonic_time now);
   void CheckChanges(monotonic_time now);
   void OnChanged(uint64_t change, const change_result& result, monotonic_time now);
   void Respond(const open_change& open, http_response response);
-  std::chrono::milliseconds GiveUpOfChange() const;
+  std::chrono::milliseconds ChangeTimeout() const;
   // `next` is what `text` says.
-  void MakeChange(uint64_t change, uint64_t expect, const std::string& text,
-                  const configuration& next);
+  void SubmitChange(uint64_t change, uint64_t expect, const std::string& text,
+                    const configuration& next);
 
   // node_drains.cc: endpoints that operators drain.
   void SetDrained(http_server::token token, const std::string& key, const drain_call& call,
                   monotonic_time now);
-  void ForgetDrains(monotonic_time now);
+  void RemoveStaleDrains(monotonic_time now);
   void EditConfig(open_change open, monotonic_time now);
-  void MakeEdit(uint64_t change, monotonic_time now);
+  void SubmitEdit(uint64_t change, monotonic_time now);
 
   // node_shards.cc: ownership, shards, their actions.
-  void TakeOwnership(const ownership_actions& actions, monotonic_time now);
+  void ApplyOwnershipActions(const ownership_actions& actions, monotonic_time now);
   void SendStoreRequest(const store_request& call,
                         std::function<void(store_reply, monotonic_time)> done);
   void OnOwnershipEvent(const ownership_event& event, monotonic_time now);
   void OpenShards(monotonic_time now);
-  void GainShard(opened_log log, monotonic_time now);
-  void LoseShard(uint32_t number, monotonic_time now);
-  void GiveEndpoints(shard& to, monotonic_time now);
-  void ShareUsage(monotonic_time now);
-  void ActShards(monotonic_time now);
+  void AddShard(opened_log log, monotonic_time now);
+  void RemoveShard(uint32_t number, monotonic_time now);
+  void AssignEndpoints(shard& to, monotonic_time now);
+  void PropagateUsage(monotonic_time now);
+  void RunShardActions(monotonic_time now);
   void TakeShardActions(uint32_t number, shard& from, std::vector<shard_action> actions,
                         monotonic_time now);
-  void Do(uint32_t number, shard& from, const fence_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const sync_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const start_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const stop_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, answer_action action, monotonic_time now);
-  void Do(uint32_t number, shard& from, status_action action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const record_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const part_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, part_answer_action action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const withdraw_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const complete_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, const superseded_action& action, monotonic_time now);
-  void Do(uint32_t number, shard& from, event_action action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const fence_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const sync_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const start_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const stop_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, answer_action action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, status_action action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const record_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const part_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, part_answer_action action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const withdraw_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const complete_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, const superseded_action& action, monotonic_time now);
+  void Execute(uint32_t number, shard& from, event_action action, monotonic_time now);
   // The shard under this number if we still own it under this epoch, else null: a late answer for
   // an earlier ownership must not reach the present one.
-  shard* Held(uint32_t number, uint64_t epoch);
+  shard* FindOwnedShard(uint32_t number, uint64_t epoch);
   shard* FindShard(const std::string& name);
 
   // node_services.cc: services that are spread over failure domains.
-  void TakePlace(const std::string& from, shard& to, place_message place, monotonic_time now);
-  void RetryEarlyServices(monotonic_time now);
-  void FollowOwners(monotonic_time now);
+  void OnPlace(const std::string& from, shard& to, place_message place, monotonic_time now);
+  void RetryDeferredServices(monotonic_time now);
+  void NotifyNewOwners(monotonic_time now);
   void PlacePart(uint32_t number, shard& from, const part_call& call, monotonic_time now);
 
   // node_evacuate.cc: shards of lost failure domains.
-  std::string AliveIn(const std::string& domain, monotonic_time now) const;
+  std::string FindLiveEntry(const std::string& domain, monotonic_time now) const;
   void TickEvacuations(monotonic_time now);
-  void TakeEvacuated(open_evacuation& open, monotonic_time now);
-  void LoseEvacuated(open_evacuation& open, monotonic_time now);
-  void MoveEvacuated(open_evacuation& open, monotonic_time now);
+  void AddEvacuatedShards(open_evacuation& open, monotonic_time now);
+  void RemoveEvacuatedShards(open_evacuation& open, monotonic_time now);
+  void MoveEvacuatedJobs(open_evacuation& open, monotonic_time now);
   void AnswerEvacuation(open_evacuation& open, monotonic_time now);
   std::string EvacuationText(const open_evacuation& open, monotonic_time now) const;
-  std::string NameOf(uint32_t number) const;
+  std::string ShardNameOf(uint32_t number) const;
   bool MayActFor(uint32_t number) const;
 
   // node_calls.cc: callers and operators.
@@ -266,14 +266,14 @@
               monotonic_time now);
   void Handle(http_server::token token, const std::string& key, const metrics_call& call,
               monotonic_time now);
-  bool IsOperator(http_server::token token, const std::string& key, monotonic_time now);
+  bool RequireOperator(http_server::token token, const std::string& key, monotonic_time now);
   std::optional<key_holder> HolderOf(const std::string& key, monotonic_time now) const;
   void SubmitJob(http_server::token token, size_t slot, const key_holder& holder, job_spec spec,
                  monotonic_time now);
-  void TakeTable(table_actions actions, monotonic_time now);
+  void ApplyTableActions(table_actions actions, monotonic_time now);
   // node_status.cc: status and cancel.
-  void OpenStatus(const std::string& key, open_status question, monotonic_time now);
-  void AskStatus(uint64_t query, open_status& open, monotonic_time now);
+  void OpenStatus(const std::string& key, open_status request, monotonic_time now);
+  void QueryOwners(uint64_t query, open_status& open, monotonic_time now);
   void OnStatusAnswer(const status_answer& answer, monotonic_time now);
   void TickStatus(monotonic_time now);
   void AnswerStatus(uint64_t query, monotonic_time now);
@@ -300,23 +300,23 @@
   router routes_;
   request_table table_;
   ownership ownership_;
-  config_keeper versions_;
+  config_store versions_;
   grant_keeper grants_;
   membership members_;
   usage_spread usage_;
-  instance_turns turns_;
+  instance_turns instance_polling_;
   job_keeper jobs_;
-  incarnation_keeper lives_;
-  std::vector<opened_log> opened_;  // of shards that wait for their parts of the limits
+  incarnation_keeper incarnations_;
+  std::vector<opened_log> opened_logs_;  // of shards that wait for their parts of the limits
   std::map<uint32_t, std::unique_ptr<shard>> shards_;
-  std::map<std::string, peer_notes> notes_;
+  std::map<std::string, peer_state> peer_states_;
   std::set<std::string> endpoint_names_;  // of the whole fleet, as last listed
-  gone_endpoints gone_;                   // drained ones that left the list
+  gone_endpoints removed_endpoints_;      // drained ones that left the list
   std::vector<instance> own_endpoints_;   // of this failure domain
   resources cell_capacity_;
-  std::vector<message_body> local_;  // messages to ourselves
-  std::vector<early_service> early_services_;
-  std::map<std::string, uint64_t> followed_epochs_;  // of shards, that homes here have heard of
+  std::vector<message_body> local_messages_;  // messages to ourselves
+  std::vector<deferred_service> deferred_services_;
+  std::map<std::string, uint64_t> notified_epochs_;  // of shards, that homes here have heard of
   absl::flat_hash_map<uint64_t, open_status> statuses_;
   absl::flat_hash_map<request_id, std::vector<open_cancel>> cancels_;
   std::map<uint64_t, open_change> changes_;
@@ -327,25 +327,25 @@
   monotonic_time started_{};
   monotonic_time next_ownership_tick_{};
   monotonic_time next_store_members_{};
-  monotonic_time next_reply_{};
+  monotonic_time next_heartbeat_reply_{};
   monotonic_time next_usage_{};
-  uint64_t beat_ = 0;
+  uint64_t heartbeat_seq_ = 0;
   monotonic_time next_gauges_{};
   monotonic_time shutdown_deadline_{};
   bool store_was_up_ = false;  // nothing is said before the first answer
   bool was_ready_ = false;
-  uint64_t grant_moves_ = 0;      // that were told
-  uint64_t refused_batches_ = 0;  // that was told
-  uint64_t refused_version_ = 0;  // that was told
+  uint64_t grant_moves_ = 0;       // that were told
+  uint64_t rejected_batches_ = 0;  // that was told
+  uint64_t rejected_version_ = 0;  // that was told
   bool shutting_down_ = false;
   bool done_ = false;
   std::thread core_;
 
   // What calls of other domains' entries are answered with; made by the core, read by the mailbox's
   // threads.
-  std::mutex reply_mutex_;
-  heartbeat_message reply_;
-  monotonic_time reply_made_{};
+  std::mutex heartbeat_reply_mutex_;
+  heartbeat_message heartbeat_reply_;
+  monotonic_time heartbeat_reply_time_{};
 };
 
 }  // namespace catkinford
--- a/src/process/node_calls.cc
+++ b/src/process/node_calls.cc
@@ -13,11 +13,11 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kComeBack{1000};
+constexpr milliseconds kRetryAfter{1000};
 // To hear that a durable job was accepted. With the grace for an owner's last word it ends before
 // the ten seconds after which many callers hang up: they would be left without any answer.
-constexpr milliseconds kDurablePatience{9000};
-constexpr milliseconds kEndless{std::chrono::hours{24 * 366}};
+constexpr milliseconds kDurableAnswerTimeout{9000};
+constexpr milliseconds kUnboundedTimeout{std::chrono::hours{24 * 366}};
 constexpr size_t kTimelinePage = 10000;
 
 std::string Dump(const json& body) {
@@ -35,7 +35,7 @@
   return nullptr;
 }
 
-bool Holds(const std::vector<workload_kind>& kinds, workload_kind kind) {
+bool Contains(const std::vector<workload_kind>& kinds, workload_kind kind) {
   return std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
 }
 
@@ -74,7 +74,7 @@
   return ring->Find(key);
 }
 
-bool node::IsOperator(http_server::token token, const std::string& key, monotonic_time now) {
+bool node::RequireOperator(http_server::token token, const std::string& key, monotonic_time now) {
   const std::optional<key_holder> holder = HolderOf(key, now);
   if (holder && holder->is_operator) return true;
   front_.Respond(token, ErrorResponse(401, "unknown_key", "an operator's key is needed"));
@@ -91,11 +91,11 @@
   for (const job_spec& job : call.jobs) kinds.push_back(job.kind);
   table_.BeginCall(token, call.is_batch, std::move(kinds), now);
   if (!holder || holder->is_operator) {
-    table_actions refused;
+    table_actions rejected;
     for (size_t slot = 0; slot < call.jobs.size(); ++slot) {
-      table_.Settle(token, slot, RefusedOutcome({}, refusal_reason::kUnknownKey, {}, ""), refused);
+      table_.Settle(token, slot, RefusedOutcome({}, refusal_reason::kUnknownKey, {}, ""), rejected);
     }
-    TakeTable(std::move(refused), now);
+    ApplyTableActions(std::move(rejected), now);
     return;
   }
   for (size_t slot = 0; slot < call.jobs.size(); ++slot) {
@@ -111,22 +111,22 @@
   entry.first_ask = spec.first_ask;
   place.id = entry.keyed ? DeriveRequestId(holder.team, spec.idempotency_key) : NewRequestId();
   table_actions actions;
-  const auto refuse = [&](refusal_reason reason, milliseconds retry, std::string detail) {
+  const auto reject = [&](refusal_reason reason, milliseconds retry, std::string detail) {
     table_.Settle(token, slot, RefusedOutcome(place.id, reason, retry, std::move(detail)), actions);
-    TakeTable(std::move(actions), now);
+    ApplyTableActions(std::move(actions), now);
   };
   const team_contract* team = FindTeam(*versions_.Order().Config(), holder);
-  if (team == nullptr || !Holds(team->kinds, spec.kind)) {
-    refuse(refusal_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
+  if (team == nullptr || !Contains(team->kinds, spec.kind)) {
+    reject(refusal_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
     return;
   }
   // A keyed job may already run: its caller gets its outcome from the shard that knows it.
   if (shutting_down_ && !entry.keyed) {
-    refuse(refusal_reason::kShuttingDown, kComeBack, "ask another entry");
+    reject(refusal_reason::kShuttingDown, kRetryAfter, "ask another entry");
     return;
   }
   if (table_.Pending() >= config_.bounds.waiting_requests) {
-    refuse(refusal_reason::kQueueFull, kComeBack, "too many requests wait in this entry");
+    reject(refusal_reason::kQueueFull, kRetryAfter, "too many requests wait in this entry");
     return;
   }
   const bool waits = spec.kind == workload_kind::kInteractive;
@@ -135,7 +135,7 @@
   if (waits) deadline = std::min(deadline, config_.timing.max_deadline);
   place.team = holder.team;
   place.kind = spec.kind;
-  place.urgent = spec.urgent && Holds(team->urgent_kinds, spec.kind);
+  place.urgent = spec.urgent && Contains(team->urgent_kinds, spec.kind);
   place.repeatable = spec.repeatable;
   place.wait = waits || spec.wait;
   place.tasks = spec.tasks;
@@ -143,14 +143,14 @@
   place.run_time = spec.run_time;
   place.deadline_left = deadline;
   place.payload = std::move(spec.payload);
-  entry.patience = waits ? deadline : kDurablePatience;
-  if (!waits && spec.wait) entry.patience = deadline.count() > 0 ? deadline : kEndless;
+  entry.patience = waits ? deadline : kDurableAnswerTimeout;
+  if (!waits && spec.wait) entry.patience = deadline.count() > 0 ? deadline : kUnboundedTimeout;
   log_.Emit(event_code::kRequestReceived, now, place.id, 0, holder.team);
   table_.Add(token, slot, std::move(entry), now, actions);
-  TakeTable(std::move(actions), now);
+  ApplyTableActions(std::move(actions), now);
 }
 
-void node::TakeTable(table_actions actions, monotonic_time now) {
+void node::ApplyTableActions(table_actions actions, monotonic_time now) {
   for (place_to_send& send : actions.sends) {
     log_.Emit(event_code::kRequestForwarded, now, send.place.id, 0, send.owner);
     Send(send.owner, std::move(send.place), now);
@@ -169,7 +169,7 @@
 void node::OnOutcome(const outcome& result, monotonic_time now) {
   table_actions actions;
   table_.OnOutcome(result, now, actions);
-  TakeTable(std::move(actions), now);
+  ApplyTableActions(std::move(actions), now);
   const auto found = cancels_.find(result.id);
   if (found == cancels_.end() || result.kind == outcome_kind::kAccepted) return;
   for (const open_cancel& open : found->second) front_.Respond(open.token, ToResponse(result));
@@ -180,7 +180,7 @@
 
 void node::Handle(http_server::token token, const std::string& key, const members_call& /*call*/,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   json entries = json::array();
   json shards = json::array();
   const auto owned = [&](const std::string& entry) {
@@ -192,7 +192,7 @@
   };
   entries.push_back({{"name", config_.name},
                      {"failure_domain", config_.failure_domain},
-                     {"address", OwnWord().address},
+                     {"address", OwnStatus().address},
                      {"state", shutting_down_ ? "leaving" : "up"},
                      {"config_version", versions_.Order().Version()},
                      {"owns", owned(config_.name)}});
@@ -221,7 +221,7 @@
 
 void node::Handle(http_server::token token, const std::string& key, const timeline_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const auto micros = [](auto since) {
     return std::chrono::duration_cast<std::chrono::microseconds>(since).count();
   };
--- a/src/process/node_config.cc
+++ b/src/process/node_config.cc
@@ -14,14 +14,14 @@
 using std::chrono::milliseconds;
 
 // How long an operator waits for the last failure domain before it is named as pending.
-constexpr milliseconds kInForceWait{2000};
+constexpr milliseconds kInEffectWait{2000};
 
 // How long a peer may still be on an older version before it is sent the new one again.
-constexpr milliseconds kConfigResend{500};
-constexpr milliseconds kHelpByWatcher{1000};
-constexpr milliseconds kHelpByAnybody{3000};
+constexpr milliseconds kConfigResendInterval{500};
+constexpr milliseconds kWatcherResendDelay{1000};
+constexpr milliseconds kOtherResendDelay{3000};
 // Calls of the store for one change, the past version's and a lost reply's among them.
-constexpr int kCallsOfChange = 8;
+constexpr int kStoreCallsPerChange = 8;
 
 std::string Dump(const json& body) {
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -66,30 +66,30 @@
   for (auto& [number, held] : shards_) held->SetConfiguration(*order.Config(), now);
   for (const auto& [name, other] : members_.Members()) {
     if (other.word.config_version >= order.Version()) continue;
-    peer_notes& notes = notes_[name];
-    notes.lags_since = now;
+    peer_state& state = peer_states_[name];
+    state.lagging_since = now;
     if (origin == version_origin::kOwnChange) {
-      SendVersion(other, std::max(other.word.config_version, notes.config_sent), now);
+      SendVersion(other, std::max(other.word.config_version, state.config_sent), now);
     }
   }
   log_.Emit(event_code::kVersionInForce, now, {}, 0, absl::StrCat(order.Version()));
 }
 
 // One made from another version than ours is left: our heartbeat shows that we lag.
-void node::OnStep(const version_step& step, monotonic_time now) {
+void node::OnVersionStep(const version_step& step, monotonic_time now) {
   const std::optional<std::string> text = versions_.Order().After(step);
   if (text) versions_.Offer(step.version, *text, version_origin::kPeer, now);
 }
 
-void node::SayVersion(const std::string& to, monotonic_time now) {
-  Send(to, heartbeat_message{config_.failure_domain, false, {OwnWord()}}, now);
+void node::ConfirmVersion(const std::string& to, monotonic_time now) {
+  Send(to, heartbeat_message{config_.failure_domain, false, {OwnStatus()}}, now);
 }
 
 void node::SendVersion(const member& to, uint64_t known, monotonic_time now) {
   const version_order& order = versions_.Order();
-  peer_notes& notes = notes_[to.name];
-  notes.next_config = now + kConfigResend;
-  notes.config_sent = order.Version();
+  peer_state& state = peer_states_[to.name];
+  state.next_config_send = now + kConfigResendInterval;
+  state.config_sent = order.Version();
   if (order.Step() && order.Step()->base == known) {
     Send(to.name, config_step_message{*order.Step()}, now);
   } else {
@@ -97,25 +97,26 @@
   }
 }
 
-void node::HelpLagging(const member& other, monotonic_time now) {
+void node::ResendToLagging(const member& other, monotonic_time now) {
   if (other.word.config_version >= versions_.Order().Version()) return;
-  const peer_notes& notes = notes_[other.name];
-  if (now < notes.next_config || now < notes.lags_since + HelpDelay(other)) return;
+  const peer_state& state = peer_states_[other.name];
+  if (now < state.next_config_send || now < state.lagging_since + ResendDelay(other)) return;
   SendVersion(other, other.word.config_version, now);
 }
 
 // Who lags is helped by its own failure domain, and by the others only when that cannot: from
 // everybody at once, a replaced entry of a large fleet would get the document 53 times.
-milliseconds node::HelpDelay(const member& other) const {
+milliseconds node::ResendDelay(const member& other) const {
   if (other.failure_domain == config_.failure_domain) {
-    return other.word.config_version == 0 ? milliseconds{0} : kConfigResend;
+    return other.word.config_version == 0 ? milliseconds{0} : kConfigResendInterval;
   }
-  return IsWatcher(config_.name, members_.LiveNeighbours()) ? kHelpByWatcher : kHelpByAnybody;
+  return IsWatcher(config_.name, members_.LiveNeighbours()) ? kWatcherResendDelay
+                                                            : kOtherResendDelay;
 }
 
 void node::Handle(http_server::token token, const std::string& key, const get_config_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const version_order& order = versions_.Order();
   if (call.version == 0) {
     front_.Respond(token, ConfigResponse(order.Version(), order.Text()));
@@ -138,7 +139,7 @@
 
 void node::Handle(http_server::token token, const std::string& key, const put_config_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const auto parsed = ParseConfiguration(call.text);
   if (const auto* error = std::get_if<contract_error>(&parsed)) {
     front_.Respond(token, ContractResponse(*error));
@@ -164,18 +165,18 @@
   const uint64_t change = next_query_++;
   open_change& open = changes_[change];
   open.token = token;
-  open.give_up = now + GiveUpOfChange();
+  open.deadline = now + ChangeTimeout();
   open.warnings = std::move(warnings);
   open.by = HolderOf(key, now).value_or(key_holder{}).key_name;
-  MakeChange(change, call.expect, call.text, std::get<configuration>(parsed));
+  SubmitChange(change, call.expect, call.text, std::get<configuration>(parsed));
 }
 
-milliseconds node::GiveUpOfChange() const {
-  return kInForceWait + config_.timing.call_timeout * kCallsOfChange;
+milliseconds node::ChangeTimeout() const {
+  return kInEffectWait + config_.timing.call_timeout * kStoreCallsPerChange;
 }
 
-void node::MakeChange(uint64_t change, uint64_t expect, const std::string& text,
-                      const configuration& next) {
+void node::SubmitChange(uint64_t change, uint64_t expect, const std::string& text,
+                        const configuration& next) {
   const config_signature signature{ToHex(NewRequestId()), changes_[change].by,
                                    milliseconds(WallMs()),
                                    SummaryOf(*versions_.Order().Config(), next)};
@@ -189,24 +190,24 @@
   const auto found = changes_.find(change);
   if (found == changes_.end()) return;
   open_change& open = found->second;
-  if (result.end == change_end::kDone) {
+  if (result.end == change_outcome::kDone) {
     open.version = result.version;
-    open.give_up = now + kInForceWait;
+    open.deadline = now + kInEffectWait;
     CheckChanges(now);
     return;
   }
   // What an entry changes by itself commutes with whatever another operator did, and does no harm
   // when it is done twice.
   const bool may_be_lost =
-      result.end == change_end::kConflict || result.end == change_end::kUnknown;
-  if (open.edit && may_be_lost && --open.tries > 0) {
-    MakeEdit(change, now);
+      result.end == change_outcome::kConflict || result.end == change_outcome::kUnknown;
+  if (open.edit && may_be_lost && --open.attempts_left > 0) {
+    SubmitEdit(change, now);
     return;
   }
   http_response response;
-  if (result.end == change_end::kConflict) {
+  if (result.end == change_outcome::kConflict) {
     response = ConflictResponse(result.version, result.text);
-  } else if (result.end == change_end::kUnavailable) {
+  } else if (result.end == change_outcome::kUnavailable) {
     response = ErrorResponse(503, "store_unavailable", "nothing was changed");
   } else {
     response = ErrorResponse(504, "unknown", "the change may have been accepted: read it back");
@@ -222,7 +223,7 @@
 void node::CheckChanges(monotonic_time now) {
   for (auto at = changes_.begin(); at != changes_.end();) {
     const open_change& open = at->second;
-    bool done = now >= open.give_up;
+    bool done = now >= open.deadline;
     in_force_report report;
     if (open.version > 0) {
       report = versions_.Order().InForce(open.version, config_.failure_domain, VersionMembers());
@@ -246,7 +247,7 @@
 
 void node::Handle(http_server::token token, const std::string& key,
                   const config_history_call& /*call*/, monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   versions_.History(
       [this, token](std::optional<std::vector<past_version>> versions, monotonic_time /*at*/) {
         if (!versions) {
--- a/src/process/node_drains.cc
+++ b/src/process/node_drains.cc
@@ -14,15 +14,15 @@
 using json = nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr int kEditTries = 8;
+constexpr int kEditAttempts = 8;
 // Domains forget one after the other, so that usually one writes and the others find it done.
-constexpr milliseconds kForgetStep{5000};
+constexpr milliseconds kRemoveDrainsStagger{5000};
 
 }  // namespace
 
 void node::Handle(http_server::token token, const std::string& key, const drain_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const std::vector<std::string>& drained = versions_.Order().Config()->drained_endpoints;
   const bool is_drained = std::binary_search(drained.begin(), drained.end(), call.endpoint);
   if (!is_drained && !endpoint_names_.contains(call.endpoint)) {
@@ -57,36 +57,36 @@
 
 // An endpoint that is gone for good leaves its name behind; a new one of that name would get no
 // work, and nobody would remember why.
-void node::ForgetDrains(monotonic_time now) {
+void node::RemoveStaleDrains(monotonic_time now) {
   const auto& domains = config_.failure_domains;
-  const auto place = std::find(domains.begin(), domains.end(), config_.failure_domain);
-  const milliseconds wait =
-      config_.timing.forget_drain + kForgetStep * std::distance(domains.begin(), place);
-  const std::vector<std::string> gone =
-      gone_.Update(versions_.Order().Config()->drained_endpoints, endpoint_names_, wait, now);
-  if (gone.empty() || !IsWatcher(config_.name, members_.LiveNeighbours())) return;
-  const bool under_way = std::any_of(changes_.begin(), changes_.end(),
+  const auto domain_index = std::find(domains.begin(), domains.end(), config_.failure_domain);
+  const milliseconds wait = config_.timing.forget_drain +
+                            kRemoveDrainsStagger * std::distance(domains.begin(), domain_index);
+  const std::vector<std::string> removed = removed_endpoints_.Update(
+      versions_.Order().Config()->drained_endpoints, endpoint_names_, wait, now);
+  if (removed.empty() || !IsWatcher(config_.name, members_.LiveNeighbours())) return;
+  const bool in_flight = std::any_of(changes_.begin(), changes_.end(),
                                      [](const auto& each) { return !each.second.token; });
-  if (under_way) return;
+  if (in_flight) return;
   open_change open;
   open.by = absl::StrCat("entry:", config_.name);
-  open.edit = [gone](configuration& config) {
+  open.edit = [removed](configuration& config) {
     bool changed = false;
-    for (const std::string& name : gone) changed |= UndrainEndpoint(config, name);
+    for (const std::string& name : removed) changed |= UndrainEndpoint(config, name);
     return changed;
   };
   EditConfig(std::move(open), now);
 }
 
 void node::EditConfig(open_change open, monotonic_time now) {
-  open.tries = kEditTries;
-  open.give_up = now + GiveUpOfChange();
+  open.attempts_left = kEditAttempts;
+  open.deadline = now + ChangeTimeout();
   const uint64_t change = next_query_++;
   changes_[change] = std::move(open);
-  MakeEdit(change, now);
+  SubmitEdit(change, now);
 }
 
-void node::MakeEdit(uint64_t change, monotonic_time now) {
+void node::SubmitEdit(uint64_t change, monotonic_time now) {
   open_change& open = changes_[change];
   const version_order& order = versions_.Order();
   configuration next = *order.Config();
@@ -95,7 +95,7 @@
     CheckChanges(now);
     return;
   }
-  MakeChange(change, order.Version(), ToText(next), next);
+  SubmitChange(change, order.Version(), ToText(next), next);
 }
 
 }  // namespace catkinford
--- a/src/process/node_evacuate.cc
+++ b/src/process/node_evacuate.cc
@@ -15,13 +15,13 @@
 using std::chrono::steady_clock;
 
 // Shards of other domains are numbered from here, beside those of the own one.
-constexpr uint32_t kFirstEvacuated = 1U << 16;
+constexpr uint32_t kFirstEvacuatedNumber = 1U << 16;
 constexpr milliseconds kMoveInterval{2000};  // between tries to move what waits
 // A renewal that an owner sent just before its epoch was raised, and a clock that runs slower.
 constexpr milliseconds kLeaseMargin{1000};
-constexpr milliseconds kBeginLimit{5000};  // for the operator's answer
+constexpr milliseconds kBeginTimeout{5000};  // for the operator's answer
 
-std::string WordOf(evacuation_state state) {
+std::string StateText(evacuation_state state) {
   switch (state) {
     case evacuation_state::kWaiting:
       return "waiting";
@@ -40,21 +40,22 @@
 
 void node::Handle(http_server::token token, const std::string& key, const evacuate_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const std::string& domain = call.failure_domain;
   const auto& all = config_.failure_domains;
   if (std::find(all.begin(), all.end(), domain) == all.end()) {
     front_.Respond(token, ErrorResponse(404, "unknown_domain", "it is not in the settings"));
     return;
   }
-  const std::string alive = domain == config_.failure_domain ? config_.name : AliveIn(domain, now);
-  if (!alive.empty()) {
-    front_.Respond(token, ErrorResponse(409, "domain_alive", alive + " answers there"));
+  const std::string live_entry =
+      domain == config_.failure_domain ? config_.name : FindLiveEntry(domain, now);
+  if (!live_entry.empty()) {
+    front_.Respond(token, ErrorResponse(409, "domain_alive", live_entry + " answers there"));
     return;
   }
-  const auto under_way = evacuations_.find(domain);
-  if (under_way != evacuations_.end() && !under_way->second.work.IsOver()) {
-    under_way->second.waiting.push_back({token, now + kBeginLimit});
+  const auto existing = evacuations_.find(domain);
+  if (existing != evacuations_.end() && !existing->second.work.IsOver()) {
+    existing->second.waiting.push_back({token, now + kBeginTimeout});
     return;
   }
   evacuation_options options;
@@ -64,17 +65,17 @@
   options.shards = config_.shards.per_domain;
   options.dry_run = call.dry_run;
   options.lease_wait = config_.timing.task_lease + config_.timing.call_timeout + kLeaseMargin;
-  if (under_way != evacuations_.end()) evacuations_.erase(under_way);
+  if (existing != evacuations_.end()) evacuations_.erase(existing);
   open_evacuation& open =
       evacuations_
           .emplace(domain,
                    open_evacuation{evacuation(options, evacuation_tags_), {}, {}, {}, false})
           .first->second;
-  open.waiting.push_back({token, now + kBeginLimit});
+  open.waiting.push_back({token, now + kBeginTimeout});
 }
 
 // An entry of the domain that is heard, or one elsewhere that answers for its shards; empty: none.
-std::string node::AliveIn(const std::string& domain, monotonic_time now) const {
+std::string node::FindLiveEntry(const std::string& domain, monotonic_time now) const {
   for (const auto& [name, one] : members_.Members()) {
     if (one.failure_domain == domain && members_.IsUp(name)) return name;
   }
@@ -87,11 +88,11 @@
 
 void node::TickEvacuations(monotonic_time now) {
   for (auto& [domain, open] : evacuations_) {
-    const std::string alive = AliveIn(domain, now);
-    if (!alive.empty() && !open.work.IsOver()) {
-      open.work.Stop(alive + " answers there");
-      log_.Emit(event_code::kEvacuationStopped, now, {}, 0, domain, alive);
-      LoseEvacuated(open, now);
+    const std::string live_entry = FindLiveEntry(domain, now);
+    if (!live_entry.empty() && !open.work.IsOver()) {
+      open.work.Stop(live_entry + " answers there");
+      log_.Emit(event_code::kEvacuationStopped, now, {}, 0, domain, live_entry);
+      RemoveEvacuatedShards(open, now);
     }
     const evacuation_state before = open.work.State();
     std::vector<store_request> calls;
@@ -104,22 +105,22 @@
           });
     }
     if (open.work.State() == evacuation_state::kReady) {
-      if (before != evacuation_state::kReady) TakeEvacuated(open, now);
-      MoveEvacuated(open, now);
+      if (before != evacuation_state::kReady) AddEvacuatedShards(open, now);
+      MoveEvacuatedJobs(open, now);
     }
     AnswerEvacuation(open, now);
   }
 }
 
 // Whoever of the domain still writes to a log is shut out of it from here on.
-void node::TakeEvacuated(open_evacuation& open, monotonic_time now) {
+void node::AddEvacuatedShards(open_evacuation& open, monotonic_time now) {
   const evacuation_options& options = open.work.Options();
   log_.Emit(event_code::kEvacuationReady, now, {}, open.work.Epoch(0), options.failure_domain);
   const auto at = std::find(config_.failure_domains.begin(), config_.failure_domains.end(),
                             options.failure_domain);
-  const auto place = static_cast<uint32_t>(at - config_.failure_domains.begin());
+  const auto domain_index = static_cast<uint32_t>(at - config_.failure_domains.begin());
   for (uint32_t i = 0; i < options.shards; ++i) {
-    const uint32_t number = kFirstEvacuated + place * options.shards + i;
+    const uint32_t number = kFirstEvacuatedNumber + domain_index * options.shards + i;
     evacuated_names_[number] = ShardName(options.failure_domain, i);
     open.numbers.push_back(number);
     grants_.OnGained(evacuated_names_[number], open.work.Epoch(i));
@@ -127,11 +128,11 @@
   }
 }
 
-void node::LoseEvacuated(open_evacuation& open, monotonic_time now) {
-  for (const uint32_t number : std::exchange(open.numbers, {})) LoseShard(number, now);
+void node::RemoveEvacuatedShards(open_evacuation& open, monotonic_time now) {
+  for (const uint32_t number : std::exchange(open.numbers, {})) RemoveShard(number, now);
 }
 
-void node::MoveEvacuated(open_evacuation& open, monotonic_time now) {
+void node::MoveEvacuatedJobs(open_evacuation& open, monotonic_time now) {
   if (now < open.next_move) return;
   const task_split split = [this, now](const place_message& job, uint32_t tasks) {
     return SplitElsewhere(job, tasks, routes_, now);
@@ -149,25 +150,25 @@
   const evacuation& work = open.work;
   const evacuation_state state = work.State();
   const bool has_begun = state == evacuation_state::kWaiting || state == evacuation_state::kReady;
-  std::vector<open_cancel> still;
-  for (const open_cancel& operators : open.waiting) {
+  std::vector<open_cancel> unanswered;
+  for (const open_cancel& waiting_operator : open.waiting) {
     if (state == evacuation_state::kStopped) {
-      front_.Respond(operators.token, ErrorResponse(409, "domain_alive", work.Why()));
+      front_.Respond(waiting_operator.token, ErrorResponse(409, "domain_alive", work.Why()));
     } else if (has_begun || state == evacuation_state::kCounted) {
-      if (!open.told && has_begun) {
+      if (!open.begin_logged && has_begun) {
         log_.Emit(event_code::kEvacuationBegun, now, {}, work.Epoch(0),
                   work.Options().failure_domain);
       }
-      open.told = open.told || has_begun;
-      front_.Respond(operators.token, {200, EvacuationText(open, now)});
-    } else if (now >= operators.give_up) {
-      front_.Respond(operators.token,
+      open.begin_logged = open.begin_logged || has_begun;
+      front_.Respond(waiting_operator.token, {200, EvacuationText(open, now)});
+    } else if (now >= waiting_operator.deadline) {
+      front_.Respond(waiting_operator.token,
                      ErrorResponse(503, "store_unavailable", "it goes on when the store answers"));
     } else {
-      still.push_back(operators);
+      unanswered.push_back(waiting_operator);
     }
   }
-  open.waiting = std::move(still);
+  open.waiting = std::move(unanswered);
 }
 
 std::string node::EvacuationText(const open_evacuation& open, monotonic_time now) const {
@@ -183,7 +184,7 @@
   }
   const json body = {{"failure_domain", open.work.Options().failure_domain},
                      {"dry_run", open.work.Options().dry_run},
-                     {"state", WordOf(open.work.State())},
+                     {"state", StateText(open.work.State())},
                      {"jobs", open.work.Size().jobs},
                      {"not_repeatable", open.work.Size().unknown},
                      {"moves_after_ms", open.work.TimeLeft(now).count()},
@@ -195,14 +196,14 @@
 }
 
 // The name of a shard that this entry owns, or answers for.
-std::string node::NameOf(uint32_t number) const {
+std::string node::ShardNameOf(uint32_t number) const {
   const auto found = evacuated_names_.find(number);
   return found != evacuated_names_.end() ? found->second
                                          : ShardName(config_.failure_domain, number);
 }
 
 bool node::MayActFor(uint32_t number) const {
-  if (number >= kFirstEvacuated) return shards_.contains(number);
+  if (number >= kFirstEvacuatedNumber) return shards_.contains(number);
   return ownership_.MayStart(number, steady_clock::now());
 }
 
--- a/src/process/node_metrics.cc
+++ b/src/process/node_metrics.cc
@@ -28,9 +28,9 @@
   metrics_.SetLogLinesDropped(log_.DroppedLines());
   metrics_.SetGrantMoves(grants_.Moves());
 
-  if (peer_auth_.Refused() != refused_batches_) {
-    const uint64_t more = peer_auth_.Refused() - refused_batches_;
-    refused_batches_ += more;
+  if (peer_auth_.Refused() != rejected_batches_) {
+    const uint64_t more = peer_auth_.Refused() - rejected_batches_;
+    rejected_batches_ += more;
     log_.Emit(event_code::kPeerRefused, now, {}, 0, config_.name, absl::StrCat(more, " calls"));
   }
   if (grants_.Moves() != grant_moves_) {
@@ -41,11 +41,11 @@
     was_ready_ = IsReady();
     if (was_ready_) log_.Emit(event_code::kProcessReady, now, {}, 0, config_.name);
   }
-  const std::optional<refused_version>& refused = versions_.Order().Refused();
-  if (refused && refused->version != refused_version_) {
-    refused_version_ = refused->version;
-    log_.Emit(event_code::kVersionRefused, now, {}, 0, std::to_string(refused->version),
-              refused->error.path);
+  const std::optional<refused_version>& rejected = versions_.Order().Refused();
+  if (rejected && rejected->version != rejected_version_) {
+    rejected_version_ = rejected->version;
+    log_.Emit(event_code::kVersionRefused, now, {}, 0, std::to_string(rejected->version),
+              rejected->error.path);
   }
 }
 
--- a/src/process/node_peers.cc
+++ b/src/process/node_peers.cc
@@ -11,9 +11,9 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kStoreMembersInterval{1000};
-constexpr milliseconds kReplyInterval{250};
+constexpr milliseconds kHeartbeatReplyInterval{250};
 constexpr milliseconds kUsageInterval{250};
-constexpr milliseconds kLeastAgeLimit{3000};  // of what an owner says of its shards
+constexpr milliseconds kMinAgeLimit{3000};  // of what an owner says of its shards
 
 }  // namespace
 
@@ -21,22 +21,23 @@
 
 void node::OnHeartbeat(const std::string& from, const heartbeat_message& beat, monotonic_time now) {
   if (from == config_.name) return;
-  const std::vector<std::string> news = members_.OnHeartbeat(beat, now);
-  if (news.empty()) return;
-  FollowMembers(now);
-  TakeChanges(now);
-  for (const std::string& name : news) OnWord(*members_.Find(name), now);
+  const std::vector<std::string> updated = members_.OnHeartbeat(beat, now);
+  if (updated.empty()) return;
+  UpdatePeers(now);
+  ApplyMemberChanges(now);
+  for (const std::string& name : updated) OnEntryStatus(*members_.Find(name), now);
   version_order& order = versions_.Order();
   if (const auto confirmed = DomainsConfirmed()) order.Confirm(order.Version(), *confirmed);
-  if (const member* sender = members_.Find(from)) HelpLagging(*sender, now);
+  if (const member* sender = members_.Find(from)) ResendToLagging(*sender, now);
   CheckChanges(now);
 }
 
 // First or second hand.
-void node::OnWord(const member& of, monotonic_time now) {
-  if (std::exchange(notes_[of.name].incarnation, of.word.incarnation) != of.word.incarnation) {
+void node::OnEntryStatus(const member& of, monotonic_time now) {
+  if (std::exchange(peer_states_[of.name].incarnation, of.word.incarnation) !=
+      of.word.incarnation) {
     usage_.OnLost(of.name);  // a new process, which knows nothing
-    notes_[of.name].lags_since = now;
+    peer_states_[of.name].lagging_since = now;
   }
   for (const shard_report& report : of.word.shards) {
     const shard_route* route = routes_.Route(report.shard);
@@ -55,18 +56,18 @@
   if (one == nullptr) return;
   const bool was_up = members_.IsUp(peer);
   members_.OnSilent(peer, now);
-  TakeChanges(now);
+  ApplyMemberChanges(now);
   if (!was_up || one->failure_domain != config_.failure_domain) return;
   const silent_message silent{peer, one->word.incarnation, one->word.beat};
   for (const std::string& name : members_.LiveNeighbours()) Send(name, silent, now);
 }
 
 void node::OnSilent(const silent_message& silent, monotonic_time now) {
-  if (members_.OnSilent(silent, now)) TakeChanges(now);
+  if (members_.OnSilent(silent, now)) ApplyMemberChanges(now);
 }
 
 // What the membership has changed its mind of.
-void node::TakeChanges(monotonic_time now) {
+void node::ApplyMemberChanges(monotonic_time now) {
   std::vector<member_change> changes;
   members_.Tick(now, changes);
   for (const member_change& change : changes) {
@@ -84,12 +85,12 @@
   }
 }
 
-entry_word node::OwnWord() {
+entry_word node::OwnStatus() {
   entry_word word;
   word.name = config_.name;
   word.address = absl::StrCat("http://", config_.listen.address, ":", config_.listen.peer_port);
   word.incarnation = incarnation_;
-  word.beat = ++beat_;
+  word.beat = ++heartbeat_seq_;
   word.config_version = versions_.Order().Version();
   word.leaving = shutting_down_;
   for (const auto& [number, held] : shards_) word.shards.push_back(held->Report());
@@ -97,34 +98,34 @@
 }
 
 void node::Announce(monotonic_time now) {
-  const heartbeat_message beat{config_.failure_domain, false, {OwnWord()}};
+  const heartbeat_message beat{config_.failure_domain, false, {OwnStatus()}};
   for (const auto& [name, one] : members_.Members()) Send(name, beat, now);
 }
 
 void node::SendHeartbeats(monotonic_time now) {
   const std::vector<heartbeat_target> targets = members_.DueHeartbeats(now);
   if (targets.empty()) return;
-  heartbeat_message beat = members_.Heartbeat(OwnWord(), now);
+  heartbeat_message beat = members_.Heartbeat(OwnStatus(), now);
   for (const heartbeat_target& target : targets) {
     beat.wants_reply = !target.near;
     Send(target.name, beat, now);
   }
 }
 
-void node::PrepareReply(monotonic_time now) {
-  heartbeat_message made = members_.Heartbeat(OwnWord(), now);
-  const std::lock_guard lock(reply_mutex_);
-  reply_ = std::move(made);
-  reply_made_ = now;
+void node::PrepareHeartbeatReply(monotonic_time now) {
+  heartbeat_message heartbeat_reply = members_.Heartbeat(OwnStatus(), now);
+  const std::lock_guard lock(heartbeat_reply_mutex_);
+  heartbeat_reply_ = std::move(heartbeat_reply);
+  heartbeat_reply_time_ = now;
 }
 
 // On a thread of the mailbox. The words have grown older since they were put together.
-std::optional<heartbeat_message> node::Reply() {
+std::optional<heartbeat_message> node::HeartbeatReply() {
   const monotonic_time now = std::chrono::steady_clock::now();
-  const std::lock_guard lock(reply_mutex_);
-  if (reply_.words.empty()) return std::nullopt;
-  heartbeat_message reply = reply_;
-  const auto since = std::chrono::ceil<milliseconds>(now - reply_made_);
+  const std::lock_guard lock(heartbeat_reply_mutex_);
+  if (heartbeat_reply_.words.empty()) return std::nullopt;
+  heartbeat_message reply = heartbeat_reply_;
+  const auto since = std::chrono::ceil<milliseconds>(now - heartbeat_reply_time_);
   for (entry_word& word : reply.words) word.age += since;
   return reply;
 }
@@ -138,39 +139,39 @@
   if (now >= next_store_members_) {
     next_store_members_ = now + kStoreMembersInterval;
     members_.OnStoreMembers(ownership_.Members(), now);
-    FollowMembers(now);
-    if (turns_.HasList()) ForgetDrains(now);
-    routes_.SetAgeLimits(std::max(kLeastAgeLimit, members_.NearSilence()),
-                         std::max(kLeastAgeLimit, members_.FarSilence()));
+    UpdatePeers(now);
+    if (instance_polling_.HasList()) RemoveStaleDrains(now);
+    routes_.SetAgeLimits(std::max(kMinAgeLimit, members_.NearSilence()),
+                         std::max(kMinAgeLimit, members_.FarSilence()));
   }
-  TakeChanges(now);
+  ApplyMemberChanges(now);
   SendHeartbeats(now);
-  if (now >= next_reply_) {
-    next_reply_ = now + kReplyInterval;
-    PrepareReply(now);
+  if (now >= next_heartbeat_reply_) {
+    next_heartbeat_reply_ = now + kHeartbeatReplyInterval;
+    PrepareHeartbeatReply(now);
   }
   if (now >= next_usage_) {
     next_usage_ = now + kUsageInterval;
-    ShareUsage(now);
+    PropagateUsage(now);
   }
 }
 
 // A sender for each member that has an address, none for those that were forgotten. One that we
 // have read of and not heard is told of us at once and asked for news: by turns that would take
 // many seconds, in which nobody would know that a version is in force there.
-void node::FollowMembers(monotonic_time now) {
-  std::vector<std::string> strangers;
+void node::UpdatePeers(monotonic_time now) {
+  std::vector<std::string> unheard;
   for (const auto& [name, one] : members_.Members()) {
     if (one.address.empty()) continue;
     mailbox_.SetPeer(name, one.address);
-    const bool is_new = notes_.try_emplace(name).second;
-    if (is_new && one.word.incarnation == 0) strangers.push_back(name);
+    const bool is_new = peer_states_.try_emplace(name).second;
+    if (is_new && one.word.incarnation == 0) unheard.push_back(name);
   }
-  if (!strangers.empty()) {
-    const heartbeat_message beat{config_.failure_domain, true, {OwnWord()}};
-    for (const std::string& name : strangers) Send(name, beat, now);
+  if (!unheard.empty()) {
+    const heartbeat_message beat{config_.failure_domain, true, {OwnStatus()}};
+    for (const std::string& name : unheard) Send(name, beat, now);
   }
-  std::erase_if(notes_, [this](const auto& item) {
+  std::erase_if(peer_states_, [this](const auto& item) {
     const bool is_gone = members_.Find(item.first) == nullptr;
     if (is_gone) {
       mailbox_.RemovePeer(item.first);
@@ -213,7 +214,7 @@
 }
 
 // What each team runs elsewhere, for shares over the whole cell.
-void node::ShareUsage(monotonic_time now) {
+void node::PropagateUsage(monotonic_time now) {
   team_uses own;
   for (const auto& [number, held] : shards_) {
     for (const team_report& team : held->TeamReports()) own[team.team] += team.running;
--- a/src/process/node_services.cc
+++ b/src/process/node_services.cc
@@ -14,16 +14,16 @@
 // How long after its start an entry waits to hear of every failure domain before it splits. Split
 // at once, services that come right after the start of a fleet, or to an entry that has just
 // replaced another, would stand in the one domain that is known.
-constexpr milliseconds kFirstReports{2000};
+constexpr milliseconds kFirstReportsWait{2000};
 
 }  // namespace
 
-void node::TakePlace(const std::string& from, shard& to, place_message place, monotonic_time now) {
+void node::OnPlace(const std::string& from, shard& to, place_message place, monotonic_time now) {
   const bool is_new = to.SpecOf(place.id) == nullptr;
-  const bool is_whole = place.home.empty() && place.parts.empty();
-  if (is_new && is_whole && MaySpread(place)) {
-    if (now < started_ + kFirstReports && !routes_.HeardOfAllDomains()) {
-      early_services_.push_back({from, std::move(place)});
+  const bool is_unsplit = place.home.empty() && place.parts.empty();
+  if (is_new && is_unsplit && MaySpread(place)) {
+    if (now < started_ + kFirstReportsWait && !routes_.HeardOfAllDomains()) {
+      deferred_services_.push_back({from, std::move(place)});
       return;
     }
     place.parts = SplitService(place, place.shard, routes_, now);
@@ -31,22 +31,22 @@
   to.Place(from, std::move(place), now);
 }
 
-void node::RetryEarlyServices(monotonic_time now) {
-  if (early_services_.empty()) return;
-  for (early_service& early : std::exchange(early_services_, {})) {
-    shard* to = FindShard(early.place.shard);
-    if (to != nullptr) TakePlace(early.from, *to, std::move(early.place), now);
+void node::RetryDeferredServices(monotonic_time now) {
+  if (deferred_services_.empty()) return;
+  for (deferred_service& deferred : std::exchange(deferred_services_, {})) {
+    shard* to = FindShard(deferred.place.shard);
+    if (to != nullptr) OnPlace(deferred.from, *to, std::move(deferred.place), now);
   }
 }
 
 // Whichever way the word of a new owner came. Homes place their parts there again: the new owner
 // may have given them up, because its domain was evacuated.
-void node::FollowOwners(monotonic_time now) {
+void node::NotifyNewOwners(monotonic_time now) {
   for (const auto& [name, route] : routes_.Routes()) {
     if (!routes_.OwnerOf(name, now)) continue;
-    uint64_t& followed = followed_epochs_[name];
-    if (route.epoch <= followed) continue;
-    followed = route.epoch;
+    uint64_t& notified_epoch = notified_epochs_[name];
+    if (route.epoch <= notified_epoch) continue;
+    notified_epoch = route.epoch;
     for (auto& [number, held] : shards_) held->OnNewOwner(name, now);
   }
 }
--- a/src/process/node_shards.cc
+++ b/src/process/node_shards.cc
@@ -11,12 +11,12 @@
 
 // ---- Ownership -----------------------------------------------------------------------------
 
-void node::TakeOwnership(const ownership_actions& actions, monotonic_time now) {
+void node::ApplyOwnershipActions(const ownership_actions& actions, monotonic_time now) {
   for (const store_request& call : actions.calls) {
     SendStoreRequest(call, [this, tag = call.tag](const store_reply& reply, monotonic_time at) {
       ownership_actions next;
       ownership_.OnStoreReply(tag, reply, at, next);
-      TakeOwnership(next, at);
+      ApplyOwnershipActions(next, at);
     });
   }
   for (const ownership_event& event : actions.events) OnOwnershipEvent(event, now);
@@ -49,12 +49,12 @@
 void node::OnOwnershipEvent(const ownership_event& event, monotonic_time now) {
   switch (event.kind) {
     case ownership_event_kind::kGained:
-      LoseShard(event.shard, now);  // held under a lower epoch
+      RemoveShard(event.shard, now);  // held under a lower epoch
       grants_.OnGained(ShardName(config_.failure_domain, event.shard), event.epoch);
       jobs_.OnGained(event.shard, ShardName(config_.failure_domain, event.shard), event.epoch);
       break;
     case ownership_event_kind::kLost:
-      LoseShard(event.shard, now);
+      RemoveShard(event.shard, now);
       break;
     case ownership_event_kind::kAskOwner:
       Send(event.peer, ask_owner_message{event.shard}, now);
@@ -67,24 +67,24 @@
 
 // Opens the shards whose logs were read and whose parts of the limits are ours.
 void node::OpenShards(monotonic_time now) {
-  for (opened_log& log : jobs_.Tick(now)) opened_.push_back(std::move(log));
+  for (opened_log& log : jobs_.Tick(now)) opened_logs_.push_back(std::move(log));
   grants_.Prepare(now);
-  for (opened_log& log : std::exchange(opened_, {})) {
+  for (opened_log& log : std::exchange(opened_logs_, {})) {
     const bool is_evacuated = evacuated_names_.contains(log.number);
     if (!is_evacuated && ownership_.Epoch(log.number) != log.epoch) continue;
-    if (grants_.Ready(NameOf(log.number))) {
-      GainShard(std::move(log), now);
+    if (grants_.Ready(ShardNameOf(log.number))) {
+      AddShard(std::move(log), now);
     } else {
-      opened_.push_back(std::move(log));
+      opened_logs_.push_back(std::move(log));
     }
   }
 }
 
-void node::GainShard(opened_log log, monotonic_time now) {
+void node::AddShard(opened_log log, monotonic_time now) {
   const uint32_t number = log.number;
   const uint64_t epoch = log.epoch;
   shard_options options;
-  options.name = NameOf(number);
+  options.name = ShardNameOf(number);
   options.is_evacuated = evacuated_names_.contains(number);
   options.epoch = epoch;
   options.link.sync_wait = config_.timing.sync_wait;
@@ -96,9 +96,9 @@
   gained->SetCellCapacity(cell_capacity_);
   if (const auto config = versions_.Order().Config()) gained->SetConfiguration(*config, now);
   gained->Restore(std::move(log.jobs), now);
-  GiveEndpoints(*gained, now);
+  AssignEndpoints(*gained, now);
   // The lives of an evacuated shard's endpoints stay recorded as they are, for its next owner.
-  if (!gained->IsEvacuated()) lives_.OnGained(*gained, now);
+  if (!gained->IsEvacuated()) incarnations_.OnGained(*gained, now);
   routes_.OnReport(config_.name, gained->Report(), now);
   shards_[number] = std::move(gained);
   Announce(now);
@@ -107,9 +107,9 @@
   log_.Emit(event_code::kShardClaimed, now, {}, epoch, options.name);
 }
 
-void node::LoseShard(uint32_t number, monotonic_time now) {
+void node::RemoveShard(uint32_t number, monotonic_time now) {
   jobs_.OnLost(number);
-  grants_.OnLost(NameOf(number));
+  grants_.OnLost(ShardNameOf(number));
   evacuated_names_.erase(number);
   const auto found = shards_.find(number);
   if (found == shards_.end()) return;
@@ -117,28 +117,28 @@
   log_.Emit(shutting_down_ ? event_code::kShardReleased : event_code::kShardLost, now, {},
             found->second->Epoch(), name);
   shards_.erase(found);
-  lives_.OnLost(name);
+  incarnations_.OnLost(name);
   routes_.OnNotOwner(config_.name, name, now);
   table_.OnNewOwner(name, now);
 }
 
 // Whole racks belong to one shard, by rendezvous hash, so that racks that come and go move no
 // others.
-void node::GiveEndpoints(shard& to, monotonic_time now) {
-  if (!turns_.HasList()) return;
-  std::vector<instance> given;
+void node::AssignEndpoints(shard& to, monotonic_time now) {
+  if (!instance_polling_.HasList()) return;
+  std::vector<instance> assigned;
   const std::vector<std::string> names = routes_.ShardsOfDomain(config_.failure_domain);
   for (const instance& from : own_endpoints_) {
     const auto weight = [&](const std::string& name) { return DeriveRequestId(name, from.rack); };
     const auto home = std::max_element(
         names.begin(), names.end(),
         [&](const std::string& a, const std::string& b) { return weight(a) < weight(b); });
-    if (home != names.end() && *home == to.Name()) given.push_back(from);
+    if (home != names.end() && *home == to.Name()) assigned.push_back(from);
   }
-  to.SetEndpoints(given, now);
+  to.SetEndpoints(assigned, now);
 }
 
-shard* node::Held(uint32_t number, uint64_t epoch) {
+shard* node::FindOwnedShard(uint32_t number, uint64_t epoch) {
   const auto found = shards_.find(number);
   if (found == shards_.end() || found->second->Epoch() != epoch) return nullptr;
   return found->second.get();
@@ -153,42 +153,44 @@
 
 // ---- Actions of shards ---------------------------------------------------------------------
 
-void node::ActShards(monotonic_time now) {
+void node::RunShardActions(monotonic_time now) {
   std::vector<std::pair<uint32_t, uint64_t>> held;
   held.reserve(shards_.size());
   for (const auto& [number, at] : shards_) held.emplace_back(number, at->Epoch());
   for (const auto& [number, epoch] : held) {
-    shard* from = Held(number, epoch);
+    shard* from = FindOwnedShard(number, epoch);
     if (from == nullptr) continue;
     std::vector<shard_action> actions;
     from->Act(now, actions);
     for (shard_action& action : actions) {
       // An action may end the ownership of its own shard.
-      from = Held(number, epoch);
+      from = FindOwnedShard(number, epoch);
       if (from == nullptr) break;
-      std::visit([&](auto& what) { Do(number, *from, std::move(what), now); }, action);
+      std::visit([&](auto& what) { Execute(number, *from, std::move(what), now); }, action);
     }
   }
 }
 
-void node::Do(uint32_t number, shard& from, const fence_action& action, monotonic_time /*now*/) {
+void node::Execute(uint32_t number, shard& from, const fence_action& action,
+                   monotonic_time /*now*/) {
   endpoints_.Fence(
       from.Address(action.endpoint), action.token,
       [this, number, epoch = from.Epoch(), action](endpoint_reply reply) {
         Post([this, number, epoch, action, reply = std::move(reply)](monotonic_time at) {
-          shard* to = Held(number, epoch);
+          shard* to = FindOwnedShard(number, epoch);
           if (to != nullptr) to->OnFence(action.endpoint, action.token, reply, at);
         });
       });
 }
 
-void node::Do(uint32_t number, shard& from, const sync_action& action, monotonic_time /*now*/) {
+void node::Execute(uint32_t number, shard& from, const sync_action& action,
+                   monotonic_time /*now*/) {
   endpoints_.Sync(
       from.Address(action.endpoint), action.call,
       [this, number, epoch = from.Epoch(), endpoint = action.endpoint,
        token = action.call.epoch](endpoint_reply reply) {
         Post([this, number, epoch, endpoint, token, reply = std::move(reply)](monotonic_time at) {
-          shard* to = Held(number, epoch);
+          shard* to = FindOwnedShard(number, epoch);
           if (to != nullptr) to->OnSync(endpoint, token, reply, at);
         });
       },
@@ -199,7 +201,7 @@
 // core decided, for longer than its lease. Without this check a start goes out that the successor
 // has also sent, seen as two start events of one task in the time line; the endpoint's refusal of
 // our lower epoch closes what remains between this line and the wire.
-void node::Do(uint32_t number, shard& from, const start_action& action, monotonic_time now) {
+void node::Execute(uint32_t number, shard& from, const start_action& action, monotonic_time now) {
   if (!ownership_.MayStart(number, steady_clock::now())) {
     from.OnStartNotSent(action, now);
     return;
@@ -212,57 +214,61 @@
       from.Address(action.endpoint), action.token, action.tasks,
       [this, number, epoch = from.Epoch(), action](endpoint_reply reply) {
         Post([this, number, epoch, action, reply = std::move(reply)](monotonic_time at) {
-          shard* to = Held(number, epoch);
+          shard* to = FindOwnedShard(number, epoch);
           if (to == nullptr) return;
           to->OnStart(action.endpoint, action.token, action.tasks, reply, at);
         });
       });
 }
 
-void node::Do(uint32_t /*number*/, shard& from, const stop_action& action, monotonic_time /*now*/) {
+void node::Execute(uint32_t /*number*/, shard& from, const stop_action& action,
+                   monotonic_time /*now*/) {
   // Its end comes by the next sync; a stop that is lost is sent again by the core's next decision.
   endpoints_.Stop(from.Address(action.endpoint), action.token, action.ids, action.checkpoint,
                   [](const endpoint_reply&) {});
 }
 
-void node::Do(uint32_t /*number*/, shard& /*from*/, answer_action action, monotonic_time now) {
+void node::Execute(uint32_t /*number*/, shard& /*from*/, answer_action action, monotonic_time now) {
   Send(action.entry, outcome_message{std::move(action.result)}, now);
 }
 
-void node::Do(uint32_t /*number*/, shard& /*from*/, status_action action, monotonic_time now) {
+void node::Execute(uint32_t /*number*/, shard& /*from*/, status_action action, monotonic_time now) {
   action.answer.owner = config_.name;
   Send(action.entry, std::move(action.answer), now);
 }
 
-void node::Do(uint32_t number, shard& from, const record_action& action, monotonic_time now) {
+void node::Execute(uint32_t number, shard& from, const record_action& action, monotonic_time now) {
   jobs_.Record(number, action, from, now);
 }
 
-void node::Do(uint32_t number, shard& from, const part_action& action, monotonic_time now) {
+void node::Execute(uint32_t number, shard& from, const part_action& action, monotonic_time now) {
   PlacePart(number, from, action.call, now);
 }
 
-void node::Do(uint32_t /*number*/, shard& /*from*/, part_answer_action action, monotonic_time now) {
+void node::Execute(uint32_t /*number*/, shard& /*from*/, part_answer_action action,
+                   monotonic_time now) {
   Send(action.entry, std::move(action.answer), now);
 }
 
-void node::Do(uint32_t number, shard& from, const withdraw_action& action, monotonic_time now) {
+void node::Execute(uint32_t number, shard& from, const withdraw_action& action,
+                   monotonic_time now) {
   jobs_.Withdraw(number, action.job, from, now);
 }
 
-void node::Do(uint32_t number, shard& from, const complete_action& action, monotonic_time now) {
+void node::Execute(uint32_t number, shard& from, const complete_action& action,
+                   monotonic_time now) {
   jobs_.Complete(number, action, from, now);
 }
 
-void node::Do(uint32_t number, shard& /*from*/, const superseded_action& action,
-              monotonic_time now) {
+void node::Execute(uint32_t number, shard& /*from*/, const superseded_action& action,
+                   monotonic_time now) {
   metrics_.fenced_off.Increment();
   ownership_actions actions;
   ownership_.OnFenced(number, action.epoch, now, actions);
-  TakeOwnership(actions, now);
+  ApplyOwnershipActions(actions, now);
 }
 
-void node::Do(uint32_t /*number*/, shard& from, event_action action, monotonic_time now) {
+void node::Execute(uint32_t /*number*/, shard& from, event_action action, monotonic_time now) {
   log_.Emit(action.code, now, action.id, from.Epoch(), std::move(action.subject),
             std::move(action.detail));
 }
--- a/src/process/node_status.cc
+++ b/src/process/node_status.cc
@@ -10,55 +10,55 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kOwnersAnswer{1000};   // for a status question to all owners
-constexpr milliseconds kStatusInterval{100};  // between questions of one that waits
-constexpr milliseconds kCancelAnswer{10000};
+constexpr milliseconds kOwnersAnswerTimeout{1000};  // for a status question to all owners
+constexpr milliseconds kStatusPollInterval{100};    // between questions of one that waits
+constexpr milliseconds kCancelAnswerTimeout{10000};
 constexpr char kNoSuchJob[] = "no owner that answered knows this job";
-constexpr char kHomeSilent[] = "the shard that answers for the whole job cannot be reached";
+constexpr char kHomeUnreachable[] = "the shard that answers for the whole job cannot be reached";
 
 }  // namespace
 
 void node::Handle(http_server::token token, const std::string& key, const status_call& call,
                   monotonic_time now) {
-  open_status question;
-  question.token = token;
-  question.id = call.id;
-  question.wait_until = now + std::min(call.wait, config_.timing.max_deadline);
-  OpenStatus(key, std::move(question), now);
+  open_status request;
+  request.token = token;
+  request.id = call.id;
+  request.wait_until = now + std::min(call.wait, config_.timing.max_deadline);
+  OpenStatus(key, std::move(request), now);
 }
 
 void node::Handle(http_server::token token, const std::string& key, const cancel_call& call,
                   monotonic_time now) {
-  open_status question;
-  question.token = token;
-  question.id = call.id;
-  question.cancel = true;
-  OpenStatus(key, std::move(question), now);
+  open_status request;
+  request.token = token;
+  request.id = call.id;
+  request.cancel = true;
+  OpenStatus(key, std::move(request), now);
 }
 
-void node::OpenStatus(const std::string& key, open_status question, monotonic_time now) {
+void node::OpenStatus(const std::string& key, open_status request, monotonic_time now) {
   const std::optional<key_holder> holder = HolderOf(key, now);
   if (!holder) {
-    front_.Respond(question.token, ErrorResponse(401, "unknown_key"));
+    front_.Respond(request.token, ErrorResponse(401, "unknown_key"));
     return;
   }
-  question.team = holder->team;
+  request.team = holder->team;
   const uint64_t query = next_query_++;
-  open_status& open = statuses_[query] = std::move(question);
-  AskStatus(query, open, now);
+  open_status& open = statuses_[query] = std::move(request);
+  QueryOwners(query, open, now);
 }
 
 // Asks the owner of each shard: an identity does not tell where it lives when it was placed by
 // load, and a spread job lives in several.
-void node::AskStatus(uint64_t query, open_status& open, monotonic_time now) {
-  open.give_up = now + kOwnersAnswer;
-  open.next_ask = monotonic_time::max();
-  std::set<std::string> asked;
+void node::QueryOwners(uint64_t query, open_status& open, monotonic_time now) {
+  open.deadline = now + kOwnersAnswerTimeout;
+  open.next_poll = monotonic_time::max();
+  std::set<std::string> queried;
   for (const auto& [name, route] : routes_.Routes()) {
-    if (routes_.OwnerOf(name, now)) asked.insert(name);
+    if (routes_.OwnerOf(name, now)) queried.insert(name);
   }
-  open.heard.Ask(asked);
-  for (const std::string& name : asked) {
+  open.status.Ask(queried);
+  for (const std::string& name : queried) {
     Send(*routes_.OwnerOf(name, now), status_query{open.id, name, query}, now);
   }
 }
@@ -67,20 +67,20 @@
   const auto found = statuses_.find(answer.query);
   if (found == statuses_.end()) return;
   open_status& open = found->second;
-  status_answer heard = answer;
+  status_answer status = answer;
   // Another team's job is as unknown to this caller as one that never was.
-  heard.known = answer.known && (open.team.empty() || open.team == answer.team);
-  open.heard.Hear(heard);
-  const status_answer* home = open.heard.Home();
+  status.known = answer.known && (open.team.empty() || open.team == answer.team);
+  open.status.Hear(status);
+  const status_answer* home = open.status.Home();
   if (open.cancel && home != nullptr) {
     SendCancel(open, *home, now);
     statuses_.erase(found);
     return;
   }
-  if (!open.heard.IsWhole()) return;
+  if (!open.status.IsWhole()) return;
   if (home != nullptr && !home->ended && now < open.wait_until) {
-    open.next_ask = now + kStatusInterval;
-    open.give_up = monotonic_time::max();
+    open.next_poll = now + kStatusPollInterval;
+    open.deadline = monotonic_time::max();
     return;
   }
   AnswerStatus(answer.query, now);
@@ -88,7 +88,7 @@
 
 // The home of a spread job tells the other shards.
 void node::SendCancel(const open_status& open, const status_answer& home, monotonic_time now) {
-  cancels_[open.id].push_back({open.token, now + kCancelAnswer});
+  cancels_[open.id].push_back({open.token, now + kCancelAnswerTimeout});
   Send(home.owner, cancel_message{open.id, home.shard, "", 0}, now);
 }
 
@@ -96,9 +96,9 @@
   const auto found = statuses_.find(query);
   const open_status& open = found->second;
   if (!open.cancel) {
-    front_.Respond(open.token, open.heard.Response(open.id));
+    front_.Respond(open.token, open.status.Response(open.id));
   } else {
-    const char* why = open.heard.IsKnown() ? kHomeSilent : kNoSuchJob;
+    const char* why = open.status.IsKnown() ? kHomeUnreachable : kNoSuchJob;
     front_.Respond(open.token, ToResponse(UnknownOutcome(open.id, why)));
   }
   statuses_.erase(found);
@@ -107,12 +107,12 @@
 void node::TickStatus(monotonic_time now) {
   std::vector<uint64_t> over;
   for (auto& [query, open] : statuses_) {
-    if (now >= open.next_ask) AskStatus(query, open, now);
-    if (now >= open.give_up) over.push_back(query);
+    if (now >= open.next_poll) QueryOwners(query, open, now);
+    if (now >= open.deadline) over.push_back(query);
   }
   for (const uint64_t query : over) {
     const auto found = statuses_.find(query);
-    if (found->second.heard.IsKnown()) {
+    if (found->second.status.IsKnown()) {
       AnswerStatus(query, now);
       continue;
     }
@@ -122,7 +122,7 @@
   }
   std::vector<request_id> late;
   for (const auto& [id, waiting] : cancels_) {
-    if (now >= waiting.front().give_up) late.push_back(id);
+    if (now >= waiting.front().deadline) late.push_back(id);
   }
   for (const request_id& id : late) {
     OnOutcome(UnknownOutcome(id, "cancelled, its end is not known yet"), now);
--- a/test/config_keeper_test.cc
+++ b/test/config_store_test.cc
@@ -1,4 +1,4 @@
-#include "process/config_keeper.h"
+#include "process/config_store.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -29,20 +29,20 @@
 }
 
 // Entries' keepers over one store stand-in. What they hand to the core thread runs here.
-class config_keeper_fixture {
+class config_store_fixture {
  public:
-  config_keeper_fixture() {
+  config_store_fixture() {
     store_.Start();
     http_.Start();
     url_ = absl::StrCat("http://127.0.0.1:", store_.Port());
     adapter_ = std::make_unique<store_adapter>(http_, url_, milliseconds{300});
   }
-  ~config_keeper_fixture() { http_.Stop(); }
+  ~config_store_fixture() { http_.Stop(); }
 
  protected:
   // Lives as long as the fixture: replies to what it asked may still come.
-  config_keeper* NewEntry() {
-    entries_.push_back(std::make_unique<config_keeper>(
+  config_store* NewEntry() {
+    entries_.push_back(std::make_unique<config_store>(
         *adapter_, milliseconds{600000}, bounds_,
         [this](std::function<void(monotonic_time)> task) {
           const std::lock_guard lock(mutex_);
@@ -67,7 +67,7 @@
     return true;
   }
 
-  change_result Change(config_keeper& entry, uint64_t expect, const std::string& workspace) {
+  change_result Change(config_store& entry, uint64_t expect, const std::string& workspace) {
     std::optional<change_result> result;
     entry.Change(expect, Document(workspace), {absl::StrCat("id-", ++ids_), "night", {}, workspace},
                  [&](const change_result& end, monotonic_time) { result = end; });
@@ -76,11 +76,11 @@
   }
 
   // Tries again as an operator does: reads what is in force and changes that.
-  uint64_t ChangeForSure(config_keeper& entry, const std::string& workspace) {
+  uint64_t ChangeForSure(config_store& entry, const std::string& workspace) {
     for (int i = 0; i < 50; ++i) {
       CatchUp(entry);
       const change_result result = Change(entry, entry.Order().Version(), workspace);
-      if (result.end == change_end::kDone) return result.version;
+      if (result.end == change_outcome::kDone) return result.version;
       CatchUp(entry);
       // What became of a change whose answer was lost.
       if (WithoutSignature(entry.Order().Text()) == Document(workspace)) {
@@ -90,7 +90,7 @@
     return 0;
   }
 
-  void CatchUp(config_keeper& entry) {
+  void CatchUp(config_store& entry) {
     bool answered = false;
     while (!answered) {
       bool heard = false;
@@ -102,7 +102,7 @@
     }
   }
 
-  std::vector<past_version> History(config_keeper& entry) {
+  std::vector<past_version> History(config_store& entry) {
     std::optional<std::vector<past_version>> list;
     bool heard = false;
     entry.History([&](std::optional<std::vector<past_version>> versions, monotonic_time) {
@@ -121,7 +121,7 @@
     return words;
   }
 
-  std::string TextOf(config_keeper& entry, uint64_t version) {
+  std::string TextOf(config_store& entry, uint64_t version) {
     std::string text;
     bool heard = false;
     entry.TextOf(
@@ -152,7 +152,7 @@
   history_bounds bounds_{200, 16U << 20};
   std::mutex mutex_;
   std::deque<std::function<void(monotonic_time)>> tasks_;
-  std::vector<std::unique_ptr<config_keeper>> entries_;
+  std::vector<std::unique_ptr<config_store>> entries_;
   int ids_ = 0;
 };
 
@@ -160,12 +160,12 @@
 
 // All entries are replaced, as happens on any day. An operator who looks for last week's change
 // must still find it, with who made it, and what it was.
-TEST_CASE_METHOD(config_keeper_fixture, "history, all entries replaced, is still there",
+TEST_CASE_METHOD(config_store_fixture, "history, all entries replaced, is still there",
                  "[history]") {
   std::vector<uint64_t> versions;
-  config_keeper* const first = NewEntry();
+  config_store* const first = NewEntry();
   for (const char* name : {"a", "b", "c"}) versions.push_back(ChangeForSure(*first, name));
-  config_keeper* const second = NewEntry();
+  config_store* const second = NewEntry();
   const std::vector<past_version> list = History(*second);
   CHECK(Whats(list) == std::vector<std::string>{"a", "b", "c"});
   CHECK(list[0].by == "night");
@@ -177,16 +177,16 @@
 
 // An entry dies after it kept the version in force and before the swap. The version was never
 // superseded: it must show once, also after another entry has made the change.
-TEST_CASE_METHOD(config_keeper_fixture, "history, writer dies before its swap, shows nothing twice",
+TEST_CASE_METHOD(config_store_fixture, "history, writer dies before its swap, shows nothing twice",
                  "[history]") {
-  config_keeper* const entry = NewEntry();
+  config_store* const entry = NewEntry();
   const uint64_t version = ChangeForSure(*entry, "a");
-  history_keeper dying(*adapter_, bounds_, [this](std::function<void(monotonic_time)> task) {
+  config_history_store dying(*adapter_, bounds_, [this](std::function<void(monotonic_time)> task) {
     const std::lock_guard lock(mutex_);
     tasks_.push_back(std::move(task));
   });
-  std::optional<keep_end> kept;
-  dying.Keep(version, entry->Order().Text(), [&](keep_end end, monotonic_time) { kept = end; });
+  std::optional<save_outcome> kept;
+  dying.Save(version, entry->Order().Text(), [&](save_outcome end, monotonic_time) { kept = end; });
   REQUIRE(Eventually([&] { return kept.has_value(); }));
   CHECK(Whats(History(*entry)) == std::vector<std::string>{"a"});
   ChangeForSure(*entry, "b");
@@ -195,10 +195,10 @@
 
 // Two operators change the same version at two entries. The one that lost was never in force: in
 // the list it would look as if it had been, and a diff would show a change that nobody made.
-TEST_CASE_METHOD(config_keeper_fixture, "history, operators race, has only versions in force",
+TEST_CASE_METHOD(config_store_fixture, "history, operators race, has only versions in force",
                  "[history]") {
-  config_keeper* const one = NewEntry();
-  config_keeper* const other = NewEntry();
+  config_store* const one = NewEntry();
+  config_store* const other = NewEntry();
   const uint64_t base = ChangeForSure(*one, "base");
   CatchUp(*other);
   std::vector<change_result> results;
@@ -206,8 +206,8 @@
   one->Change(base, Document("x"), {"id-x", "night", {}, "x"}, note);
   other->Change(base, Document("y"), {"id-y", "day", {}, "y"}, note);
   REQUIRE(Eventually([&] { return results.size() == 2; }));
-  const bool first_won = results[0].end == change_end::kDone;
-  CHECK(results[first_won ? 1 : 0].end == change_end::kConflict);
+  const bool first_won = results[0].end == change_outcome::kDone;
+  CHECK(results[first_won ? 1 : 0].end == change_outcome::kConflict);
   CatchUp(*one);
   const std::string winner = SignatureOf(one->Order().Text()).what;
   CHECK(Whats(History(*other)) == std::vector<std::string>{"base", winner});
@@ -215,25 +215,25 @@
 
 // An operator reads the version from an entry that is ahead of the one that takes the change. What
 // that entry has in memory is not what stands there and must not be kept under its number.
-TEST_CASE_METHOD(config_keeper_fixture, "history, change at an entry that lags, misses no version",
+TEST_CASE_METHOD(config_store_fixture, "history, change at an entry that lags, misses no version",
                  "[history]") {
-  config_keeper* const ahead = NewEntry();
-  config_keeper* const behind = NewEntry();
+  config_store* const ahead = NewEntry();
+  config_store* const behind = NewEntry();
   ChangeForSure(*ahead, "a");
   CatchUp(*behind);
   const uint64_t second = ChangeForSure(*ahead, "b");
   CHECK(behind->Order().Version() < second);
-  CHECK(Change(*behind, second, "c").end == change_end::kDone);
+  CHECK(Change(*behind, second, "c").end == change_outcome::kDone);
   CHECK(Whats(History(*ahead)) == std::vector<std::string>{"a", "b", "c"});
   CHECK(TextOf(*ahead, second) == Document("b"));
 }
 
 // The store does what it is told and does not say so. Each change must still be made once and stand
 // once in the list, whichever of its writes lost its reply.
-TEST_CASE_METHOD(config_keeper_fixture, "history, replies of the store lost, misses no version",
+TEST_CASE_METHOD(config_store_fixture, "history, replies of the store lost, misses no version",
                  "[history]") {
-  config_keeper* const one = NewEntry();
-  config_keeper* const other = NewEntry();
+  config_store* const one = NewEntry();
+  config_store* const other = NewEntry();
   ChangeForSure(*one, "w0");
   SetStore(R"({"mode":"lose_replies","ratio":0.4})");
   std::vector<std::string> names = {"w0"};
@@ -248,22 +248,22 @@
 
 // With the store down nothing can be kept, and so nothing changed: the operator is told so, and not
 // that it may have been.
-TEST_CASE_METHOD(config_keeper_fixture, "history, store down, refuses the change as not made",
+TEST_CASE_METHOD(config_store_fixture, "history, store down, refuses the change as not made",
                  "[history]") {
-  config_keeper* const entry = NewEntry();
+  config_store* const entry = NewEntry();
   const uint64_t version = ChangeForSure(*entry, "a");
   SetStore(R"({"mode":"down"})");
-  CHECK(Change(*entry, version, "b").end == change_end::kUnavailable);
+  CHECK(Change(*entry, version, "b").end == change_outcome::kUnavailable);
   SetStore(R"({"mode":"up"})");
   CHECK(Whats(History(*entry)) == std::vector<std::string>{"a"});
 }
 
 // A site changes its contracts for years. The store must not fill with texts.
-TEST_CASE_METHOD(config_keeper_fixture, "history, over its bound, deletes texts in the store",
+TEST_CASE_METHOD(config_store_fixture, "history, over its bound, deletes texts in the store",
                  "[history]") {
   bounds_.versions = 3;
-  config_keeper* const one = NewEntry();
-  config_keeper* const other = NewEntry();
+  config_store* const one = NewEntry();
+  config_store* const other = NewEntry();
   for (int i = 0; i < 12; ++i) ChangeForSure(i % 2 == 0 ? *one : *other, absl::StrCat("w", i));
   CHECK(History(*one).size() >= 3);
   CHECK(History(*one).size() <= 4);         // the one in force may be listed or not
