--- a/src/main/catkinford.cc
+++ b/src/main/catkinford.cc
@@ -78,22 +78,22 @@
 }
 
 // Abseil's own help lists flags of libraries; ours tells of the command.
-bool AsksForHelp(int argc, char** argv, std::vector<std::string>& words) {
-  bool asks = false;
+bool WantsHelp(int argc, char** argv, std::vector<std::string>& arguments) {
+  bool wants_help = false;
   for (int i = 1; i < argc; ++i) {
-    const std::string word = argv[i];
-    if (word == "--help" || word == "-h" || word == "-help") {
-      asks = true;
-    } else if (word != "help") {
-      words.push_back(word);
+    const std::string argument = argv[i];
+    if (argument == "--help" || argument == "-h" || argument == "-help") {
+      wants_help = true;
+    } else if (argument != "help") {
+      arguments.push_back(argument);
     } else {
-      asks = asks || i == 1;
+      wants_help = wants_help || i == 1;
     }
   }
-  return asks;
+  return wants_help;
 }
 
-int Misused(const std::string& why) {
+int UsageError(const std::string& why) {
   std::cerr << "catkinford: " << why << "\n";
   return static_cast<int>(catkinford::exit_code::kUsage);
 }
@@ -101,23 +101,24 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  std::vector<std::string> asked;
-  if (AsksForHelp(argc, argv, asked)) {
-    std::cout << catkinford::HelpOn(asked);
+  std::vector<std::string> help_topic;
+  if (WantsHelp(argc, argv, help_topic)) {
+    std::cout << catkinford::HelpOn(help_topic);
     return 0;
   }
   if (const auto error = catkinford::CheckFlags({argv + 1, argv + argc})) {
-    return Misused(catkinford::ToText(*error));
+    return UsageError(catkinford::ToText(*error));
   }
   absl::SetProgramUsageMessage("catkinford COMMAND [arguments] [--flag value ...]");
   const std::vector<char*> parsed = absl::ParseCommandLine(argc, argv);
-  const std::vector<std::string> words(parsed.begin() + 1, parsed.end());
+  const std::vector<std::string> arguments(parsed.begin() + 1, parsed.end());
   const std::string output = absl::GetFlag(FLAGS_output);
-  if (output != "text" && output != "json") return Misused("--output is text or json");
-  if (absl::GetFlag(FLAGS_timeout) < absl::Milliseconds(1)) return Misused("--timeout is above 0");
+  if (output != "text" && output != "json") return UsageError("--output is text or json");
+  if (absl::GetFlag(FLAGS_timeout) < absl::Milliseconds(1))
+    return UsageError("--timeout is above 0");
   for (const absl::Duration time : {absl::GetFlag(FLAGS_wait_limit), absl::GetFlag(FLAGS_deadline),
                                     absl::GetFlag(FLAGS_run_time)}) {
-    if (time < absl::ZeroDuration()) return Misused("a duration is below 0");
+    if (time < absl::ZeroDuration()) return UsageError("a duration is below 0");
   }
   catkinford::entry_client_options client;
   const std::string entries = FlagOrEnvironment(absl::GetFlag(FLAGS_entry), "CATKINFORD_ENTRY");
@@ -125,7 +126,7 @@
   for (std::string& entry : client.entries) {
     const std::optional<std::string> base = catkinford::BaseUrl(entry);
     if (!base)
-      return Misused("--entry: " + entry + " is not http://HOST:PORT or https://HOST:PORT");
+      return UsageError("--entry: " + entry + " is not http://HOST:PORT or https://HOST:PORT");
     entry = *base;
   }
   client.key = FlagOrEnvironment(absl::GetFlag(FLAGS_key), "CATKINFORD_KEY");
@@ -134,5 +135,5 @@
   http.Start();
   catkinford::entry_client calls(http, std::move(client));
   catkinford::command_line commands(OptionsFromFlags(), calls, std::cout, std::cerr);
-  return commands.Run(words);
+  return commands.Run(arguments);
 }
--- a/src/main/catkinfordd.cc
+++ b/src/main/catkinfordd.cc
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr int kNoSettings = 2;
+constexpr int kSettingsMissing = 2;
 constexpr int kPortTaken = 3;
 
 constexpr int kNoCertificate = 4;
@@ -38,7 +38,7 @@
   }
 }
 
-int Explain(catkinford::start_fault fault) {
+int PrintStartFault(catkinford::start_fault fault) {
   switch (fault) {
     case catkinford::start_fault::kNone:
       return 0;
@@ -73,7 +73,7 @@
 
   catkinford::node entry(std::move(config));
   const catkinford::start_fault fault = entry.Start();
-  if (fault != catkinford::start_fault::kNone) return Explain(fault);
+  if (fault != catkinford::start_fault::kNone) return PrintStartFault(fault);
   WaitForSignal(signals, entry);
   entry.BeginShutdown();
   entry.Wait();
@@ -91,7 +91,7 @@
   }
   if (absl::GetFlag(FLAGS_settings).empty()) {
     std::fputs("catkinfordd: --settings FILE is needed\n", stderr);
-    return kNoSettings;
+    return kSettingsMissing;
   }
   return catkinford::leaf::try_handle_all(
       []() -> catkinford::leaf::result<int> {
@@ -102,5 +102,5 @@
         std::fprintf(stderr, "catkinfordd: %s\n", catkinford::ToText(error).c_str());
         return catkinford::ExitCode(error.fault);
       },
-      [] { return kNoSettings; });
+      [] { return kSettingsMissing; });
 }
--- a/src/process/command_context.cc
+++ b/src/process/command_context.cc
@@ -12,7 +12,7 @@
 using nlohmann::json;
 
 // `word` is the typed error of the answer.
-exit_code CodeOfStatus(int status, const std::string& word) {
+exit_code CodeOfStatus(int status, const std::string& error) {
   switch (status) {
     case 401:
     case 403:
@@ -26,7 +26,7 @@
     case 413:
       return exit_code::kUsage;
     case 422:
-      return word == "contract" ? exit_code::kContract : exit_code::kUsage;
+      return error == "contract" ? exit_code::kContract : exit_code::kUsage;
     case 504:
       return exit_code::kUnknown;
     default:
@@ -48,38 +48,38 @@
   return found != object.end() && found->is_number_unsigned() ? found->get<uint64_t>() : 0;
 }
 
-entry_answer Ask(command_context& context, const std::string& method, const std::string& path,
-                 const std::string& body) {
+entry_answer CallEntry(command_context& context, const std::string& method, const std::string& path,
+                       const std::string& body) {
   entry_answer answer;
   answer.result = context.entries.Call(method, path, body);
   answer.body = json::parse(answer.result.body, nullptr, false);
   return answer;
 }
 
-exit_code Explain(command_context& context, const entry_answer& answer) {
+exit_code PrintFailure(command_context& context, const entry_answer& answer) {
   if (context.entries.Entries().empty()) {
     context.err << "catkinford: which entry? give --entry http://HOST:PORT or CATKINFORD_ENTRY\n";
     return exit_code::kUsage;
   }
   if (answer.result.status != transfer_status::kDone) {
     const bool sent = answer.result.status == transfer_status::kMaybeSent;
-    const char* word = sent ? "no_answer" : "unreachable";
-    if (context.options.json) context.out << json{{"error", word}}.dump() << "\n";
+    const char* error = sent ? "no_answer" : "unreachable";
+    if (context.options.json) context.out << json{{"error", error}}.dump() << "\n";
     context.err << "catkinford: "
                 << (sent ? "no answer in time; it may have been done\n"
                          : "no entry can be reached\n");
     return sent ? exit_code::kUnknown : exit_code::kUnreachable;
   }
   if (context.options.json) context.out << answer.result.body << "\n";
-  const std::string word = TextField(answer.body, "error");
+  const std::string error = TextField(answer.body, "error");
   context.err << "catkinford: " << answer.result.code << " "
-              << (word.empty() ? answer.result.body : word);
+              << (error.empty() ? answer.result.body : error);
   for (const char* field : {"fault", "path", "value", "detail", "reason"}) {
     const std::string text = TextField(answer.body, field);
     if (!text.empty()) context.err << " " << field << "=" << text;
   }
   context.err << "\n";
-  return CodeOfStatus(answer.result.code, word);
+  return CodeOfStatus(answer.result.code, error);
 }
 
 std::optional<std::string> ReadFile(command_context& context, const std::string& name) {
--- a/src/process/command_line.cc
+++ b/src/process/command_line.cc
@@ -15,9 +15,9 @@
 struct command_entry {
   const char* name;       // its words
   const char* arguments;  // as shown in the help
-  size_t least;           // words after the name
-  size_t most;
-  int (*run)(command_context& context, const command_words& words);
+  size_t min_arguments;   // words after the name
+  size_t max_arguments;
+  int (*run)(command_context& context, const command_arguments& words);
   const char* help;
   const char* example;
 };
@@ -133,7 +133,7 @@
     "not show in the list of processes), --output text|json, --timeout 30s, --ca_file FILE.\n";
 
 // The entry whose words `words` begins with.
-const command_entry* FindCommand(const command_words& words) {
+const command_entry* FindCommand(const command_arguments& words) {
   const auto begins = [&words](const command_entry& entry) {
     const std::vector<std::string> name = absl::StrSplit(entry.name, ' ');
     return name.size() <= words.size() && std::equal(name.begin(), name.end(), words.begin());
@@ -142,7 +142,7 @@
   return found == kCommands.end() ? nullptr : &*found;
 }
 
-size_t WordsIn(const char* name) {
+size_t CountWords(const char* name) {
   const std::vector<std::string> words = absl::StrSplit(name, ' ');
   return words.size();
 }
@@ -186,9 +186,9 @@
     err_ << HelpOn(words);
     return static_cast<int>(exit_code::kUsage);
   }
-  const command_words rest(words.begin() + static_cast<std::ptrdiff_t>(WordsIn(entry->name)),
-                           words.end());
-  if (rest.size() < entry->least || rest.size() > entry->most) {
+  const command_arguments rest(words.begin() + static_cast<std::ptrdiff_t>(CountWords(entry->name)),
+                               words.end());
+  if (rest.size() < entry->min_arguments || rest.size() > entry->max_arguments) {
     err_ << "usage: " << Usage(*entry) << "\n";
     return static_cast<int>(exit_code::kUsage);
   }
--- a/src/process/commands.h
+++ b/src/process/commands.h
@@ -15,7 +15,7 @@
 
 namespace catkinford {
 
-using command_words = std::vector<std::string>;
+using command_arguments = std::vector<std::string>;
 
 // What every command works with.
 struct command_context {
@@ -33,10 +33,10 @@
   bool IsGood() const { return result.status == transfer_status::kDone && result.code < 300; }
 };
 
-entry_answer Ask(command_context& context, const std::string& method, const std::string& path,
-                 const std::string& body);
+entry_answer CallEntry(command_context& context, const std::string& method, const std::string& path,
+                       const std::string& body);
 // Prints why a call came to nothing, and says what the exit code is.
-exit_code Explain(command_context& context, const entry_answer& answer);
+exit_code PrintFailure(command_context& context, const entry_answer& answer);
 // The file's text; nothing, and a word about it, where it cannot be read. "-" is standard input.
 std::optional<std::string> ReadFile(command_context& context, const std::string& name);
 // A field of an answer, or the fallback where it is missing or of another type.
@@ -44,33 +44,33 @@
 uint64_t NumberField(const nlohmann::json& object, std::string_view field);
 
 // Jobs (job_commands.cc).
-int RunSubmit(command_context& context, const command_words& words);
-int RunStatus(command_context& context, const command_words& words);
-int RunCancel(command_context& context, const command_words& words);
-int RunWait(command_context& context, const command_words& words);
+int RunSubmit(command_context& context, const command_arguments& arguments);
+int RunStatus(command_context& context, const command_arguments& arguments);
+int RunCancel(command_context& context, const command_arguments& arguments);
+int RunWait(command_context& context, const command_arguments& arguments);
 
 // Contracts (contract_commands.cc).
-int RunContractCheck(command_context& context, const command_words& words);
-int RunContractApply(command_context& context, const command_words& words);
-int RunContractRestore(command_context& context, const command_words& words);
-int RunContractRemove(command_context& context, const command_words& words);
-int RunContractGet(command_context& context, const command_words& words);
-int RunContractDiff(command_context& context, const command_words& words);
-int RunContractHistory(command_context& context, const command_words& words);
+int RunContractCheck(command_context& context, const command_arguments& arguments);
+int RunContractApply(command_context& context, const command_arguments& arguments);
+int RunContractRestore(command_context& context, const command_arguments& arguments);
+int RunContractRemove(command_context& context, const command_arguments& arguments);
+int RunContractGet(command_context& context, const command_arguments& arguments);
+int RunContractDiff(command_context& context, const command_arguments& arguments);
+int RunContractHistory(command_context& context, const command_arguments& arguments);
 
 // Keys (key_commands.cc).
-int RunKeyMake(command_context& context, const command_words& words);
-int RunKeyGrant(command_context& context, const command_words& words);
-int RunKeyWithdraw(command_context& context, const command_words& words);
-int RunKeyList(command_context& context, const command_words& words);
+int RunKeyMake(command_context& context, const command_arguments& arguments);
+int RunKeyGrant(command_context& context, const command_arguments& arguments);
+int RunKeyWithdraw(command_context& context, const command_arguments& arguments);
+int RunKeyList(command_context& context, const command_arguments& arguments);
 
 // The fleet (operator_commands.cc).
-int RunEndpointDrain(command_context& context, const command_words& words);
-int RunEndpointUndrain(command_context& context, const command_words& words);
-int RunDomainEvacuate(command_context& context, const command_words& words);
-int RunMembers(command_context& context, const command_words& words);
-int RunTimeline(command_context& context, const command_words& words);
-int RunCheckConfig(command_context& context, const command_words& words);
+int RunEndpointDrain(command_context& context, const command_arguments& arguments);
+int RunEndpointUndrain(command_context& context, const command_arguments& arguments);
+int RunDomainEvacuate(command_context& context, const command_arguments& arguments);
+int RunMembers(command_context& context, const command_arguments& arguments);
+int RunTimeline(command_context& context, const command_arguments& arguments);
+int RunCheckConfig(command_context& context, const command_arguments& arguments);
 
 }  // namespace catkinford
 
--- a/src/process/config_change.cc
+++ b/src/process/config_change.cc
@@ -12,7 +12,7 @@
 
 constexpr int kConflictStatus = 409;
 constexpr int kUnknownStatus = 504;  // the entry had no answer of the store
-constexpr int kTriesOnConflict = 8;
+constexpr int kMaxConflictAttempts = 8;
 constexpr size_t kDiffContext = 2;
 
 void PrintFault(command_context& context, const contract_error& error) {
@@ -69,8 +69,8 @@
 entry_answer Put(command_context& context, uint64_t expect, const std::string& text) {
   json body = {{"expect", expect}, {"text", text}};
   if (context.options.dry_run) body["dry_run"] = true;
-  return Ask(context, "PUT", "/v1/config",
-             body.dump(-1, ' ', false, json::error_handler_t::replace));
+  return CallEntry(context, "PUT", "/v1/config",
+                   body.dump(-1, ' ', false, json::error_handler_t::replace));
 }
 
 // Whether an entry's document is the one that was wanted. Not text by text: the entries sign what
@@ -83,8 +83,8 @@
 }
 
 // A change whose answer was lost: it was made if what is in force is exactly this text.
-int ReadBack(command_context& context, const std::string& wanted) {
-  const entry_answer now = Ask(context, "GET", "/v1/config", "");
+int VerifyChange(command_context& context, const std::string& wanted) {
+  const entry_answer now = CallEntry(context, "GET", "/v1/config", "");
   if (now.IsGood() && IsWanted(now, wanted)) return static_cast<int>(ShowChange(context, now));
   context.err << "catkinford: the answer was lost; see `catkinford contract get`\n";
   return static_cast<int>(exit_code::kUnknown);
@@ -136,8 +136,8 @@
 
 std::variant<fetched_config, exit_code> FetchConfig(command_context& context,
                                                     const std::string& query) {
-  const entry_answer answer = Ask(context, "GET", "/v1/config" + query, "");
-  if (!answer.IsGood()) return Explain(context, answer);
+  const entry_answer answer = CallEntry(context, "GET", "/v1/config" + query, "");
+  if (!answer.IsGood()) return PrintFailure(context, answer);
   fetched_config fetched;
   fetched.version = NumberField(answer.body, "version");
   fetched.text = TextField(answer.body, "text");
@@ -168,17 +168,17 @@
     if (context.options.dry_run && !context.options.json) PrintDiff(context, base.text, wanted);
     const entry_answer answer = Put(context, context.options.expect.value_or(base.version), wanted);
     if (answer.IsGood()) return static_cast<int>(ShowChange(context, answer));
-    const bool may_be_made =
+    const bool may_be_applied =
         answer.result.status == transfer_status::kMaybeSent || answer.result.code == kUnknownStatus;
-    if (may_be_made) return ReadBack(context, wanted);
+    if (may_be_applied) return VerifyChange(context, wanted);
     if (answer.result.status != transfer_status::kDone || answer.result.code != kConflictStatus) {
-      return static_cast<int>(Explain(context, answer));
+      return static_cast<int>(PrintFailure(context, answer));
     }
     // The first entry made it and its answer was lost; the second finds it made already.
     if (IsWanted(answer, wanted)) {
       return static_cast<int>(ShowChange(context, answer));
     }
-    if (conflict == on_conflict::kShowBoth || attempt == kTriesOnConflict) {
+    if (conflict == on_conflict::kShowBoth || attempt == kMaxConflictAttempts) {
       return static_cast<int>(ShowConflict(context, answer, base, wanted));
     }
   }
--- a/src/process/contract_commands.cc
+++ b/src/process/contract_commands.cc
@@ -21,28 +21,28 @@
 
 // The versions that are kept, oldest first; nothing after a failure that has been explained.
 std::variant<json, exit_code> FetchHistory(command_context& context) {
-  entry_answer answer = Ask(context, "GET", "/v1/config/history", "");
-  if (!answer.IsGood() || !answer.body.contains("versions")) return Explain(context, answer);
+  entry_answer answer = CallEntry(context, "GET", "/v1/config/history", "");
+  if (!answer.IsGood() || !answer.body.contains("versions")) return PrintFailure(context, answer);
   return std::move(answer.body["versions"]);
 }
 
-std::optional<uint64_t> VersionNumber(const std::string& word) {
+std::optional<uint64_t> VersionNumber(const std::string& argument) {
   uint64_t number = 0;
-  if (!absl::SimpleAtoi(word, &number) || number == 0) return std::nullopt;
+  if (!absl::SimpleAtoi(argument, &number) || number == 0) return std::nullopt;
   return number;
 }
 
-bool IsVersion(command_context& context, const std::string& word) {
-  if (VersionNumber(word)) return true;
-  context.err << "catkinford: " << word << " is not the number of a version\n";
+bool IsVersion(command_context& context, const std::string& argument) {
+  if (VersionNumber(argument)) return true;
+  context.err << "catkinford: " << argument << " is not the number of a version\n";
   return false;
 }
 
 // One version that is kept, or the one in force, in its canonical text.
 std::variant<fetched_config, exit_code> FetchVersion(command_context& context,
-                                                     const std::string& word) {
-  if (!IsVersion(context, word)) return exit_code::kUsage;
-  return FetchConfig(context, absl::StrCat("?version=", word));
+                                                     const std::string& argument) {
+  if (!IsVersion(context, argument)) return exit_code::kUsage;
+  return FetchConfig(context, absl::StrCat("?version=", argument));
 }
 
 int DiffVersions(command_context& context, const std::string& before, const std::string& after) {
@@ -57,7 +57,7 @@
 }
 
 // What no other part of the document can set right: the file says nothing of keys that are granted.
-void WarnOfFile(command_context& context, const configuration& config) {
+void PrintFileWarnings(command_context& context, const configuration& config) {
   for (const contract_warning& warning : WarningsOf({}, config, {})) {
     const bool concerns_keys = warning.kind == contract_warning_kind::kNoOperatorKey ||
                                warning.kind == contract_warning_kind::kTeamWithoutKeys;
@@ -65,20 +65,20 @@
   }
 }
 
-int DiffWithPresent(command_context& context, const std::string& before) {
+int DiffWithCurrent(command_context& context, const std::string& before) {
   const auto old_version = FetchVersion(context, before);
   if (const auto* code = std::get_if<exit_code>(&old_version)) return static_cast<int>(*code);
-  const auto present = FetchConfig(context);
-  if (const auto* code = std::get_if<exit_code>(&present)) return static_cast<int>(*code);
+  const auto current_version = FetchConfig(context);
+  if (const auto* code = std::get_if<exit_code>(&current_version)) return static_cast<int>(*code);
   PrintDiff(context, std::get<fetched_config>(old_version).text,
-            std::get<fetched_config>(present).text);
+            std::get<fetched_config>(current_version).text);
   return static_cast<int>(exit_code::kDone);
 }
 
 }  // namespace
 
-int RunContractCheck(command_context& context, const command_words& words) {
-  const std::variant<configuration, exit_code> read = ReadContracts(context, words[0]);
+int RunContractCheck(command_context& context, const command_arguments& arguments) {
+  const std::variant<configuration, exit_code> read = ReadContracts(context, arguments[0]);
   if (const auto* code = std::get_if<exit_code>(&read)) return static_cast<int>(*code);
   const auto& config = std::get<configuration>(read);
   size_t teams = 0;
@@ -88,12 +88,12 @@
   } else {
     context.out << "good: " << config.workspaces.size() << " workspaces, " << teams << " teams\n";
   }
-  WarnOfFile(context, config);
+  PrintFileWarnings(context, config);
   return static_cast<int>(exit_code::kDone);
 }
 
-int RunContractApply(command_context& context, const command_words& words) {
-  const std::variant<configuration, exit_code> read = ReadContracts(context, words[0]);
+int RunContractApply(command_context& context, const command_arguments& arguments) {
+  const std::variant<configuration, exit_code> read = ReadContracts(context, arguments[0]);
   if (const auto* code = std::get_if<exit_code>(&read)) return static_cast<int>(*code);
   const auto& file = std::get<configuration>(read);
   return ChangeConfig(context, on_conflict::kShowBoth, [&file](configuration& config) {
@@ -102,8 +102,8 @@
   });
 }
 
-int RunContractRestore(command_context& context, const command_words& words) {
-  const auto read = FetchVersion(context, words[0]);
+int RunContractRestore(command_context& context, const command_arguments& arguments) {
+  const auto read = FetchVersion(context, arguments[0]);
   if (const auto* code = std::get_if<exit_code>(&read)) return static_cast<int>(*code);
   const configuration& past = std::get<fetched_config>(read).config;
   return ChangeConfig(context, on_conflict::kShowBoth, [&past](configuration& config) {
@@ -112,17 +112,18 @@
   });
 }
 
-int RunContractRemove(command_context& context, const command_words& words) {
-  return ChangeConfig(context, on_conflict::kShowBoth, [&words](configuration& config) {
-    return RemoveWorkspace(config, words[0]);
+int RunContractRemove(command_context& context, const command_arguments& arguments) {
+  return ChangeConfig(context, on_conflict::kShowBoth, [&arguments](configuration& config) {
+    return RemoveWorkspace(config, arguments[0]);
   });
 }
 
-int RunContractGet(command_context& context, const command_words& words) {
-  if (!words.empty() && !IsVersion(context, words[0])) return static_cast<int>(exit_code::kUsage);
-  const std::string query = words.empty() ? "" : absl::StrCat("?version=", words[0]);
-  const entry_answer answer = Ask(context, "GET", absl::StrCat("/v1/config", query), "");
-  if (!answer.IsGood()) return static_cast<int>(Explain(context, answer));
+int RunContractGet(command_context& context, const command_arguments& arguments) {
+  if (!arguments.empty() && !IsVersion(context, arguments[0]))
+    return static_cast<int>(exit_code::kUsage);
+  const std::string query = arguments.empty() ? "" : absl::StrCat("?version=", arguments[0]);
+  const entry_answer answer = CallEntry(context, "GET", absl::StrCat("/v1/config", query), "");
+  if (!answer.IsGood()) return static_cast<int>(PrintFailure(context, answer));
   if (context.options.json) {
     context.out << answer.result.body << "\n";
   } else {
@@ -132,10 +133,10 @@
   return static_cast<int>(exit_code::kDone);
 }
 
-int RunContractDiff(command_context& context, const command_words& words) {
-  if (words.size() == 2) return DiffVersions(context, words[0], words[1]);
-  if (VersionNumber(words[0])) return DiffWithPresent(context, words[0]);
-  const std::variant<configuration, exit_code> read = ReadContracts(context, words[0]);
+int RunContractDiff(command_context& context, const command_arguments& arguments) {
+  if (arguments.size() == 2) return DiffVersions(context, arguments[0], arguments[1]);
+  if (VersionNumber(arguments[0])) return DiffWithCurrent(context, arguments[0]);
+  const std::variant<configuration, exit_code> read = ReadContracts(context, arguments[0]);
   if (const auto* code = std::get_if<exit_code>(&read)) return static_cast<int>(*code);
   const std::variant<fetched_config, exit_code> fetched = FetchConfig(context);
   if (const auto* code = std::get_if<exit_code>(&fetched)) return static_cast<int>(*code);
@@ -148,7 +149,7 @@
   return static_cast<int>(exit_code::kDone);
 }
 
-int RunContractHistory(command_context& context, const command_words& /*words*/) {
+int RunContractHistory(command_context& context, const command_arguments& /*words*/) {
   const std::variant<json, exit_code> history = FetchHistory(context);
   if (const auto* code = std::get_if<exit_code>(&history)) return static_cast<int>(*code);
   const json& versions = std::get<json>(history);
--- a/src/process/event_log.cc
+++ b/src/process/event_log.cc
@@ -9,7 +9,7 @@
 namespace catkinford {
 namespace {
 
-constexpr std::chrono::milliseconds kWriterWait{200};
+constexpr std::chrono::milliseconds kWriterPollInterval{200};
 constexpr unsigned char kFirstPrintable = 0x20;
 
 // Subjects and details may hold a caller's text. A line break in it would let a caller write log
@@ -50,7 +50,7 @@
 }
 
 event_log::event_log(const event_log_options& options, timeline& events)
-    : level_(options.level), timeline_(events), ring_(options.waiting_lines) {
+    : level_(options.level), timeline_(events), ring_(options.queue_capacity) {
   Configure(options);
   writer_ = std::thread([this] { Run(); });
 }
@@ -70,7 +70,7 @@
 
 void event_log::Run() {
   std::vector<line> lines;
-  while (ring_.PopAll(lines, kWriterWait)) {
+  while (ring_.PopAll(lines, kWriterPollInterval)) {
     for (const line& entry : lines) Write(entry);
     lines.clear();
   }
--- a/src/process/event_log.h
+++ b/src/process/event_log.h
@@ -20,7 +20,7 @@
 struct event_log_options {
   event_level level = event_level::kInfo;  // the least that is logged; the time line takes all
   std::string file;                        // empty: standard error
-  size_t waiting_lines = 8192;             // lines that may wait for the log thread
+  size_t queue_capacity = 8192;            // lines that may wait for the log thread
 };
 
 class event_log {
--- a/src/process/flag_check.cc
+++ b/src/process/flag_check.cc
@@ -9,13 +9,14 @@
 namespace catkinford {
 namespace {
 
-constexpr std::array<std::string_view, 3> kFaults = {"no such flag", "needs a value", "bad value"};
+constexpr std::array<std::string_view, 3> kFaultTexts = {"no such flag", "needs a value",
+                                                         "bad value"};
 
 // "--name", "-name", "--name=value"; empty for what is no flag.
-std::string NameOf(const std::string& word) {
-  if (word.size() < 2 || word[0] != '-') return {};
-  const size_t begin = word[1] == '-' ? 2 : 1;
-  return word.substr(begin, word.find('=') - begin);
+std::string NameOf(const std::string& argument) {
+  if (argument.size() < 2 || argument[0] != '-') return {};
+  const size_t begin = argument[1] == '-' ? 2 : 1;
+  return argument.substr(begin, argument.find('=') - begin);
 }
 
 absl::CommandLineFlag* Find(const std::string& name) {
@@ -29,26 +30,26 @@
 }  // namespace
 
 std::string ToText(const flag_error& error) {
-  const std::string fault(kFaults[static_cast<size_t>(error.fault)]);
+  const std::string fault(kFaultTexts[static_cast<size_t>(error.fault)]);
   return absl::StrCat(error.flag, ": ", fault, error.detail.empty() ? "" : ": ", error.detail);
 }
 
-std::optional<flag_error> CheckFlags(const std::vector<std::string>& words) {
-  for (size_t i = 0; i < words.size(); ++i) {
-    if (words[i] == "--") return std::nullopt;  // the rest are no flags
-    const std::string name = NameOf(words[i]);
+std::optional<flag_error> CheckFlags(const std::vector<std::string>& arguments) {
+  for (size_t i = 0; i < arguments.size(); ++i) {
+    if (arguments[i] == "--") return std::nullopt;  // the rest are no flags
+    const std::string name = NameOf(arguments[i]);
     if (name.empty()) continue;
     const std::string shown = absl::StrCat("--", name);
     absl::CommandLineFlag* flag = Find(name);
     if (flag == nullptr) return flag_error{flag_fault::kUnknown, shown, {}};
-    const size_t equals = words[i].find('=');
+    const size_t equals = arguments[i].find('=');
     std::string value;
     if (equals != std::string::npos) {
-      value = words[i].substr(equals + 1);
+      value = arguments[i].substr(equals + 1);
     } else if (flag->IsOfType<bool>()) {
       continue;
-    } else if (++i < words.size()) {
-      value = words[i];
+    } else if (++i < arguments.size()) {
+      value = arguments[i];
     } else {
       return flag_error{flag_fault::kNoValue, shown, {}};
     }
--- a/src/process/flag_check.h
+++ b/src/process/flag_check.h
@@ -20,7 +20,7 @@
 std::string ToText(const flag_error& error);
 
 // `words` without the program's name. The flags get the values that they are given here.
-std::optional<flag_error> CheckFlags(const std::vector<std::string>& words);
+std::optional<flag_error> CheckFlags(const std::vector<std::string>& arguments);
 
 }  // namespace catkinford
 
--- a/src/process/job_commands.cc
+++ b/src/process/job_commands.cc
@@ -15,7 +15,7 @@
 using std::chrono::steady_clock;
 
 // How long one call waits at the entry; many of these make up a long wait.
-constexpr milliseconds kWaitAtEntry{10000};
+constexpr milliseconds kMaxWaitPerCall{10000};
 
 exit_code CodeOf(const json& outcome) {
   if (TextField(outcome, "reason") == ToText(refusal_reason::kUnknownKey)) {
@@ -84,9 +84,9 @@
       job["idempotency_key"] = ToHex(NewRequestId());
     }
   }
-  const entry_answer answer = Ask(context, "POST", "/v1/batch", document.dump());
+  const entry_answer answer = CallEntry(context, "POST", "/v1/batch", document.dump());
   if (!answer.body.is_object() || !answer.body.contains("outcomes")) {
-    return static_cast<int>(Explain(context, answer));
+    return static_cast<int>(PrintFailure(context, answer));
   }
   exit_code worst = exit_code::kDone;
   for (const json& outcome : answer.body["outcomes"]) {
@@ -97,7 +97,8 @@
 
 int ShowAnswer(command_context& context, const entry_answer& answer) {
   const bool has_outcome = answer.body.is_object() && answer.body.contains("outcome");
-  const exit_code code = has_outcome ? ShowOutcome(context, answer.body) : Explain(context, answer);
+  const exit_code code =
+      has_outcome ? ShowOutcome(context, answer.body) : PrintFailure(context, answer);
   return static_cast<int>(code);
 }
 
@@ -129,49 +130,51 @@
 }
 
 // Said here and not by an entry, which may not be reachable, and whose time it would be.
-bool IsId(command_context& context, const std::string& word) {
-  if (ParseRequestId(word)) return true;
-  context.err << "catkinford: " << word << " is not the id of a job: 32 hexadecimal digits\n";
+bool IsId(command_context& context, const std::string& argument) {
+  if (ParseRequestId(argument)) return true;
+  context.err << "catkinford: " << argument << " is not the id of a job: 32 hexadecimal digits\n";
   return false;
 }
 
 }  // namespace
 
-int RunSubmit(command_context& context, const command_words& words) {
-  const std::optional<workload_kind> kind = ParseWorkloadKind(words[0]);
+int RunSubmit(command_context& context, const command_arguments& arguments) {
+  const std::optional<workload_kind> kind = ParseWorkloadKind(arguments[0]);
   if (!kind) {
-    const int code = SubmitFile(context, words[0]);
-    if (code == static_cast<int>(exit_code::kUsage) && words[0].find('.') == std::string::npos) {
+    const int code = SubmitFile(context, arguments[0]);
+    if (code == static_cast<int>(exit_code::kUsage) &&
+        arguments[0].find('.') == std::string::npos) {
       context.err << "catkinford: kinds are interactive, service, batch and gang\n";
     }
     return code;
   }
   const std::string body = JobBody(*kind, context.options.job).dump();
-  return ShowAnswer(context, Ask(context, "POST", "/v1/jobs", body));
+  return ShowAnswer(context, CallEntry(context, "POST", "/v1/jobs", body));
 }
 
-int RunStatus(command_context& context, const command_words& words) {
-  if (!IsId(context, words[0])) return static_cast<int>(exit_code::kUsage);
-  const entry_answer answer = Ask(context, "GET", "/v1/jobs/" + words[0], "");
-  if (!answer.IsGood()) return static_cast<int>(Explain(context, answer));
+int RunStatus(command_context& context, const command_arguments& arguments) {
+  if (!IsId(context, arguments[0])) return static_cast<int>(exit_code::kUsage);
+  const entry_answer answer = CallEntry(context, "GET", "/v1/jobs/" + arguments[0], "");
+  if (!answer.IsGood()) return static_cast<int>(PrintFailure(context, answer));
   ShowStatus(context, answer.body);
   return static_cast<int>(exit_code::kDone);
 }
 
-int RunCancel(command_context& context, const command_words& words) {
-  if (!IsId(context, words[0])) return static_cast<int>(exit_code::kUsage);
-  return ShowAnswer(context, Ask(context, "POST", "/v1/jobs/" + words[0] + "/cancel", ""));
+int RunCancel(command_context& context, const command_arguments& arguments) {
+  if (!IsId(context, arguments[0])) return static_cast<int>(exit_code::kUsage);
+  return ShowAnswer(context,
+                    CallEntry(context, "POST", "/v1/jobs/" + arguments[0] + "/cancel", ""));
 }
 
-int RunWait(command_context& context, const command_words& words) {
-  if (!IsId(context, words[0])) return static_cast<int>(exit_code::kUsage);
+int RunWait(command_context& context, const command_arguments& arguments) {
+  if (!IsId(context, arguments[0])) return static_cast<int>(exit_code::kUsage);
   const auto end = steady_clock::now() + context.options.wait_limit;
   while (true) {
     const auto left = std::chrono::ceil<milliseconds>(end - steady_clock::now());
-    const milliseconds wait = std::clamp(left, milliseconds{0}, kWaitAtEntry);
-    const std::string path = absl::StrCat("/v1/jobs/", words[0], "?wait_ms=", wait.count());
-    const entry_answer answer = Ask(context, "GET", path, "");
-    if (!answer.IsGood()) return static_cast<int>(Explain(context, answer));
+    const milliseconds wait = std::clamp(left, milliseconds{0}, kMaxWaitPerCall);
+    const std::string path = absl::StrCat("/v1/jobs/", arguments[0], "?wait_ms=", wait.count());
+    const entry_answer answer = CallEntry(context, "GET", path, "");
+    if (!answer.IsGood()) return static_cast<int>(PrintFailure(context, answer));
     if (TextField(answer.body, "state") == "finished") {
       if (context.options.terminal) context.err << "\n";
       const auto outcome = answer.body.find("outcome");
--- a/src/process/key_commands.cc
+++ b/src/process/key_commands.cc
@@ -11,15 +11,15 @@
 using nlohmann::json;
 
 // "TEAM NAME", or with --operator "NAME".
-struct key_place {
+struct key_name {
   std::string team;  // empty for an operator's key
   std::string name;
 };
 
-std::optional<key_place> PlaceOf(command_context& context, const command_words& words) {
+std::optional<key_name> ParseKeyName(command_context& context, const command_arguments& arguments) {
   const size_t expected = context.options.is_operator ? 1 : 2;
-  if (words.size() == expected) {
-    return expected == 1 ? key_place{"", words[0]} : key_place{words[0], words[1]};
+  if (arguments.size() == expected) {
+    return expected == 1 ? key_name{"", arguments[0]} : key_name{arguments[0], arguments[1]};
   }
   context.err << "catkinford: give TEAM NAME, or --operator and NAME\n";
   return std::nullopt;
@@ -45,12 +45,12 @@
 
 }  // namespace
 
-int RunKeyMake(command_context& context, const command_words& words) {
-  if (!IsContractName(words[0])) {
+int RunKeyMake(command_context& context, const command_arguments& arguments) {
+  if (!IsContractName(arguments[0])) {
     context.err << "catkinford: a name has 1 to 64 of a-z, 0-9, '-', '_' and '.'\n";
     return static_cast<int>(exit_code::kUsage);
   }
-  const new_key key = MakeKey(words[0], context.options.is_operator);
+  const new_key key = MakeKey(arguments[0], context.options.is_operator);
   const json record = {
       {"name", key.record.name}, {"salt", key.record.salt}, {"hash", key.record.hash}};
   if (context.options.json) {
@@ -61,16 +61,16 @@
   return static_cast<int>(exit_code::kDone);
 }
 
-int RunKeyGrant(command_context& context, const command_words& words) {
-  const std::optional<key_place> place = PlaceOf(context, words);
-  if (!place) return static_cast<int>(exit_code::kUsage);
-  if (!IsContractName(place->name)) {
+int RunKeyGrant(command_context& context, const command_arguments& arguments) {
+  const std::optional<key_name> target = ParseKeyName(context, arguments);
+  if (!target) return static_cast<int>(exit_code::kUsage);
+  if (!IsContractName(target->name)) {
     context.err << "catkinford: a name has 1 to 64 of a-z, 0-9, '-', '_' and '.'\n";
     return static_cast<int>(exit_code::kUsage);
   }
-  const new_key key = MakeKey(place->name, context.options.is_operator);
+  const new_key key = MakeKey(target->name, context.options.is_operator);
   const int code = ChangeConfig(context, on_conflict::kTryAgain, [&](configuration& config) {
-    return AddKey(config, place->team, key.record);
+    return AddKey(config, target->team, key.record);
   });
   // After a lost answer the key may be in force, so that its holder needs the secret.
   const bool may_be_granted = code == static_cast<int>(exit_code::kDone) ||
@@ -85,15 +85,15 @@
   return code;
 }
 
-int RunKeyWithdraw(command_context& context, const command_words& words) {
-  const std::optional<key_place> place = PlaceOf(context, words);
-  if (!place) return static_cast<int>(exit_code::kUsage);
+int RunKeyWithdraw(command_context& context, const command_arguments& arguments) {
+  const std::optional<key_name> target = ParseKeyName(context, arguments);
+  if (!target) return static_cast<int>(exit_code::kUsage);
   return ChangeConfig(context, on_conflict::kTryAgain, [&](configuration& config) {
-    return WithdrawKey(config, place->team, place->name);
+    return WithdrawKey(config, target->team, target->name);
   });
 }
 
-int RunKeyList(command_context& context, const command_words& /*words*/) {
+int RunKeyList(command_context& context, const command_arguments& /*words*/) {
   const std::variant<fetched_config, exit_code> fetched = FetchConfig(context);
   if (const auto* code = std::get_if<exit_code>(&fetched)) return static_cast<int>(*code);
   const configuration& config = std::get<fetched_config>(fetched).config;
--- a/src/process/metrics.cc
+++ b/src/process/metrics.cc
@@ -38,7 +38,7 @@
 }
 
 // `total` only grows; the counter follows it.
-void Follow(Counter& counter, uint64_t total) {
+void AdvanceTo(Counter& counter, uint64_t total) {
   counter.Increment(static_cast<double>(total) - counter.Value());
 }
 
@@ -168,16 +168,16 @@
 }
 
 void metrics::SetPeerTotals(const peer_totals& totals) {
-  Follow(peer_calls_, totals.calls_sent);
-  Follow(peer_messages_, totals.messages_sent);
-  Follow(peer_bytes_sent_, totals.bytes_sent);
-  Follow(peer_bytes_received_, totals.bytes_received);
-  Follow(peer_refused_, totals.refused);
+  AdvanceTo(peer_calls_, totals.calls_sent);
+  AdvanceTo(peer_messages_, totals.messages_sent);
+  AdvanceTo(peer_bytes_sent_, totals.bytes_sent);
+  AdvanceTo(peer_bytes_received_, totals.bytes_received);
+  AdvanceTo(peer_refused_, totals.refused);
 }
 
-void metrics::SetLogLinesDropped(uint64_t lines) { Follow(log_lines_dropped_, lines); }
+void metrics::SetLogLinesDropped(uint64_t lines) { AdvanceTo(log_lines_dropped_, lines); }
 
-void metrics::SetGrantMoves(uint64_t moves) { Follow(grant_moves_, moves); }
+void metrics::SetGrantMoves(uint64_t moves) { AdvanceTo(grant_moves_, moves); }
 
 std::vector<metric_info> metrics::List() const {
   std::vector<metric_info> list;
--- a/src/process/operator_commands.cc
+++ b/src/process/operator_commands.cc
@@ -12,18 +12,18 @@
 using nlohmann::json;
 
 // Pages of one entry's time line: a bound, since events may come in as fast as they are read.
-constexpr int kTimelinePages = 200;
+constexpr int kMaxTimelinePages = 200;
 
 // An action on one domain; `counted` is what the answer counts. Each entry is asked until one did
 // it; what the last one says is the reason if none did.
-int Act(command_context& context, const std::string& path, const char* counted) {
+int PostAction(command_context& context, const std::string& path, const char* counted) {
   const std::string body = json{{"dry_run", context.options.dry_run}}.dump();
   entry_answer answer;
   for (size_t i = 0; i < context.entries.Entries().size() && !answer.IsGood(); ++i) {
     answer.result = context.entries.CallAt(i, "POST", path, body);
     answer.body = json::parse(answer.result.body, nullptr, false);
   }
-  if (!answer.IsGood()) return static_cast<int>(Explain(context, answer));
+  if (!answer.IsGood()) return static_cast<int>(PrintFailure(context, answer));
   if (context.options.json) {
     context.out << answer.result.body << "\n";
   } else {
@@ -38,12 +38,13 @@
 
 // Draining twice is as good as once, so that the next entry may be asked when one gives no answer.
 int SetDrained(command_context& context, const std::string& path) {
-  const entry_answer answer = Ask(context, "POST", path, "{}");
-  return static_cast<int>(answer.IsGood() ? ShowChange(context, answer) : Explain(context, answer));
+  const entry_answer answer = CallEntry(context, "POST", path, "{}");
+  return static_cast<int>(answer.IsGood() ? ShowChange(context, answer)
+                                          : PrintFailure(context, answer));
 }
 
 // Only the owner of the endpoint's shard knows what runs there; the others say all else.
-int CountDrain(command_context& context, const std::string& path) {
+int PreviewDrain(command_context& context, const std::string& path) {
   entry_answer answer;
   entry_answer good;
   for (size_t i = 0; i < context.entries.Entries().size(); ++i) {
@@ -52,7 +53,7 @@
     if (answer.IsGood()) good = answer;
     if (answer.IsGood() && answer.body.contains("running")) break;
   }
-  if (!good.IsGood()) return static_cast<int>(Explain(context, answer));
+  if (!good.IsGood()) return static_cast<int>(PrintFailure(context, answer));
   if (context.options.json) {
     context.out << good.result.body << "\n";
     return static_cast<int>(exit_code::kDone);
@@ -102,7 +103,7 @@
 // All that one entry still remembers.
 bool ReadEntry(command_context& context, size_t entry, merged_timeline& merged) {
   uint64_t since = 0;
-  for (int page = 0; page < kTimelinePages; ++page) {
+  for (int page = 0; page < kMaxTimelinePages; ++page) {
     const http_result result =
         context.entries.CallAt(entry, "GET", absl::StrCat("/v1/timeline?since=", since), "");
     if (result.status != transfer_status::kDone || result.code != 200) return page > 0;
@@ -122,23 +123,23 @@
 
 }  // namespace
 
-int RunEndpointDrain(command_context& context, const command_words& words) {
-  const std::string path = absl::StrCat("/v1/endpoints/", words[0], "/drain");
-  return context.options.dry_run ? CountDrain(context, path) : SetDrained(context, path);
+int RunEndpointDrain(command_context& context, const command_arguments& arguments) {
+  const std::string path = absl::StrCat("/v1/endpoints/", arguments[0], "/drain");
+  return context.options.dry_run ? PreviewDrain(context, path) : SetDrained(context, path);
 }
 
-int RunEndpointUndrain(command_context& context, const command_words& words) {
-  const std::string path = absl::StrCat("/v1/endpoints/", words[0], "/undrain");
-  return context.options.dry_run ? CountDrain(context, path) : SetDrained(context, path);
+int RunEndpointUndrain(command_context& context, const command_arguments& arguments) {
+  const std::string path = absl::StrCat("/v1/endpoints/", arguments[0], "/undrain");
+  return context.options.dry_run ? PreviewDrain(context, path) : SetDrained(context, path);
 }
 
-int RunDomainEvacuate(command_context& context, const command_words& words) {
-  return Act(context, absl::StrCat("/v1/domains/", words[0], "/evacuate"), "jobs");
+int RunDomainEvacuate(command_context& context, const command_arguments& arguments) {
+  return PostAction(context, absl::StrCat("/v1/domains/", arguments[0], "/evacuate"), "jobs");
 }
 
-int RunMembers(command_context& context, const command_words& /*words*/) {
-  const entry_answer answer = Ask(context, "GET", "/v1/members", "");
-  if (!answer.IsGood()) return static_cast<int>(Explain(context, answer));
+int RunMembers(command_context& context, const command_arguments& /*words*/) {
+  const entry_answer answer = CallEntry(context, "GET", "/v1/members", "");
+  if (!answer.IsGood()) return static_cast<int>(PrintFailure(context, answer));
   if (context.options.json) {
     context.out << answer.result.body << "\n";
     return static_cast<int>(exit_code::kDone);
@@ -150,7 +151,7 @@
   return static_cast<int>(exit_code::kDone);
 }
 
-int RunTimeline(command_context& context, const command_words& /*words*/) {
+int RunTimeline(command_context& context, const command_arguments& /*words*/) {
   merged_timeline merged;
   size_t answered = 0;
   for (size_t i = 0; i < context.entries.Entries().size(); ++i) {
@@ -185,7 +186,7 @@
 
 namespace {
 
-int TellGoodSettings(command_context& context, const settings& read) {
+int PrintSettingsValid(command_context& context, const settings& read) {
   if (context.options.json) {
     context.out << json{{"settings", "good"}}.dump() << "\n";
   } else {
@@ -194,7 +195,7 @@
   return static_cast<int>(exit_code::kDone);
 }
 
-int TellSettingsError(command_context& context, const settings_error& error) {
+int PrintSettingsError(command_context& context, const settings_error& error) {
   if (context.options.json) {
     const json answer = {
         {"error", "settings"}, {"path", error.path}, {"value", error.value}, {"want", error.want}};
@@ -206,18 +207,18 @@
 
 }  // namespace
 
-int RunCheckConfig(command_context& context, const command_words& words) {
-  if (words[0] == "contracts") return RunContractCheck(context, {words[1]});
-  if (words[0] != "settings") {
+int RunCheckConfig(command_context& context, const command_arguments& arguments) {
+  if (arguments[0] == "contracts") return RunContractCheck(context, {arguments[1]});
+  if (arguments[0] != "settings") {
     context.err << "catkinford: give settings FILE or contracts FILE\n";
     return static_cast<int>(exit_code::kUsage);
   }
   return leaf::try_handle_all(
       [&]() -> leaf::result<int> {
-        BOOST_LEAF_AUTO(read, LoadSettings(words[1]));
-        return TellGoodSettings(context, read);
+        BOOST_LEAF_AUTO(read, LoadSettings(arguments[1]));
+        return PrintSettingsValid(context, read);
       },
-      [&](const settings_error& error) { return TellSettingsError(context, error); },
+      [&](const settings_error& error) { return PrintSettingsError(context, error); },
       [] { return static_cast<int>(exit_code::kUsage); });
 }
 
--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -37,13 +37,13 @@
   bool operator()(int /*depth*/, json::parse_event_t event, json& parsed) {
     if (event == json::parse_event_t::object_start) names_.emplace_back();
     if (event == json::parse_event_t::object_end) names_.pop_back();
-    if (event == json::parse_event_t::key) Note(parsed.get_ref<const std::string&>());
+    if (event == json::parse_event_t::key) AddName(parsed.get_ref<const std::string&>());
     return true;
   }
   const std::string& Found() const { return found_; }
 
  private:
-  void Note(const std::string& name) {
+  void AddName(const std::string& name) {
     if (!names_.back().insert(name).second && found_.empty()) found_ = name;
   }
 
@@ -61,7 +61,7 @@
   const json& value;
 
   failure Fail(settings_fault fault) const {
-    return settings_error{fault, std::string(info.path), Print(value), WantOf(info)};
+    return settings_error{fault, std::string(info.path), Print(value), ExpectedText(info)};
   }
 
   failure operator()(std::string* slot) const {
@@ -126,9 +126,9 @@
 
   failure CheckRequired() const {
     for (const setting_info& info : AllSettings()) {
-      if (!info.required || given_.contains(std::string(info.path))) continue;
+      if (!info.required || seen_.contains(std::string(info.path))) continue;
       return settings_error{settings_fault::kMissingField, std::string(info.path), "",
-                            WantOf(info)};
+                            ExpectedText(info)};
     }
     return std::nullopt;
   }
@@ -138,7 +138,7 @@
  private:
   failure ReadField(const std::string& path, const json& value) {
     if (const setting_info* info = FindSetting(path)) {
-      given_.insert(path);
+      seen_.insert(path);
       return std::visit(value_reader{*info, value}, info->slot(result_));
     }
     if (!IsSection(path)) {
@@ -152,10 +152,10 @@
   }
 
   settings result_;
-  std::set<std::string> given_;
+  std::set<std::string> seen_;
 };
 
-failure Contradicts(std::string path, std::string value, std::string want) {
+failure Contradiction(std::string path, std::string value, std::string want) {
   return settings_error{settings_fault::kContradiction, std::move(path), std::move(value),
                         std::move(want)};
 }
@@ -165,15 +165,15 @@
   if (std::find(domains.begin(), domains.end(), s.failure_domain) != domains.end()) {
     return std::nullopt;
   }
-  return Contradicts("failure_domain", s.failure_domain, "one of failure_domains");
+  return Contradiction("failure_domain", s.failure_domain, "one of failure_domains");
 }
 
 failure CheckTls(const settings& s) {
   const bool certificate = !s.listen.tls_certificate_file.empty();
   const bool key = !s.listen.tls_key_file.empty();
   if (certificate == key) return std::nullopt;
-  return Contradicts("listen.tls_key_file", s.listen.tls_key_file,
-                     "set together with listen.tls_certificate_file, or neither");
+  return Contradiction("listen.tls_key_file", s.listen.tls_key_file,
+                       "set together with listen.tls_certificate_file, or neither");
 }
 
 // With a heartbeat as long as the lease a member would lapse between two of them; with a window
@@ -182,20 +182,20 @@
 failure CheckTiming(const settings& s) {
   const auto& t = s.timing;
   if (t.heartbeat >= t.member_lease) {
-    return Contradicts("timing.heartbeat", DurationText(t.heartbeat),
-                       "less than timing.member_lease");
+    return Contradiction("timing.heartbeat", DurationText(t.heartbeat),
+                         "less than timing.member_lease");
   }
   if (t.sync_wait >= t.task_lease) {
-    return Contradicts("timing.sync_wait", DurationText(t.sync_wait),
-                       "less than timing.task_lease");
+    return Contradiction("timing.sync_wait", DurationText(t.sync_wait),
+                         "less than timing.task_lease");
   }
   if (t.default_deadline > t.max_deadline) {
-    return Contradicts("timing.default_deadline", DurationText(t.default_deadline),
-                       "at most timing.max_deadline");
+    return Contradiction("timing.default_deadline", DurationText(t.default_deadline),
+                         "at most timing.max_deadline");
   }
   if (t.identity_window <= t.max_deadline) {
-    return Contradicts("timing.identity_window", DurationText(t.identity_window),
-                       "more than timing.max_deadline");
+    return Contradiction("timing.identity_window", DurationText(t.identity_window),
+                         "more than timing.max_deadline");
   }
   return std::nullopt;
 }
--- a/src/process/settings_error.cc
+++ b/src/process/settings_error.cc
@@ -10,7 +10,7 @@
 constexpr int kFirstExitCode = 10;
 
 // In the order of the enumeration.
-constexpr std::array<std::string_view, kSettingsFaults> kFaultWords = {
+constexpr std::array<std::string_view, kSettingsFaults> kFaultTexts = {
     "the settings file cannot be read",
     "not JSON with comments",
     "unknown setting",
@@ -25,7 +25,7 @@
 
 int ExitCode(settings_fault fault) { return kFirstExitCode + static_cast<int>(fault); }
 
-std::string_view ToText(settings_fault fault) { return kFaultWords[static_cast<size_t>(fault)]; }
+std::string_view ToText(settings_fault fault) { return kFaultTexts[static_cast<size_t>(fault)]; }
 
 std::string ToText(const settings_error& error) {
   std::string out = error.path.empty() ? "settings" : error.path;
--- a/src/process/settings_table.cc
+++ b/src/process/settings_table.cc
@@ -168,7 +168,7 @@
   return "";
 }
 
-struct want_writer {
+struct expected_text_writer {
   const setting_info& info;
 
   std::string operator()(const std::string* /*slot*/) const { return FormText(info.form); }
@@ -248,9 +248,9 @@
   return false;
 }
 
-std::string WantOf(const setting_info& info) {
+std::string ExpectedText(const setting_info& info) {
   settings scratch;
-  return std::visit(want_writer{info}, info.slot(scratch));
+  return std::visit(expected_text_writer{info}, info.slot(scratch));
 }
 
 std::string ValueText(const setting_info& info, settings& all) {
@@ -263,7 +263,7 @@
   for (const setting_info& info : kSettings) {
     const std::string standard =
         info.required ? "(required)" : absl::StrCat("`", ValueText(info, defaults), "`");
-    out += "| `" + std::string(info.path) + "` | " + standard + " | " + WantOf(info) + " | " +
+    out += "| `" + std::string(info.path) + "` | " + standard + " | " + ExpectedText(info) + " | " +
            std::string(info.meaning) + " |\n";
   }
   return out;
--- a/src/process/settings_table.h
+++ b/src/process/settings_table.h
@@ -50,7 +50,7 @@
 
 bool HasForm(text_form form, const std::string& text);
 // For people: what a setting takes, e.g. "a duration from 10ms to 1m".
-std::string WantOf(const setting_info& info);
+std::string ExpectedText(const setting_info& info);
 // The value in `all` as it would be written in a settings file.
 std::string ValueText(const setting_info& info, settings& all);
 // The table as Markdown, one line for each setting.
--- a/src/process/timeline_merge.cc
+++ b/src/process/timeline_merge.cc
@@ -24,9 +24,9 @@
   return found != object.end() && found->is_number_integer() ? found->get<int64_t>() : 0;
 }
 
-merged_event EventFrom(const json& value, size_t process, microseconds wall_less_mono) {
+merged_event EventFrom(const json& value, size_t process, microseconds mono_to_wall) {
   merged_event event;
-  event.wall = wall_less_mono + microseconds(NumberOf(value, "mono_us"));
+  event.wall = mono_to_wall + microseconds(NumberOf(value, "mono_us"));
   event.process = process;
   event.seq = static_cast<uint64_t>(NumberOf(value, "seq"));
   event.code = static_cast<uint32_t>(NumberOf(value, "code"));
