--- a/src/process/node.cc
+++ b/src/process/node.cc
@@ -187,7 +187,7 @@
     shutdown_deadline_ = now + config_.timing.shutdown_limit;
     log_.Emit(event_code::kShutdownBegun, now, {}, 0, config_.name);
     for (auto& [domain, open] : evacuations_) {
-      open.work.Stop("this entry is leaving");
+      open.work.Stop("this entry is shutting down");
       RemoveEvacuatedShards(open, now);
     }
     Announce(now);
@@ -201,8 +201,8 @@
   if (core_.joinable()) core_.join();
 }
 
-// Waits for room: the producers are I/O threads, and what they bring must not be lost. The core
-// never waits for them, so this cannot lock up.
+// Blocks while the ring is full: the producers are I/O threads whose messages must not be lost. The
+// core thread never waits for them, so this cannot deadlock.
 void node::Post(core_task task) { ring_.Push(std::move(task)); }
 
 void node::Run() {
@@ -253,13 +253,14 @@
   table_.Tick(now, due);
   ApplyTableActions(std::move(due), now);
   RetryDeferredServices(now);
-  // Messages to ourselves and what the shards make of them, until nothing new comes.
+  // Deliver messages to this entry and run the resulting shard actions until no new messages
+  // appear.
   do {
     DeliverLocal(now);
     RunShardActions(now);
   } while (!local_messages_.empty());
-  // Records that the shards asked for just now. Left to the next round of the loop, each would wait
-  // for up to its longest sleep.
+  // Write records requested by the shards in this round. Deferred to the next round, each would
+  // wait up to kMaxSleep.
   OpenShards(now);
   mailbox_.Flush();
   if (now >= next_gauges_) UpdateGauges(now);
@@ -281,7 +282,8 @@
   }
   const place_message* place = std::get_if<place_message>(&body);
   const request_id id = place != nullptr ? place->id : request_id{};
-  // A part has the identity of its job, whose caller may wait here; it is sent again by its home.
+  // A part has the request id of its job, whose caller may wait here; its home shard sends it
+  // again.
   const bool is_place = place != nullptr && place->home.empty();
   if (!mailbox_.Send(entry, std::move(body)) && is_place) table_.OnSendFailed(id, true, now);
 }
@@ -304,9 +306,9 @@
       return std::holds_alternative<heartbeat_message>(body);
     });
     usage_.OnLost(peer);
-    // Refused outright: the process is gone, which its domain's members should know before its
-    // heartbeats are missed. A heartbeat without an answer on a fresh connection says nearly as
-    // much.
+    // Connection refused: the process is lost, and the members of its domain should know before its
+    // heartbeats are missed. A heartbeat without an answer on a fresh connection is nearly as
+    // strong evidence.
     if (is_beat || status == transfer_status::kNotSent) OnSilent(peer, now);
   });
 }
@@ -316,8 +318,8 @@
     if (shard* to = FindShard(place->shard)) {
       OnPlace(from, *to, std::move(*place), now);
     } else {
-      // Not ours (any more): this owner has not started it and will not, but an earlier send may
-      // have reached another owner, so nothing is said of the request itself.
+      // Not owned here, or no longer: this owner has not started the request and will not, but an
+      // earlier send may have reached another owner, so the state of the request is not reported.
       Send(from, not_owner_message{place->id, place->shard}, now);
     }
   } else if (auto* result = std::get_if<outcome_message>(&body)) {
@@ -355,7 +357,7 @@
     OnSilent(*silent, now);
   } else if (const auto* wrong = std::get_if<not_owner_message>(&body)) {
     routes_.OnNotOwner(from, wrong->shard, now);
-    // The place may have been that of a part of a job that a caller waits for here.
+    // The message may have placed a part of a job whose caller waits here.
     const std::string* sent_to = table_.ShardOf(wrong->id);
     if (sent_to != nullptr && *sent_to == wrong->shard) table_.OnSendFailed(wrong->id, true, now);
   }
@@ -399,10 +401,10 @@
   return !shutting_down_ && instance_polling_.HasList() && versions_.Order().Version() > 0;
 }
 
-// A request in flight is one whose caller still waits, here or at another entry: it keeps the
-// process alive until its answer has gone out, or until the limit. Shards that nobody can be given
-// do not: a store that stays out would hold up every stop until the limit. Their endpoints' work
-// goes on under its leases, until those lapse or a later owner lists it.
+// A request is in flight while its caller waits, here or at another entry; it keeps the process
+// alive until its answer has been sent or the limit is reached. Shards that cannot be handed over
+// do not: a store that stays down would delay every shutdown to the limit. Work on their endpoints
+// continues under its leases until those expire or a later owner lists it.
 void node::CheckShutdown(monotonic_time now) {
   const bool cannot_hand_over = ownership_.CannotHandOver(now);
   bool have_callers = table_.Pending() > 0 || front_.Waiting() > 0;
@@ -413,8 +415,10 @@
   const bool handed_over = ownership_.Released() && shards_.empty();
   const bool can_end = !have_callers && (handed_over || cannot_hand_over);
   if (!can_end && now < shutdown_deadline_) return;
-  const char* how = "the limit passed";
-  if (can_end) how = handed_over ? "nothing was cut off" : "no request was cut off; no heir";
+  const char* how = "shutdown limit reached";
+  if (can_end)
+    how = handed_over ? "all requests finished"
+                      : "all requests finished; no successor for the shards";
   log_.Emit(event_code::kShutdownDone, now, {}, 0, config_.name, how);
   done_ = true;
 }
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -1,8 +1,8 @@
-// One entry: its threads, its parts, and the loop that joins them.
+// One entry: its threads, its components and the main loop.
 //
-// A thread for each duty: HTTP front, core, calls to endpoints, calls to the platform, calls to
-// peers, log. Everything that decides runs on the core thread; the others hand it closures
-// through one bounded ring.
+// Separate threads serve HTTP, the core loop, calls to endpoints, calls to the platform, calls to
+// peers and the log. All decisions are made on the core thread; the other threads post closures to
+// it through one bounded ring.
 #ifndef CATKINFORD_PROCESS_NODE_H_
 #define CATKINFORD_PROCESS_NODE_H_
 
@@ -60,66 +60,67 @@
   node& operator=(const node&) = delete;
 
   start_fault Start();
-  // Reads the certificate's files again; new connections of callers get it, open ones go on. On a
-  // fault the old one stays in use.
+  // Reloads the certificate files. New caller connections use the new certificate; open ones are
+  // kept. On failure the previous certificate stays in use.
   tls_fault ReloadCertificate();
-  // The same for the secrets that calls between entries are signed with.
+  // Reloads the secrets that sign calls between entries; on failure the previous ones stay in use.
   secret_fault ReloadPeerSecrets();
-  // Graceful: not ready, refuses new work, hands its shards over, finishes what is in flight.
+  // Starts a graceful shutdown: reports not ready, rejects new work, hands over its shards and
+  // finishes requests in flight.
   void BeginShutdown();
-  // Until the shutdown is done.
+  // Blocks until the shutdown is complete.
   void Wait();
   uint16_t CallerPort() const { return front_.Port(); }
 
  private:
   using core_task = std::function<void(monotonic_time)>;
 
-  // What this entry remembers of another one besides what the membership knows.
+  // State kept per peer in addition to its membership record.
   struct peer_state {
     uint64_t incarnation = 0;
-    uint64_t config_sent = 0;           // the last version that it was sent
-    monotonic_time lagging_since{};     // has an older configuration than we
-    monotonic_time next_config_send{};  // when it may be sent the configuration again
+    uint64_t config_sent = 0;           // last version sent to the peer
+    monotonic_time lagging_since{};     // since when its configuration is older than ours
+    monotonic_time next_config_send{};  // earliest time of the next send
   };
-  // A status question that waits for answers of owners.
+  // A status request that waits for answers of shard owners.
   struct open_status {
     http_server::token token = 0;
-    std::string team;  // of the caller; empty for an operator
+    std::string team;  // the caller's; empty for an operator
     request_id id;
     job_status status;
     monotonic_time deadline{};
     monotonic_time wait_until{};
     monotonic_time next_poll{};
-    bool cancel = false;  // cancel it once it is found
+    bool cancel = false;  // cancel the job once it is found
   };
-  // A service that came before this entry had heard of every failure domain.
+  // A service job deferred until this entry has reports of every failure domain.
   struct deferred_service {
     std::string from;
     place_message place;
   };
-  // A change of the configuration whose operator waits to hear where it is in force.
+  // A configuration change whose operator waits for the list of domains where it is in effect.
   struct open_change {
-    std::optional<http_server::token> token;  // absent: made by the entry itself
-    uint64_t version = 0;                     // zero until the store has taken it
+    std::optional<http_server::token> token;  // absent: made by this entry
+    uint64_t version = 0;                     // zero until the store has accepted it
     monotonic_time deadline{};
     std::vector<std::string> warnings;
-    // What the entry does to whatever version is in force; false when nothing is left to do. Absent
-    // where the operator sent a whole document.
+    // Edit applied to the current version; returns false when there is nothing to change. Absent
+    // where the operator sent a full document.
     std::function<bool(configuration&)> edit;
     std::string by;
     int attempts_left = 0;
   };
-  // A cancel whose outcome comes from the owner.
+  // A cancel request that waits for the outcome from the owner.
   struct open_cancel {
     http_server::token token = 0;
     monotonic_time deadline{};
   };
-  // A failure domain that an operator has given up.
+  // A failure domain being evacuated on request of an operator.
   struct open_evacuation {
     evacuation work;
-    std::vector<open_cancel> waiting;  // operators
+    std::vector<open_cancel> waiting;  // requests of operators
     monotonic_time next_move{};
-    std::vector<uint32_t> numbers;  // of its shards here
+    std::vector<uint32_t> numbers;  // of the shards taken over here
     bool begin_logged = false;
   };
 
@@ -139,8 +140,8 @@
   void OnSilent(const std::string& peer, monotonic_time now);
   void OnSilent(const silent_message& silent, monotonic_time now);
   void SendHeartbeats(monotonic_time now);
-  // To every other entry, at once: who owns what, that we leave. By turns they would hear of it
-  // many seconds later.
+  // Sends our status to every other entry at once: the shards owned and whether this entry is
+  // leaving. Scheduled heartbeats would take many seconds to reach them all.
   void Announce(monotonic_time now);
   entry_word OwnStatus();
   void PrepareHeartbeatReply(monotonic_time now);
@@ -153,7 +154,7 @@
   void OnInstances(const instance_reply& reply, monotonic_time now);
   void ApplyInstanceList(monotonic_time now);
   void UpdateGauges(monotonic_time now);
-  // node_metrics.cc: what is counted, and events about it.
+  // node_metrics.cc: counters and related events.
   void UpdateCounters(monotonic_time now);
   void CountAnswer(const answered_call& answer, monotonic_time now);
   void CheckShutdown(monotonic_time now);
@@ -163,31 +164,31 @@
 
   bool IsReady() const;
 
-  // node_config.cc: versions and their spread.
+  // node_config.cc: configuration versions and their propagation.
   void OnVersion(version_origin origin, monotonic_time now);
   void OnVersionStep(const version_step& step, monotonic_time now);
-  // Sends a peer that has `known` what is in force here.
+  // Sends the current version to a peer that has `known`.
   void SendVersion(const member& to, uint64_t known, monotonic_time now);
   void ResendToLagging(const member& other, monotonic_time now);
   std::chrono::milliseconds ResendDelay(const member& other) const;
-  // Whoever sends a version waits to hear that it is in force here.
+  // Confirms to the sender of a version that it is in effect here.
   void ConfirmVersion(const std::string& to, monotonic_time now);
   void CheckChanges(monotonic_time now);
   void OnChanged(uint64_t change, const change_result& result, monotonic_time now);
   void Respond(const open_change& open, http_response response);
   std::chrono::milliseconds ChangeTimeout() const;
-  // `next` is what `text` says.
+  // `next` is the parsed form of `text`.
   void SubmitChange(uint64_t change, uint64_t expect, const std::string& text,
                     const configuration& next);
 
-  // node_drains.cc: endpoints that operators drain.
+  // node_drains.cc: endpoints drained by operators.
   void SetDrained(http_server::token token, const std::string& key, const drain_call& call,
                   monotonic_time now);
   void RemoveStaleDrains(monotonic_time now);
   void EditConfig(open_change open, monotonic_time now);
   void SubmitEdit(uint64_t change, monotonic_time now);
 
-  // node_shards.cc: ownership, shards, their actions.
+  // node_shards.cc: ownership, shards and their actions.
   void ApplyOwnershipActions(const ownership_actions& actions, monotonic_time now);
   void SendStoreRequest(const store_request& call,
                         std::function<void(store_reply, monotonic_time)> done);
@@ -213,12 +214,12 @@
   void Execute(uint32_t number, shard& from, const complete_action& action, monotonic_time now);
   void Execute(uint32_t number, shard& from, const superseded_action& action, monotonic_time now);
   void Execute(uint32_t number, shard& from, event_action action, monotonic_time now);
-  // The shard under this number if we still own it under this epoch, else null: a late answer for
-  // an earlier ownership must not reach the present one.
+  // Returns the shard if it is still owned under this epoch, else null: a late answer for an
+  // earlier ownership must not reach the current one.
   shard* FindOwnedShard(uint32_t number, uint64_t epoch);
   shard* FindShard(const std::string& name);
 
-  // node_services.cc: services that are spread over failure domains.
+  // node_services.cc: services spread over failure domains.
   void OnPlace(const std::string& from, shard& to, place_message place, monotonic_time now);
   void RetryDeferredServices(monotonic_time now);
   void NotifyNewOwners(monotonic_time now);
@@ -235,7 +236,7 @@
   std::string ShardNameOf(uint32_t number) const;
   bool MayActFor(uint32_t number) const;
 
-  // node_calls.cc: callers and operators.
+  // node_calls.cc: calls of callers and operators.
   void OnHttp(http_server::token token, http_request request);
   void PostCall(http_server::token token, std::string key, caller_call call);
   void OnCall(http_server::token token, const std::string& key, caller_call call,
@@ -295,7 +296,7 @@
   peer_mailbox mailbox_;
   http_server front_;
 
-  // The core thread's.
+  // Used only on the core thread.
   team_names teams_;
   router routes_;
   request_table table_;
@@ -307,16 +308,17 @@
   instance_turns instance_polling_;
   job_keeper jobs_;
   incarnation_keeper incarnations_;
-  std::vector<opened_log> opened_logs_;  // of shards that wait for their parts of the limits
+  std::vector<opened_log> opened_logs_;  // shards that wait for their parts of the limits
   std::map<uint32_t, std::unique_ptr<shard>> shards_;
   std::map<std::string, peer_state> peer_states_;
-  std::set<std::string> endpoint_names_;  // of the whole fleet, as last listed
-  gone_endpoints removed_endpoints_;      // drained ones that left the list
+  std::set<std::string> endpoint_names_;  // all endpoints of the fleet in the latest list
+  gone_endpoints removed_endpoints_;      // drained endpoints that left the list
   std::vector<instance> own_endpoints_;   // of this failure domain
   resources cell_capacity_;
-  std::vector<message_body> local_messages_;  // messages to ourselves
+  std::vector<message_body> local_messages_;  // messages to this entry
   std::vector<deferred_service> deferred_services_;
-  std::map<std::string, uint64_t> notified_epochs_;  // of shards, that homes here have heard of
+  std::map<std::string, uint64_t>
+      notified_epochs_;  // by shard: last owner epoch reported to the shards here
   absl::flat_hash_map<uint64_t, open_status> statuses_;
   absl::flat_hash_map<request_id, std::vector<open_cancel>> cancels_;
   std::map<uint64_t, open_change> changes_;
@@ -332,17 +334,17 @@
   uint64_t heartbeat_seq_ = 0;
   monotonic_time next_gauges_{};
   monotonic_time shutdown_deadline_{};
-  bool store_was_up_ = false;  // nothing is said before the first answer
+  bool store_was_up_ = false;  // no event before the first answer of the store
   bool was_ready_ = false;
-  uint64_t grant_moves_ = 0;       // that were told
-  uint64_t rejected_batches_ = 0;  // that was told
-  uint64_t rejected_version_ = 0;  // that was told
+  uint64_t grant_moves_ = 0;       // last value reported in an event
+  uint64_t rejected_batches_ = 0;  // last value reported in an event
+  uint64_t rejected_version_ = 0;  // last value reported in an event
   bool shutting_down_ = false;
   bool done_ = false;
   std::thread core_;
 
-  // What calls of other domains' entries are answered with; made by the core, read by the mailbox's
-  // threads.
+  // The reply to calls from entries of other domains; written by the core thread, read by the
+  // mailbox threads.
   std::mutex heartbeat_reply_mutex_;
   heartbeat_message heartbeat_reply_;
   monotonic_time heartbeat_reply_time_{};
--- a/src/process/node_calls.cc
+++ b/src/process/node_calls.cc
@@ -1,4 +1,4 @@
-// The part of an entry that callers and operators see.
+// Calls of callers and operators to an entry.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -14,8 +14,9 @@
 using std::chrono::steady_clock;
 
 constexpr milliseconds kRetryAfter{1000};
-// To hear that a durable job was accepted. With the grace for an owner's last word it ends before
-// the ten seconds after which many callers hang up: they would be left without any answer.
+// Time to wait for the acceptance of a durable job. With the grace period for an owner's last
+// answer it ends before the 10 s after which many callers disconnect; they would get no answer at
+// all.
 constexpr milliseconds kDurableAnswerTimeout{9000};
 constexpr milliseconds kUnboundedTimeout{std::chrono::hours{24 * 366}};
 constexpr size_t kTimelinePage = 10000;
@@ -24,7 +25,7 @@
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// The team's contract, found by name; null when the version in force has none.
+// The team's contract, found by name; null when the current version has none.
 const team_contract* FindTeam(const configuration& config, const key_holder& holder) {
   for (const workspace_contract& workspace : config.workspaces) {
     if (workspace.name != holder.workspace) continue;
@@ -41,7 +42,7 @@
 
 }  // namespace
 
-// On the HTTP thread: reads the call, so that the core never sees a malformed one.
+// Runs on the HTTP thread and parses the call, so that the core thread never sees a malformed one.
 void node::OnHttp(http_server::token token, http_request request) {
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
@@ -53,12 +54,12 @@
       [&] { front_.Respond(token, ErrorResponse(400, "bad_call")); });
 }
 
-// The one producer that must not wait: a full ring is overload, and is said at once.
+// The only producer that must not block: a full ring means overload and is answered at once.
 void node::PostCall(http_server::token token, std::string key, caller_call call) {
   core_task task = [this, token, key = std::move(key), call = std::move(call)](
                        monotonic_time now) mutable { OnCall(token, key, std::move(call), now); };
   if (ring_.TryPush(task)) return;
-  http_response busy = ErrorResponse(503, "busy", "nothing was done");
+  http_response busy = ErrorResponse(503, "busy", "the request was not processed");
   busy.retry_after = std::chrono::seconds{1};
   front_.Respond(token, std::move(busy));
 }
@@ -77,7 +78,7 @@
 bool node::RequireOperator(http_server::token token, const std::string& key, monotonic_time now) {
   const std::optional<key_holder> holder = HolderOf(key, now);
   if (holder && holder->is_operator) return true;
-  front_.Respond(token, ErrorResponse(401, "unknown_key", "an operator's key is needed"));
+  front_.Respond(token, ErrorResponse(401, "unknown_key", "an operator's key is required"));
   return false;
 }
 
@@ -120,13 +121,14 @@
     reject(refusal_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
     return;
   }
-  // A keyed job may already run: its caller gets its outcome from the shard that knows it.
+  // A job with an idempotency key may already run; its caller gets the outcome from the shard that
+  // knows it.
   if (shutting_down_ && !entry.keyed) {
-    reject(refusal_reason::kShuttingDown, kRetryAfter, "ask another entry");
+    reject(refusal_reason::kShuttingDown, kRetryAfter, "retry at another entry");
     return;
   }
   if (table_.Pending() >= config_.bounds.waiting_requests) {
-    reject(refusal_reason::kQueueFull, kRetryAfter, "too many requests wait in this entry");
+    reject(refusal_reason::kQueueFull, kRetryAfter, "too many requests are waiting in this entry");
     return;
   }
   const bool waits = spec.kind == workload_kind::kInteractive;
@@ -227,9 +229,9 @@
   };
   json events = json::array();
   uint64_t next = call.since;
-  // Both clocks next to each other: with `now`, which is as old as this round of the loop, every
-  // event of this process would stand some milliseconds late in the merged time line, and an answer
-  // would come before the end of its task.
+  // Read both clocks together. `now` is as old as this round of the loop: with it, every event of
+  // this process would appear some milliseconds late in the merged timeline, and an answer would
+  // precede the end of its task.
   const auto wall = std::chrono::system_clock::now();
   const monotonic_time mono = steady_clock::now();
   for (const timeline_event& event : timeline_.Since(call.since, kTimelinePage)) {
--- a/src/process/node_config.cc
+++ b/src/process/node_config.cc
@@ -1,4 +1,4 @@
-// The part of an entry that changes the configuration and says where a version is in force.
+// Configuration changes, and where a version is in effect.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -13,14 +13,15 @@
 using json = nlohmann::json;
 using std::chrono::milliseconds;
 
-// How long an operator waits for the last failure domain before it is named as pending.
+// Time an operator waits for the last failure domain before it is listed as pending.
 constexpr milliseconds kInEffectWait{2000};
 
-// How long a peer may still be on an older version before it is sent the new one again.
+// Time before a version is sent again to a peer that still has an older one.
 constexpr milliseconds kConfigResendInterval{500};
 constexpr milliseconds kWatcherResendDelay{1000};
 constexpr milliseconds kOtherResendDelay{3000};
-// Calls of the store for one change, the past version's and a lost reply's among them.
+// Store calls for one change, including the write of the past version and the retry after a lost
+// reply.
 constexpr int kStoreCallsPerChange = 8;
 
 std::string Dump(const json& body) {
@@ -58,9 +59,10 @@
 
 }  // namespace
 
-// A new version is in force here: shards decide by it at once. Who made the change tells everybody;
-// the others only help who lags. Passed on by each entry that had it from the store as well, a
-// change crossed 16 times where 5 were enough (catkinford-bench spread).
+// A new version is in effect here; shards apply it at once. Only the entry that made the change
+// sends it to all peers; the others only resend it to lagging peers. When every entry that read the
+// version from the store passed it on as well, a change was sent 16 times where 5 were enough
+// (catkinford-bench spread).
 void node::OnVersion(version_origin origin, monotonic_time now) {
   const version_order& order = versions_.Order();
   for (auto& [number, held] : shards_) held->SetConfiguration(*order.Config(), now);
@@ -75,7 +77,7 @@
   log_.Emit(event_code::kVersionInForce, now, {}, 0, absl::StrCat(order.Version()));
 }
 
-// One made from another version than ours is left: our heartbeat shows that we lag.
+// A step based on a version other than ours is ignored; our heartbeat shows that we lag.
 void node::OnVersionStep(const version_step& step, monotonic_time now) {
   const std::optional<std::string> text = versions_.Order().After(step);
   if (text) versions_.Offer(step.version, *text, version_origin::kPeer, now);
@@ -104,8 +106,8 @@
   SendVersion(other, other.word.config_version, now);
 }
 
-// Who lags is helped by its own failure domain, and by the others only when that cannot: from
-// everybody at once, a replaced entry of a large fleet would get the document 53 times.
+// A lagging peer is updated by its own failure domain, and by others only when that fails: sent by
+// all at once, a replaced entry of a large fleet would receive the document 53 times.
 milliseconds node::ResendDelay(const member& other) const {
   if (other.failure_domain == config_.failure_domain) {
     return other.word.config_version == 0 ? milliseconds{0} : kConfigResendInterval;
@@ -129,7 +131,8 @@
         if (status == store_status::kDone) {
           front_.Respond(token, ConfigResponse(version, text));
         } else if (status == store_status::kAbsent) {
-          front_.Respond(token, ErrorResponse(404, "unknown_version", "it is not kept"));
+          front_.Respond(token,
+                         ErrorResponse(404, "unknown_version", "the version is no longer stored"));
         } else {
           front_.Respond(token, ErrorResponse(503, "store_unavailable"));
         }
@@ -196,8 +199,7 @@
     CheckChanges(now);
     return;
   }
-  // What an entry changes by itself commutes with whatever another operator did, and does no harm
-  // when it is done twice.
+  // An entry's own edits commute with changes of operators and are idempotent.
   const bool may_be_lost =
       result.end == change_outcome::kConflict || result.end == change_outcome::kUnknown;
   if (open.edit && may_be_lost && --open.attempts_left > 0) {
@@ -208,9 +210,9 @@
   if (result.end == change_outcome::kConflict) {
     response = ConflictResponse(result.version, result.text);
   } else if (result.end == change_outcome::kUnavailable) {
-    response = ErrorResponse(503, "store_unavailable", "nothing was changed");
+    response = ErrorResponse(503, "store_unavailable", "the configuration was not changed");
   } else {
-    response = ErrorResponse(504, "unknown", "the change may have been accepted: read it back");
+    response = ErrorResponse(504, "unknown", "the change may have been accepted; read it back");
   }
   Respond(open, std::move(response));
   changes_.erase(found);
@@ -239,7 +241,7 @@
                                 {"pending", report.pending},
                                 {"warnings", open.warnings}})});
     } else {
-      Respond(open, ErrorResponse(504, "unknown", "the store gave no answer"));
+      Respond(open, ErrorResponse(504, "unknown", "the store did not answer"));
     }
     at = changes_.erase(at);
   }
--- a/src/process/node_drains.cc
+++ b/src/process/node_drains.cc
@@ -1,5 +1,5 @@
-// The part of an entry that drains endpoints on an operator's word. The word is a change of the
-// configuration like any other: it lasts, spreads, and is answered with where it is in force.
+// Drains endpoints on request of an operator. A drain is a configuration change like any other: it
+// is durable, propagated, and answered with the domains where it is in effect.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -15,7 +15,8 @@
 using std::chrono::milliseconds;
 
 constexpr int kEditAttempts = 8;
-// Domains forget one after the other, so that usually one writes and the others find it done.
+// Delay between failure domains when they remove stale drains, so that usually one writes and the
+// others find it done.
 constexpr milliseconds kRemoveDrainsStagger{5000};
 
 }  // namespace
@@ -26,7 +27,7 @@
   const std::vector<std::string>& drained = versions_.Order().Config()->drained_endpoints;
   const bool is_drained = std::binary_search(drained.begin(), drained.end(), call.endpoint);
   if (!is_drained && !endpoint_names_.contains(call.endpoint)) {
-    front_.Respond(token, ErrorResponse(404, "unknown_endpoint", "it is not in the instance list"));
+    front_.Respond(token, ErrorResponse(404, "unknown_endpoint", "not in the instance list"));
     return;
   }
   if (!call.dry_run) {
@@ -55,8 +56,8 @@
   EditConfig(std::move(open), now);
 }
 
-// An endpoint that is gone for good leaves its name behind; a new one of that name would get no
-// work, and nobody would remember why.
+// Removes drains of endpoints that left the instance list. Otherwise a new endpoint with the same
+// name would get no work for no visible reason.
 void node::RemoveStaleDrains(monotonic_time now) {
   const auto& domains = config_.failure_domains;
   const auto domain_index = std::find(domains.begin(), domains.end(), config_.failure_domain);
@@ -91,7 +92,7 @@
   const version_order& order = versions_.Order();
   configuration next = *order.Config();
   if (!open.edit(next)) {
-    open.version = order.Version();  // it is so already
+    open.version = order.Version();  // already in the requested state
     CheckChanges(now);
     return;
   }
--- a/src/process/node_evacuate.cc
+++ b/src/process/node_evacuate.cc
@@ -1,5 +1,5 @@
-// The part of an entry that answers for the shards of an evacuated failure domain, until an entry
-// of that domain takes them back.
+// Takes over the shards of an evacuated failure domain until an entry of that domain owns them
+// again.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -14,12 +14,12 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// Shards of other domains are numbered from here, beside those of the own one.
+// Numbers of evacuated shards start here, above those of the own domain.
 constexpr uint32_t kFirstEvacuatedNumber = 1U << 16;
-constexpr milliseconds kMoveInterval{2000};  // between tries to move what waits
-// A renewal that an owner sent just before its epoch was raised, and a clock that runs slower.
+constexpr milliseconds kMoveInterval{2000};  // between attempts to move waiting jobs
+// Covers a renewal sent by an owner just before its epoch was raised, and a slower clock.
 constexpr milliseconds kLeaseMargin{1000};
-constexpr milliseconds kBeginTimeout{5000};  // for the operator's answer
+constexpr milliseconds kBeginTimeout{5000};  // until the operator is answered
 
 std::string StateText(evacuation_state state) {
   switch (state) {
@@ -44,13 +44,14 @@
   const std::string& domain = call.failure_domain;
   const auto& all = config_.failure_domains;
   if (std::find(all.begin(), all.end(), domain) == all.end()) {
-    front_.Respond(token, ErrorResponse(404, "unknown_domain", "it is not in the settings"));
+    front_.Respond(token, ErrorResponse(404, "unknown_domain", "not in the settings"));
     return;
   }
   const std::string live_entry =
       domain == config_.failure_domain ? config_.name : FindLiveEntry(domain, now);
   if (!live_entry.empty()) {
-    front_.Respond(token, ErrorResponse(409, "domain_alive", live_entry + " answers there"));
+    front_.Respond(token, ErrorResponse(409, "domain_alive",
+                                        live_entry + " still serves this failure domain"));
     return;
   }
   const auto existing = evacuations_.find(domain);
@@ -74,7 +75,7 @@
   open.waiting.push_back({token, now + kBeginTimeout});
 }
 
-// An entry of the domain that is heard, or one elsewhere that answers for its shards; empty: none.
+// Returns an entry of the domain that is up, or one elsewhere that owns its shards; empty if none.
 std::string node::FindLiveEntry(const std::string& domain, monotonic_time now) const {
   for (const auto& [name, one] : members_.Members()) {
     if (one.failure_domain == domain && members_.IsUp(name)) return name;
@@ -90,7 +91,7 @@
   for (auto& [domain, open] : evacuations_) {
     const std::string live_entry = FindLiveEntry(domain, now);
     if (!live_entry.empty() && !open.work.IsOver()) {
-      open.work.Stop(live_entry + " answers there");
+      open.work.Stop(live_entry + " still serves this failure domain");
       log_.Emit(event_code::kEvacuationStopped, now, {}, 0, domain, live_entry);
       RemoveEvacuatedShards(open, now);
     }
@@ -112,7 +113,7 @@
   }
 }
 
-// Whoever of the domain still writes to a log is shut out of it from here on.
+// From here on, any entry of the domain that still writes to a job log is fenced off.
 void node::AddEvacuatedShards(open_evacuation& open, monotonic_time now) {
   const evacuation_options& options = open.work.Options();
   log_.Emit(event_code::kEvacuationReady, now, {}, open.work.Epoch(0), options.failure_domain);
@@ -163,7 +164,8 @@
       front_.Respond(waiting_operator.token, {200, EvacuationText(open, now)});
     } else if (now >= waiting_operator.deadline) {
       front_.Respond(waiting_operator.token,
-                     ErrorResponse(503, "store_unavailable", "it goes on when the store answers"));
+                     ErrorResponse(503, "store_unavailable",
+                                   "the evacuation continues when the store answers"));
     } else {
       unanswered.push_back(waiting_operator);
     }
@@ -195,7 +197,7 @@
   return body.dump();
 }
 
-// The name of a shard that this entry owns, or answers for.
+// The name of a shard that this entry owns or has taken over.
 std::string node::ShardNameOf(uint32_t number) const {
   const auto found = evacuated_names_.find(number);
   return found != evacuated_names_.end() ? found->second
--- a/src/process/node_instances.cc
+++ b/src/process/node_instances.cc
@@ -1,4 +1,4 @@
-// The part of an entry that follows the platform's list of instances.
+// Polls the platform's list of instances.
 #include <utility>
 
 #include "process/node.h"
--- a/src/process/node_metrics.cc
+++ b/src/process/node_metrics.cc
@@ -1,4 +1,4 @@
-// What a node counts, beside its gauges, and the events that come of it.
+// Counters of a node other than its gauges, and the events they cause.
 #include "absl/strings/str_cat.h"
 #include "process/node.h"
 
--- a/src/process/node_peers.cc
+++ b/src/process/node_peers.cc
@@ -1,4 +1,4 @@
-// The part of an entry that knows its peers: heartbeats, who is up, the teams' use elsewhere.
+// Peers: heartbeats, liveness, and the teams' usage at other entries.
 #include <algorithm>
 #include <utility>
 
@@ -13,7 +13,7 @@
 constexpr milliseconds kStoreMembersInterval{1000};
 constexpr milliseconds kHeartbeatReplyInterval{250};
 constexpr milliseconds kUsageInterval{250};
-constexpr milliseconds kMinAgeLimit{3000};  // of what an owner says of its shards
+constexpr milliseconds kMinAgeLimit{3000};  // for an owner's reports on its shards
 
 }  // namespace
 
@@ -32,11 +32,11 @@
   CheckChanges(now);
 }
 
-// First or second hand.
+// Called for a status received from the entry itself or forwarded by another.
 void node::OnEntryStatus(const member& of, monotonic_time now) {
   if (std::exchange(peer_states_[of.name].incarnation, of.word.incarnation) !=
       of.word.incarnation) {
-    usage_.OnLost(of.name);  // a new process, which knows nothing
+    usage_.OnLost(of.name);  // a new process without state
     peer_states_[of.name].lagging_since = now;
   }
   for (const shard_report& report : of.word.shards) {
@@ -66,13 +66,13 @@
   if (members_.OnSilent(silent, now)) ApplyMemberChanges(now);
 }
 
-// What the membership has changed its mind of.
+// Applies state changes of members: up, suspect, down.
 void node::ApplyMemberChanges(monotonic_time now) {
   std::vector<member_change> changes;
   members_.Tick(now, changes);
   for (const member_change& change : changes) {
     const bool up = change.state == member_state::kUp;
-    if (!up && change.before != member_state::kUp) continue;  // suspect, now down
+    if (!up && change.before != member_state::kUp) continue;  // was suspect, is now down
     log_.Emit(up ? event_code::kPeerUp : event_code::kPeerDown, now, {}, 0, change.name);
     usage_.OnLost(change.name);
     if (up) {
@@ -119,7 +119,7 @@
   heartbeat_reply_time_ = now;
 }
 
-// On a thread of the mailbox. The words have grown older since they were put together.
+// Runs on a mailbox thread. Adds the time since the reply was prepared to the age of each status.
 std::optional<heartbeat_message> node::HeartbeatReply() {
   const monotonic_time now = std::chrono::steady_clock::now();
   const std::lock_guard lock(heartbeat_reply_mutex_);
@@ -156,9 +156,10 @@
   }
 }
 
-// A sender for each member that has an address, none for those that were forgotten. One that we
-// have read of and not heard is told of us at once and asked for news: by turns that would take
-// many seconds, in which nobody would know that a version is in force there.
+// Keeps one sender for each member that has an address and removes those of forgotten members. A
+// member known only from the store, without a heartbeat yet, is sent our status at once and asked
+// for a reply: on the heartbeat schedule that would take many seconds, in which nobody would know
+// that a version is in effect there.
 void node::UpdatePeers(monotonic_time now) {
   std::vector<std::string> unheard;
   for (const auto& [name, one] : members_.Members()) {
@@ -189,8 +190,8 @@
   return members;
 }
 
-// As old as the oldest of the domains' latest words: a domain that was cut off since then cannot
-// vouch for the time after.
+// The oldest of the domains' latest confirmations: a domain that was cut off since then cannot
+// confirm any later time.
 std::optional<monotonic_time> node::DomainsConfirmed() const {
   std::optional<monotonic_time> confirmed;
   for (const std::string& domain : config_.failure_domains) {
@@ -207,13 +208,13 @@
   return confirmed;
 }
 
-// ---- Use of teams --------------------------------------------------------------------------
+// ---- Usage of teams ------------------------------------------------------------------------
 
 usage_view node::UsageView() const {
   return {members_.LiveNeighbours(), members_.LiveFar(), cell_capacity_};
 }
 
-// What each team runs elsewhere, for shares over the whole cell.
+// Sends and applies the usage of each team at other entries, for shares over the whole cell.
 void node::PropagateUsage(monotonic_time now) {
   team_uses own;
   for (const auto& [number, held] : shards_) {
@@ -225,7 +226,7 @@
   usage_.Due(view, now, due);
   for (due_usage& one : due) Send(one.to, std::move(one.message), now);
   if (shards_.empty()) return;
-  // News grow from fresh to one period old.
+  // The age of a report ranges from zero to one period; use the mean.
   const milliseconds age = usage_.NewsPeriod(view) / 2;
   const team_uses others = usage_.Elsewhere(view);
   for (auto& [number, held] : shards_) {
--- a/src/process/node_services.cc
+++ b/src/process/node_services.cc
@@ -1,5 +1,5 @@
-// The part of an entry that spreads services: the split when one arrives at its home, and the
-// messages between its home and the owners of its parts.
+// Spreads services over failure domains: splits a service when it arrives at its home shard, and
+// sends messages between the home and the owners of its parts.
 #include <optional>
 #include <utility>
 
@@ -11,9 +11,9 @@
 
 using std::chrono::milliseconds;
 
-// How long after its start an entry waits to hear of every failure domain before it splits. Split
-// at once, services that come right after the start of a fleet, or to an entry that has just
-// replaced another, would stand in the one domain that is known.
+// Time after the start of an entry during which it waits for reports of every failure domain before
+// it splits a service. Split at once, services that arrive right after the start of a fleet, or at
+// an entry that has just replaced another, would all be placed in the one known domain.
 constexpr milliseconds kFirstReportsWait{2000};
 
 }  // namespace
@@ -39,8 +39,8 @@
   }
 }
 
-// Whichever way the word of a new owner came. Homes place their parts there again: the new owner
-// may have given them up, because its domain was evacuated.
+// Covers all ways in which a new owner becomes known. Home shards place their parts there again:
+// the new owner may have dropped them because its domain was evacuated.
 void node::NotifyNewOwners(monotonic_time now) {
   for (const auto& [name, route] : routes_.Routes()) {
     if (!routes_.OwnerOf(name, now)) continue;
@@ -51,7 +51,7 @@
   }
 }
 
-// Ownership is asked here too: an owner that was paused for long must not place a part by a plan
+// Ownership is checked here too: an owner that was paused for long must not place a part by a plan
 // that its successor has changed since.
 void node::PlacePart(uint32_t number, shard& from, const part_call& call, monotonic_time now) {
   const place_message* job = from.SpecOf(call.id);
@@ -66,7 +66,7 @@
   part.home = from.Name();
   part.send = call.send;
   part.wait = false;
-  part.fresh = true;  // the log of its shard tells whether it is known there
+  part.fresh = true;  // the log of its shard shows whether the part is known
   Send(*owner, std::move(part), now);
 }
 
--- a/src/process/node_shards.cc
+++ b/src/process/node_shards.cc
@@ -1,4 +1,4 @@
-// The part of an entry that owns shards: gains and loses them, and carries out what they ask for.
+// Shard ownership: gaining and losing shards, and executing their actions.
 #include <algorithm>
 #include <utility>
 
@@ -49,7 +49,7 @@
 void node::OnOwnershipEvent(const ownership_event& event, monotonic_time now) {
   switch (event.kind) {
     case ownership_event_kind::kGained:
-      RemoveShard(event.shard, now);  // held under a lower epoch
+      RemoveShard(event.shard, now);  // owned until now under a lower epoch
       grants_.OnGained(ShardName(config_.failure_domain, event.shard), event.epoch);
       jobs_.OnGained(event.shard, ShardName(config_.failure_domain, event.shard), event.epoch);
       break;
@@ -65,7 +65,7 @@
   }
 }
 
-// Opens the shards whose logs were read and whose parts of the limits are ours.
+// Opens the shards whose logs have been read and whose parts of the limits are held here.
 void node::OpenShards(monotonic_time now) {
   for (opened_log& log : jobs_.Tick(now)) opened_logs_.push_back(std::move(log));
   grants_.Prepare(now);
@@ -97,7 +97,7 @@
   if (const auto config = versions_.Order().Config()) gained->SetConfiguration(*config, now);
   gained->Restore(std::move(log.jobs), now);
   AssignEndpoints(*gained, now);
-  // The lives of an evacuated shard's endpoints stay recorded as they are, for its next owner.
+  // The incarnations of an evacuated shard's endpoints stay recorded unchanged for its next owner.
   if (!gained->IsEvacuated()) incarnations_.OnGained(*gained, now);
   routes_.OnReport(config_.name, gained->Report(), now);
   shards_[number] = std::move(gained);
@@ -122,8 +122,8 @@
   table_.OnNewOwner(name, now);
 }
 
-// Whole racks belong to one shard, by rendezvous hash, so that racks that come and go move no
-// others.
+// Each rack belongs to one shard, chosen by rendezvous hashing, so that adding or removing a rack
+// moves no other.
 void node::AssignEndpoints(shard& to, monotonic_time now) {
   if (!instance_polling_.HasList()) return;
   std::vector<instance> assigned;
@@ -197,10 +197,10 @@
       action.fresh_connection);
 }
 
-// The ownership is asked again here, next to the send: the process may have been paused since the
-// core decided, for longer than its lease. Without this check a start goes out that the successor
-// has also sent, seen as two start events of one task in the time line; the endpoint's refusal of
-// our lower epoch closes what remains between this line and the wire.
+// Ownership is checked again here, next to the send: the process may have been paused since the
+// core decided, for longer than its lease. Without this check a start is sent that the successor
+// has also sent, visible as two start events of one task in the timeline. The endpoint's rejection
+// of our lower epoch closes the remaining gap between this check and the send.
 void node::Execute(uint32_t number, shard& from, const start_action& action, monotonic_time now) {
   if (!ownership_.MayStart(number, steady_clock::now())) {
     from.OnStartNotSent(action, now);
@@ -223,7 +223,8 @@
 
 void node::Execute(uint32_t /*number*/, shard& from, const stop_action& action,
                    monotonic_time /*now*/) {
-  // Its end comes by the next sync; a stop that is lost is sent again by the core's next decision.
+  // The next sync reports the end of the task; a lost stop is sent again by the next decision of
+  // the core.
   endpoints_.Stop(from.Address(action.endpoint), action.token, action.ids, action.checkpoint,
                   [](const endpoint_reply&) {});
 }
--- a/src/process/node_status.cc
+++ b/src/process/node_status.cc
@@ -1,4 +1,4 @@
-// The part of an entry that answers how a job is, and cancels it.
+// Job status and cancel.
 #include <algorithm>
 #include <set>
 #include <utility>
@@ -10,11 +10,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kOwnersAnswerTimeout{1000};  // for a status question to all owners
-constexpr milliseconds kStatusPollInterval{100};    // between questions of one that waits
+constexpr milliseconds kOwnersAnswerTimeout{1000};  // for status queries to all owners
+constexpr milliseconds kStatusPollInterval{100};    // between queries for a caller that waits
 constexpr milliseconds kCancelAnswerTimeout{10000};
 constexpr char kNoSuchJob[] = "no owner that answered knows this job";
-constexpr char kHomeUnreachable[] = "the shard that answers for the whole job cannot be reached";
+constexpr char kHomeUnreachable[] = "the home shard of this job cannot be reached";
 
 }  // namespace
 
@@ -48,8 +48,8 @@
   QueryOwners(query, open, now);
 }
 
-// Asks the owner of each shard: an identity does not tell where it lives when it was placed by
-// load, and a spread job lives in several.
+// Queries the owner of every shard: a request id does not determine the shard of a job placed by
+// load, and the parts of a spread job are in several shards.
 void node::QueryOwners(uint64_t query, open_status& open, monotonic_time now) {
   open.deadline = now + kOwnersAnswerTimeout;
   open.next_poll = monotonic_time::max();
@@ -68,7 +68,7 @@
   if (found == statuses_.end()) return;
   open_status& open = found->second;
   status_answer status = answer;
-  // Another team's job is as unknown to this caller as one that never was.
+  // A job of another team is reported like one that does not exist.
   status.known = answer.known && (open.team.empty() || open.team == answer.team);
   open.status.Hear(status);
   const status_answer* home = open.status.Home();
@@ -86,7 +86,7 @@
   AnswerStatus(answer.query, now);
 }
 
-// The home of a spread job tells the other shards.
+// The home shard of a spread job forwards the cancel to the other shards.
 void node::SendCancel(const open_status& open, const status_answer& home, monotonic_time now) {
   cancels_[open.id].push_back({open.token, now + kCancelAnswerTimeout});
   Send(home.owner, cancel_message{open.id, home.shard, "", 0}, now);
@@ -117,7 +117,7 @@
       continue;
     }
     front_.Respond(found->second.token,
-                   ErrorResponse(504, "unknown", "not every owner could be asked"));
+                   ErrorResponse(504, "unknown", "not every owner could be queried"));
     statuses_.erase(found);
   }
   std::vector<request_id> late;
@@ -125,7 +125,7 @@
     if (now >= waiting.front().deadline) late.push_back(id);
   }
   for (const request_id& id : late) {
-    OnOutcome(UnknownOutcome(id, "cancelled, its end is not known yet"), now);
+    OnOutcome(UnknownOutcome(id, "cancelled; the outcome is not known yet"), now);
   }
   CheckChanges(now);
 }
