--- a/src/main/catkinford.cc
+++ b/src/main/catkinford.cc
@@ -1,4 +1,4 @@
-// The command line for callers and operators; all it does is in process/command_line.
+// The command line for callers and operators; implemented in process/command_line.
 #include <unistd.h>
 
 #include <cstdlib>
@@ -18,12 +18,12 @@
 ABSL_FLAG(std::string, entry, "", "URL[,URL] of the entries, in the order to try");
 ABSL_FLAG(std::string, key, "", "the key to present");
 ABSL_FLAG(std::string, output, "text", "text or json");
-ABSL_FLAG(absl::Duration, timeout, absl::Seconds(30), "of one call to one entry");
-ABSL_FLAG(std::string, ca_file, "", "PEM file of the authorities to trust for https");
+ABSL_FLAG(absl::Duration, timeout, absl::Seconds(30), "timeout of one call to one entry");
+ABSL_FLAG(std::string, ca_file, "", "PEM file of the trusted authorities for https");
 ABSL_FLAG(bool, dry_run, false, "show what would change, and change nothing");
 ABSL_FLAG(uint64_t, expect, 0,
-          "contract: the version that the change is made from; 0: the present");
-ABSL_FLAG(bool, operator, false, "key: of an operator instead of a team");
+          "contract: the version that the change is based on; 0: the current one");
+ABSL_FLAG(bool, operator, false, "key: an operator key instead of a team key");
 ABSL_FLAG(absl::Duration, wait_limit, absl::Minutes(10), "wait: how long");
 ABSL_FLAG(std::string, id, "", "timeline: only the events of this request");
 ABSL_FLAG(std::string, out, "", "timeline: file for the Chrome trace");
@@ -31,11 +31,11 @@
 ABSL_FLAG(uint32_t, cpu_milli, 1000, "submit: thousandths of a processor for each task");
 ABSL_FLAG(uint32_t, memory_mb, 256, "submit: memory for each task");
 ABSL_FLAG(uint32_t, accelerators, 0, "submit: accelerators for each task");
-ABSL_FLAG(bool, urgent, false, "submit: urgent, where the contract lets the kind be so");
-ABSL_FLAG(bool, repeatable, true, "submit: may be started again after a fault");
-ABSL_FLAG(std::string, idempotency_key, "", "submit: the same key is the same request");
-ABSL_FLAG(absl::Duration, deadline, absl::ZeroDuration(), "submit: not started by then: not run");
-ABSL_FLAG(absl::Duration, run_time, absl::ZeroDuration(), "submit: how long it may take, a guess");
+ABSL_FLAG(bool, urgent, false, "submit: urgent, if the contract allows it for the kind");
+ABSL_FLAG(bool, repeatable, true, "submit: may be restarted after a fault");
+ABSL_FLAG(std::string, idempotency_key, "", "submit: requests with the same key are one request");
+ABSL_FLAG(absl::Duration, deadline, absl::ZeroDuration(), "submit: not run if not started by then");
+ABSL_FLAG(absl::Duration, run_time, absl::ZeroDuration(), "submit: estimated run time");
 ABSL_FLAG(std::string, payload, "", "submit: the work itself, for the endpoint");
 ABSL_FLAG(bool, wait, false, "submit: answer when the job ends");
 
@@ -77,7 +77,8 @@
   return options;
 }
 
-// Abseil's own help lists flags of libraries; ours tells of the command.
+// Whether help is requested; `arguments` gets the rest. Abseil's own help would list the flags of
+// libraries.
 bool WantsHelp(int argc, char** argv, std::vector<std::string>& arguments) {
   bool wants_help = false;
   for (int i = 1; i < argc; ++i) {
@@ -113,12 +114,12 @@
   const std::vector<char*> parsed = absl::ParseCommandLine(argc, argv);
   const std::vector<std::string> arguments(parsed.begin() + 1, parsed.end());
   const std::string output = absl::GetFlag(FLAGS_output);
-  if (output != "text" && output != "json") return UsageError("--output is text or json");
+  if (output != "text" && output != "json") return UsageError("--output must be text or json");
   if (absl::GetFlag(FLAGS_timeout) < absl::Milliseconds(1))
-    return UsageError("--timeout is above 0");
+    return UsageError("--timeout must be positive");
   for (const absl::Duration time : {absl::GetFlag(FLAGS_wait_limit), absl::GetFlag(FLAGS_deadline),
                                     absl::GetFlag(FLAGS_run_time)}) {
-    if (time < absl::ZeroDuration()) return UsageError("a duration is below 0");
+    if (time < absl::ZeroDuration()) return UsageError("a duration must not be negative");
   }
   catkinford::entry_client_options client;
   const std::string entries = FlagOrEnvironment(absl::GetFlag(FLAGS_entry), "CATKINFORD_ENTRY");
--- a/src/main/catkinfordd.cc
+++ b/src/main/catkinfordd.cc
@@ -1,4 +1,4 @@
-// The entry daemon: reads its settings, runs one node until it is told to stop.
+// The entry daemon: reads its settings and runs one node until it is stopped by a signal.
 #include <curl/curl.h>
 #include <gnutls/gnutls.h>
 
@@ -15,8 +15,8 @@
 #include "process/settings_table.h"
 
 ABSL_FLAG(std::string, settings, "", "settings file, JSON with comments");
-ABSL_FLAG(bool, check, false, "only check the settings: 0 when they are good");
-ABSL_FLAG(bool, settings_table, false, "print the table of settings and end");
+ABSL_FLAG(bool, check, false, "only check the settings; exit code 0 if they are valid");
+ABSL_FLAG(bool, settings_table, false, "print the table of settings and exit");
 
 namespace {
 
@@ -26,8 +26,8 @@
 constexpr int kNoCertificate = 4;
 constexpr int kNoPeerSecrets = 5;
 
-// Waits for SIGTERM or SIGINT, which all threads have blocked. SIGHUP: the files of the certificate
-// or of the peers' secrets were replaced.
+// Waits for SIGTERM or SIGINT, which all threads block. SIGHUP reloads the certificate files and
+// the peer secrets.
 void WaitForSignal(const sigset_t& signals, catkinford::node& entry) {
   int signal = SIGHUP;
   while (signal == SIGHUP) {
@@ -46,22 +46,21 @@
       std::fputs("catkinfordd: the certificate or its key cannot be used; see the log\n", stderr);
       return kNoCertificate;
     case catkinford::start_fault::kPeerSecrets:
-      std::fputs("catkinfordd: the file of the peers' secrets cannot be used; see the log\n",
-                 stderr);
+      std::fputs("catkinfordd: the peer secret file cannot be used; see the log\n", stderr);
       return kNoPeerSecrets;
     case catkinford::start_fault::kPeerPort:
-      std::fputs("catkinfordd: the peer port cannot be had\n", stderr);
+      std::fputs("catkinfordd: cannot listen on the peer port\n", stderr);
       return kPortTaken;
     case catkinford::start_fault::kCallerPort:
-      std::fputs("catkinfordd: the caller port cannot be had\n", stderr);
+      std::fputs("catkinfordd: cannot listen on the caller port\n", stderr);
       return kPortTaken;
   }
   return kPortTaken;
 }
 
-// Until it is told to stop.
+// Runs the node until a signal stops it; returns the exit code.
 int Run(catkinford::settings config) {
-  // Blocked before any thread starts, so that only the wait below gets them.
+  // Blocked before any thread starts, so that only WaitForSignal receives them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -90,7 +89,7 @@
     return 0;
   }
   if (absl::GetFlag(FLAGS_settings).empty()) {
-    std::fputs("catkinfordd: --settings FILE is needed\n", stderr);
+    std::fputs("catkinfordd: --settings FILE is required\n", stderr);
     return kSettingsMissing;
   }
   return catkinford::leaf::try_handle_all(
--- a/src/process/command_context.cc
+++ b/src/process/command_context.cc
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-// `word` is the typed error of the answer.
+// `error` is the error code in the answer.
 exit_code CodeOfStatus(int status, const std::string& error) {
   switch (status) {
     case 401:
@@ -58,7 +58,8 @@
 
 exit_code PrintFailure(command_context& context, const entry_answer& answer) {
   if (context.entries.Entries().empty()) {
-    context.err << "catkinford: which entry? give --entry http://HOST:PORT or CATKINFORD_ENTRY\n";
+    context.err
+        << "catkinford: no entry given; use --entry http://HOST:PORT or set CATKINFORD_ENTRY\n";
     return exit_code::kUsage;
   }
   if (answer.result.status != transfer_status::kDone) {
@@ -66,8 +67,8 @@
     const char* error = sent ? "no_answer" : "unreachable";
     if (context.options.json) context.out << json{{"error", error}}.dump() << "\n";
     context.err << "catkinford: "
-                << (sent ? "no answer in time; it may have been done\n"
-                         : "no entry can be reached\n");
+                << (sent ? "no answer in time; the call may have been executed\n"
+                         : "no entry is reachable\n");
     return sent ? exit_code::kUnknown : exit_code::kUnreachable;
   }
   if (context.options.json) context.out << answer.result.body << "\n";
--- a/src/process/command_line.cc
+++ b/src/process/command_line.cc
@@ -13,9 +13,9 @@
 namespace {
 
 struct command_entry {
-  const char* name;       // its words
+  const char* name;       // words separated by spaces
   const char* arguments;  // as shown in the help
-  size_t min_arguments;   // words after the name
+  size_t min_arguments;   // number of arguments
   size_t max_arguments;
   int (*run)(command_context& context, const command_arguments& words);
   const char* help;
@@ -30,54 +30,54 @@
      "--run_time,\n"
      "--payload, --wait; or all jobs of a JSON file {\"jobs\":[...]}. Without --idempotency_key "
      "one "
-     "is drawn,\n"
-     "so that a call that is repeated at another entry cannot run twice.",
+     "is generated,\n"
+     "so that a call that is retried at another entry cannot run twice.",
      "catkinford submit interactive --cpu_milli 500 --memory_mb 256 --payload '{\"run_ms\":20}'\n"
      "catkinford submit service --tasks 3 --cpu_milli 1000 --memory_mb 1024\n"
      "catkinford submit jobs.json --output json"},
     {"status", "ID", 1, 1, &RunStatus, "Shows the state of a job and what it waits for.",
      "catkinford status 0123456789abcdef0123456789abcdef"},
-    {"cancel", "ID", 1, 1, &RunCancel, "Cancels a job; says whether anything of it ran.",
+    {"cancel", "ID", 1, 1, &RunCancel, "Cancels a job and reports whether any of it ran.",
      "catkinford cancel 0123456789abcdef0123456789abcdef"},
     {"wait", "ID", 1, 1, &RunWait,
      "Waits until a job has ended, --wait_limit at most, and prints its outcome.",
      "catkinford wait 0123456789abcdef0123456789abcdef --wait_limit 5m"},
     {"contract check", "FILE", 1, 1, &RunContractCheck,
-     "Checks a file of contracts against the schema. Sends nothing.",
+     "Checks a contracts file against the schema. Sends nothing.",
      "catkinford contract check showrooms.json"},
     {"contract apply", "FILE", 1, 1, &RunContractApply,
-     "Puts the workspaces of a file in the place of those of the same name. Other workspaces stay, "
+     "Replaces workspaces by those of the same name in a file. Other workspaces are kept, "
      "and\n"
-     "so do all keys. --dry_run shows the change; --expect VERSION refuses if there is a newer "
+     "so are all keys. --dry_run shows the change; --expect VERSION fails if there is a newer "
      "one.",
      "catkinford contract apply showrooms.json --dry_run\n"
      "catkinford contract apply showrooms.json --expect 41"},
     {"contract restore", "VERSION", 1, 1, &RunContractRestore,
-     "Makes a new version whose workspaces are those of an earlier one that is kept. Workspaces "
+     "Makes a new version with the workspaces of an earlier stored version. Workspaces "
      "added\n"
-     "since are removed. No key works again by it: keys that are not in force now come back "
+     "since are removed. It re-enables no key: keys that are not valid now are restored as "
      "withdrawn.\n"
      "--dry_run shows the change.",
      "catkinford contract history\n"
      "catkinford contract restore 40 --dry_run"},
     {"contract remove", "WORKSPACE", 1, 1, &RunContractRemove,
-     "Removes a workspace: its keys stop, what it has running drains.",
+     "Removes a workspace: its keys become invalid, its running work drains.",
      "catkinford contract remove showrooms --dry_run"},
     {"contract get", "[VERSION]", 0, 1, &RunContractGet,
-     "Prints the configuration in force, or an earlier version of it.",
+     "Prints the current configuration, or an earlier version of it.",
      "catkinford contract get > all.json"},
     {"contract diff", "FILE | VERSION [VERSION]", 1, 2, &RunContractDiff,
-     "Shows what applying a file would change, what changed between two versions that are kept, "
+     "Shows what applying a file would change, what changed between two stored versions, "
      "or\n"
      "what changed since one.",
      "catkinford contract diff showrooms.json\n"
      "catkinford contract diff 40\n"
      "catkinford contract diff 40 41"},
     {"contract history", "", 0, 0, &RunContractHistory,
-     "Lists the versions that are kept, oldest first: when, by whose key and what was changed.",
+     "Lists the stored versions, oldest first: when, by which key and what was changed.",
      "catkinford contract history --output json"},
     {"key make", "NAME", 1, 1, &RunKeyMake,
-     "Makes a secret and prints it with its record. Sends nothing: for the first document of all.",
+     "Makes a secret and prints it with its record. Sends nothing: for the initial configuration.",
      "catkinford key make first --operator"},
     {"key grant", "TEAM NAME | NAME", 1, 2, &RunKeyGrant,
      "Makes a secret here and grants it to a team, or with --operator to an operator. The secret "
@@ -92,47 +92,49 @@
     {"key list", "", 0, 0, &RunKeyList, "Lists all keys, their holders and whether withdrawn.",
      "catkinford key list"},
     {"endpoint drain", "NAME", 1, 1, &RunEndpointDrain,
-     "Gives an endpoint nothing new; what runs there is moved. It stays drained until it is "
+     "Places no new work on an endpoint and moves what runs there. It stays drained until it is "
      "undrained "
      "or\n"
-     "is gone from the platform's list, also when entries are replaced. --dry_run counts what runs "
+     "leaves the platform's list, also when entries are replaced. --dry_run counts what runs "
      "there.",
      "catkinford endpoint drain ep-12 --dry_run"},
     {"endpoint undrain", "NAME", 1, 1, &RunEndpointUndrain,
-     "Gives an endpoint work again. `members` lists those that are drained.",
+     "Makes an endpoint available for work again. `members` lists the drained ones.",
      "catkinford endpoint undrain ep-12"},
     {"domain evacuate", "NAME", 1, 1, &RunDomainEvacuate,
-     "Moves the jobs of a failure domain that is lost for good. Only an operator can know that it "
+     "Moves the jobs of a permanently lost failure domain. Only an operator can know that it "
      "is:\n"
-     "jobs of a domain that still runs would run twice. --dry_run counts only.",
+     "jobs of a domain that still runs would run twice. --dry_run only counts them.",
      "catkinford domain evacuate otaru --dry_run"},
     {"members", "", 0, 0, &RunMembers, "Lists the entries and the shards with their owners.",
      "catkinford members"},
     {"timeline", "", 0, 0, &RunTimeline,
-     "Merges the events of all entries in --entry into one time line: as text, or with --out FILE "
+     "Merges the events of all entries in --entry into one timeline: as text, or with --out FILE "
      "as a\n"
      "file in the Chrome trace format. --id keeps the events of one request.",
      "catkinford timeline --entry http://10.0.0.1:8080,http://10.0.0.2:8080 --out trace.json\n"
      "catkinford timeline --id 0123456789abcdef0123456789abcdef"},
     {"check-config", "settings FILE | contracts FILE", 2, 2, &RunCheckConfig,
-     "Checks a settings file of the daemon, or a file of contracts. Each fault of settings has an "
+     "Checks a settings file of the daemon, or a contracts file. Each kind of settings error has "
+     "an "
      "exit\n"
-     "code of its own, from 10 on.",
+     "code of its own, from 10 up.",
      "catkinford check-config settings entry.json"},
 }};
 
 constexpr const char* kExitCodes =
-    "Exit codes: 0 done, 1 ran and failed, 2 wrong command line, 3 refused and not run, 4 may "
+    "Exit codes: 0 done, 1 ran and failed, 2 wrong command line, 3 rejected and not run, 4 may "
     "have\n"
-    "run, 5 conflict with another change, 6 wrong contract, 7 no entry answered, 8 key not good,\n"
-    "9 not found, 10-20 faults of a settings file, 30 accepted but not yet in force everywhere.\n";
+    "run, 5 conflict with another change, 6 invalid contract, 7 no entry answered, 8 key not "
+    "valid,\n"
+    "9 not found, 10-20 settings file errors, 30 accepted but not yet in effect everywhere.\n";
 
 constexpr const char* kCommonFlags =
     "Common flags: --entry URL[,URL] (or CATKINFORD_ENTRY), --key KEY (or CATKINFORD_KEY, which "
     "does\n"
     "not show in the list of processes), --output text|json, --timeout 30s, --ca_file FILE.\n";
 
-// The entry whose words `words` begins with.
+// The command whose name `words` starts with; null if none.
 const command_entry* FindCommand(const command_arguments& words) {
   const auto begins = [&words](const command_entry& entry) {
     const std::vector<std::string> name = absl::StrSplit(entry.name, ' ');
--- a/src/process/command_line.h
+++ b/src/process/command_line.h
@@ -1,5 +1,5 @@
-// The command line for callers and operators: which commands there are, their help, and what
-// scripts are told by the exit code.
+// The command line for callers and operators: its commands, their help and the exit codes for
+// scripts.
 #ifndef CATKINFORD_PROCESS_COMMAND_LINE_H_
 #define CATKINFORD_PROCESS_COMMAND_LINE_H_
 
@@ -16,22 +16,22 @@
 
 namespace catkinford {
 
-// What a script can tell by. Faults of a settings file are 10 and up, see ExitCode(settings_fault).
+// Exit codes for scripts. Settings file errors are 10 and up, see ExitCode(settings_fault).
 enum class exit_code : uint8_t {
   kDone = 0,
-  kFailed = 1,          // it ran and failed
+  kFailed = 1,          // the job ran and failed
   kUsage = 2,           // the command line is wrong; nothing was sent
-  kRefused = 3,         // it did not run, and will not
+  kRefused = 3,         // it did not run and will not
   kUnknown = 4,         // it may have run, or may have been changed
-  kConflict = 5,        // somebody else changed the configuration first
-  kContract = 6,        // the contract is wrong
+  kConflict = 5,        // another change of the configuration came first
+  kContract = 6,        // the contract is invalid
   kUnreachable = 7,     // no entry answered; nothing was done
-  kUnauthorized = 8,    // the key is not, or no longer, good for this
+  kUnauthorized = 8,    // the key is not, or no longer, valid for this call
   kNotFound = 9,        // no such job, endpoint, domain, team or key
-  kNotYetInForce = 30,  // accepted; some failure domains have not confirmed it
+  kNotYetInForce = 30,  // accepted; not confirmed by all failure domains
 };
 
-// What `submit` asks for, besides the kind.
+// Options of `submit` besides the kind.
 struct job_options {
   uint32_t tasks = 1;
   resources each;
@@ -39,20 +39,20 @@
   bool repeatable = true;
   std::string idempotency_key;
   std::chrono::milliseconds deadline{0};  // 0: the entry's default
-  std::chrono::milliseconds run_time{0};  // 0: not said
+  std::chrono::milliseconds run_time{0};  // 0: not given
   std::string payload;
   bool wait = false;
 };
 
 struct command_options {
   bool json = false;
-  bool terminal = false;  // progress of long work is shown
+  bool terminal = false;  // show progress of long operations
   bool dry_run = false;
-  std::optional<uint64_t> expect;  // the version that a change is based on
-  bool is_operator = false;        // key: of an operator instead of a team
+  std::optional<uint64_t> expect;  // version that a change is based on
+  bool is_operator = false;        // key commands: an operator key instead of a team key
   std::chrono::milliseconds wait_limit{600000};
   std::string id;        // timeline: only this request
-  std::string out_file;  // timeline: where the trace goes
+  std::string out_file;  // timeline: file for the trace
   job_options job;
 };
 
@@ -71,7 +71,7 @@
   std::ostream& err_;
 };
 
-// Help on the command that `words` begins with; the list of all when it begins with none.
+// Help on the command that `words` starts with, else the list of commands.
 std::string HelpOn(const std::vector<std::string>& words);
 
 }  // namespace catkinford
--- a/src/process/commands.h
+++ b/src/process/commands.h
@@ -1,5 +1,5 @@
-// The commands of the command line, one function each. Each takes the words after its name, prints
-// its result and returns the exit code.
+// The commands of the command line, one function each. Each takes the arguments after its name,
+// prints its result and returns the exit code.
 #ifndef CATKINFORD_PROCESS_COMMANDS_H_
 #define CATKINFORD_PROCESS_COMMANDS_H_
 
@@ -17,7 +17,7 @@
 
 using command_arguments = std::vector<std::string>;
 
-// What every command works with.
+// Options, clients and output streams shared by all commands.
 struct command_context {
   const command_options& options;
   entry_client& entries;
@@ -25,21 +25,21 @@
   std::ostream& err;
 };
 
-// An answer of an entry, read.
+// An answer of an entry with its parsed body.
 struct entry_answer {
   http_result result;
-  nlohmann::json body;  // discarded when it is not JSON
+  nlohmann::json body;  // discarded value if not JSON
 
   bool IsGood() const { return result.status == transfer_status::kDone && result.code < 300; }
 };
 
 entry_answer CallEntry(command_context& context, const std::string& method, const std::string& path,
                        const std::string& body);
-// Prints why a call came to nothing, and says what the exit code is.
+// Prints why a call failed and returns the exit code.
 exit_code PrintFailure(command_context& context, const entry_answer& answer);
-// The file's text; nothing, and a word about it, where it cannot be read. "-" is standard input.
+// The file's text; absent after printing an error if it cannot be read. "-" is standard input.
 std::optional<std::string> ReadFile(command_context& context, const std::string& name);
-// A field of an answer, or the fallback where it is missing or of another type.
+// A field of an answer; empty or 0 if it is missing or of another type.
 std::string TextField(const nlohmann::json& object, std::string_view field);
 uint64_t NumberField(const nlohmann::json& object, std::string_view field);
 
--- a/src/process/config_change.cc
+++ b/src/process/config_change.cc
@@ -11,7 +11,7 @@
 using nlohmann::json;
 
 constexpr int kConflictStatus = 409;
-constexpr int kUnknownStatus = 504;  // the entry had no answer of the store
+constexpr int kUnknownStatus = 504;  // the store did not answer the entry
 constexpr int kMaxConflictAttempts = 8;
 constexpr size_t kDiffContext = 2;
 
@@ -40,7 +40,7 @@
   return text;
 }
 
-// Both versions: what this change started from and wanted, and what another operator made of it.
+// Shows both versions: the base and result of this change, and the change of the other operator.
 exit_code ShowConflict(command_context& context, const entry_answer& answer,
                        const fetched_config& base, const std::string& wanted) {
   const std::string theirs = TextField(answer.body, "text");
@@ -52,7 +52,7 @@
     context.out << both.dump(-1, ' ', true, json::error_handler_t::replace) << "\n";
   } else {
     context.out << "conflict: made from version " << base.version << ", but version " << version
-                << " is in force. Nothing was changed.\n--- their change\n";
+                << " is current. Nothing was changed.\n--- their change\n";
     PrintDiff(context, base.text, theirs);
     context.out << "--- your change\n";
     PrintDiff(context, base.text, wanted);
@@ -73,8 +73,8 @@
                    body.dump(-1, ' ', false, json::error_handler_t::replace));
 }
 
-// Whether an entry's document is the one that was wanted. Not text by text: the entries sign what
-// they keep with a comment.
+// Whether an entry's document equals the wanted one. Compared in parsed form: the entries add a
+// signature comment to the text they store.
 bool IsWanted(const entry_answer& answer, const std::string& wanted) {
   const std::variant<configuration, contract_error> parsed =
       ParseConfiguration(TextField(answer.body, "text"));
@@ -82,17 +82,18 @@
   return config != nullptr && ToText(*config) == wanted;
 }
 
-// A change whose answer was lost: it was made if what is in force is exactly this text.
+// For a change whose answer was lost: it was made if the current configuration equals the wanted
+// one.
 int VerifyChange(command_context& context, const std::string& wanted) {
   const entry_answer now = CallEntry(context, "GET", "/v1/config", "");
   if (now.IsGood() && IsWanted(now, wanted)) return static_cast<int>(ShowChange(context, now));
-  context.err << "catkinford: the answer was lost; see `catkinford contract get`\n";
+  context.err << "catkinford: the answer was lost; check with `catkinford contract get`\n";
   return static_cast<int>(exit_code::kUnknown);
 }
 
 }  // namespace
 
-// Where a change is in force; not yet everywhere is an exit code of its own.
+// Prints where a change is in effect; "not yet everywhere" has an exit code of its own.
 exit_code ShowChange(command_context& context, const entry_answer& answer) {
   const std::string pending = JoinNames(answer.body, "pending");
   if (context.options.json) {
@@ -141,11 +142,11 @@
   fetched_config fetched;
   fetched.version = NumberField(answer.body, "version");
   fetched.text = TextField(answer.body, "text");
-  if (fetched.text.empty()) return fetched;  // nothing was ever written
+  if (fetched.text.empty()) return fetched;  // no configuration was ever written
   std::variant<configuration, exit_code> config = CheckDocument(context, fetched.text);
   if (const auto* code = std::get_if<exit_code>(&config)) return *code;
   fetched.config = std::move(std::get<configuration>(config));
-  fetched.text = ToText(fetched.config);  // without the comment that the entries sign it with
+  fetched.text = ToText(fetched.config);  // without the signature comment of the entries
   return fetched;
 }
 
@@ -162,7 +163,8 @@
       return static_cast<int>(CodeOf(fault));
     }
     const std::string wanted = ToText(next);
-    // The merged whole can be wrong where each part is right, as shares over the whole.
+    // The merged document can be invalid although each part is valid, for example when shares add
+    // up to more than the total.
     const std::variant<configuration, exit_code> checked = CheckDocument(context, wanted);
     if (const auto* code = std::get_if<exit_code>(&checked)) return static_cast<int>(*code);
     if (context.options.dry_run && !context.options.json) PrintDiff(context, base.text, wanted);
@@ -174,7 +176,7 @@
     if (answer.result.status != transfer_status::kDone || answer.result.code != kConflictStatus) {
       return static_cast<int>(PrintFailure(context, answer));
     }
-    // The first entry made it and its answer was lost; the second finds it made already.
+    // The first entry made the change and its answer was lost; the second finds it already made.
     if (IsWanted(answer, wanted)) {
       return static_cast<int>(ShowChange(context, answer));
     }
--- a/src/process/config_change.h
+++ b/src/process/config_change.h
@@ -1,5 +1,5 @@
-// Reading and changing the configuration through an entry: always against the version that the
-// change was made from.
+// Reads and changes the configuration through an entry; each change names the version it is based
+// on.
 #ifndef CATKINFORD_PROCESS_CONFIG_CHANGE_H_
 #define CATKINFORD_PROCESS_CONFIG_CHANGE_H_
 
@@ -20,23 +20,23 @@
   configuration config;
 };
 
-// The configuration in force, as an entry knows it; `query` asks for another version.
+// The current configuration as the entry knows it; `query` selects another version.
 std::variant<fetched_config, exit_code> FetchConfig(command_context& context,
                                                     const std::string& query = {});
 
-// A document in words: its fault, or nothing where it is good.
+// Parses a document; prints the fault and returns the exit code if it is invalid.
 std::variant<configuration, exit_code> CheckDocument(command_context& context,
                                                      const std::string& text);
 
-// Whether a change may be made again on top of what another operator wrote in between: true for
-// changes that commute, such as a key.
+// Whether a change may be retried on top of a concurrent change of another operator: true for
+// changes that commute, such as granting a key.
 enum class on_conflict : uint8_t { kShowBoth, kTryAgain };
 
-// Changes what is in force by `edit` and prints where the new version is in force.
+// Applies `edit` to the current configuration and prints where the new version is in effect.
 int ChangeConfig(command_context& context, on_conflict conflict,
                  const std::function<edit_fault(configuration&)>& edit);
 
-// Prints where a change is in force, as an entry answered it.
+// Prints where a change is in effect, from the answer of an entry.
 exit_code ShowChange(command_context& context, const entry_answer& answer);
 
 void PrintDiff(command_context& context, const std::string& before, const std::string& after);
--- a/src/process/config_history_store.cc
+++ b/src/process/config_history_store.cc
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr char kHistoryKey[] = "history";
-constexpr int kSaveAttempts = 8;  // lost replies and other operators' changes of the list
+constexpr int kSaveAttempts = 8;  // covers lost replies and concurrent changes of the list
 
 std::string TextKey(uint64_t version) { return absl::StrCat(kHistoryKey, "/", version); }
 
-// A list that cannot be read, damaged by a hand in the store, gives way to a new one: it must not
-// stand in the way of every further change of the configuration.
+// An unreadable list, for example after a manual edit in the store, is replaced by a new one: it
+// must not block every further configuration change.
 config_history ParseHistory(const store_reply& reply) {
   if (reply.items.empty()) return {};
   return config_history::Parse(reply.items.front().value).value_or(config_history{});
@@ -89,9 +89,9 @@
   }
 }
 
-// Before the list names it, so that each version in the list has its text. A conflict is as good as
-// done: only the text of this version is ever written under this key. So a lost reply is followed
-// by the same write again.
+// The text is written before the list refers to it, so that each listed version has its text. A
+// conflict counts as done: only the text of this version is ever written under this key. So a lost
+// reply is handled by repeating the write.
 void config_history_store::PutText(const save_handle& pending) {
   Swap(TextKey(pending->past.version), 0, pending->text,
        [this, pending](const store_reply& reply, monotonic_time now) {
@@ -107,9 +107,9 @@
        });
 }
 
-// Texts that left the list are deleted by the next change, before they are forgotten: an entry that
-// dies at any point leaves them listed as dropped, and the store does not fill with texts that no
-// list names.
+// Texts dropped from the list are deleted by the next change, before they are removed from the
+// list: an entry that is lost at any point leaves them listed as dropped, and no unlisted texts
+// accumulate in the store.
 void config_history_store::DeleteDropped(const save_handle& pending) {
   if (pending->history.Dropped().empty()) {
     PutHistory(pending);
@@ -118,18 +118,18 @@
   const past_version& oldest = pending->history.Dropped().front();
   Swap(TextKey(oldest.version), oldest.stored, std::nullopt,
        [this, pending, version = oldest.version](const store_reply& reply, monotonic_time) {
-         // A conflict: it is gone already.
+         // On a conflict it is already deleted.
          if (reply.status == store_status::kDone || reply.status == store_status::kConflict) {
            pending->history.Forget(version);
            DeleteDropped(pending);
          } else {
-           PutHistory(pending);  // it stays listed as dropped, for the next change
+           PutHistory(pending);  // stays listed as dropped until the next change
          }
        });
 }
 
-// A writer that was paused for very long can put back the text of a version that was dropped and
-// deleted in the meantime; no list names it, so nothing else would ever delete it.
+// A writer that was paused for very long can write the text of a version that has been dropped and
+// deleted in the meantime. No list refers to it, so nothing else would ever delete it.
 void config_history_store::OnSuperseded(const save_handle& pending, monotonic_time now) {
   if (pending->is_new) {
     Swap(TextKey(pending->past.version), pending->past.stored, std::nullopt,
@@ -158,7 +158,7 @@
     End(pending, save_outcome::kUnavailable, now);
     return;
   }
-  // Another operator's entry was first, or our reply was lost: what stands there tells.
+  // Another entry wrote first, or the reply was lost: read what is stored.
   ReadHistory(pending);
 }
 
--- a/src/process/config_history_store.h
+++ b/src/process/config_history_store.h
@@ -1,9 +1,9 @@
 // Past versions of the configuration in the platform's store, so that they outlive every entry: one
-// value for each text, `history/VERSION`, and one for the list of them, `history`.
+// value per text, `history/VERSION`, and one for the list of versions, `history`.
 //
-// A version is kept before the swap that supersedes it, never after: an entry that dies in between
-// leaves the version in force and listed, and no accepted version can be missing. A text that lost
-// its swap was never in force, is never kept, and so never shows.
+// A version is saved before the swap that supersedes it, never after: an entry that is lost in
+// between leaves the version current and listed, and no accepted version can be missing. A text
+// whose swap failed was never in effect, is never saved, and never appears.
 #ifndef CATKINFORD_PROCESS_CONFIG_HISTORY_STORE_H_
 #define CATKINFORD_PROCESS_CONFIG_HISTORY_STORE_H_
 
@@ -22,38 +22,39 @@
 
 enum class save_outcome : uint8_t {
   kSaved,
-  kSuperseded,   // a later version was in force already
-  kUnavailable,  // the store did not take it; asking again does no harm
+  kSuperseded,   // a later version was already in effect
+  kUnavailable,  // the store did not accept it; retrying is safe
 };
 
 class config_history_store {
  public:
-  // Hands a reply over to the core thread; see node::Post.
+  // Posts a reply to the core thread; see node::Post.
   using poster = std::function<void(std::function<void(monotonic_time)>)>;
   using on_saved = std::function<void(save_outcome, monotonic_time)>;
-  // Absent: the store gave no answer.
+  // Absent: the store did not answer.
   using on_list = std::function<void(std::optional<config_history>, monotonic_time)>;
-  // kDone with the text, kAbsent when it is not kept, else kUnavailable.
+  // kDone with the text, kAbsent if it is not stored, else kUnavailable.
   using on_text = std::function<void(store_status, std::string, monotonic_time)>;
 
   config_history_store(store_adapter& store, history_bounds bounds, poster post);
 
-  // All results come on the core thread.
+  // All results are delivered on the core thread.
   void Save(uint64_t version, const std::string& text, on_saved done);
-  // This entry has kept it, so that it may be superseded without asking the store again.
+  // Whether this entry has saved the version, so that it may be superseded without another read of
+  // the store.
   bool HasSaved(uint64_t version) const { return version == saved_; }
   void List(on_list done);
   void Text(uint64_t version, on_text done);
 
  private:
-  // One version on its way into the store.
+  // A save in progress.
   struct pending_save {
     past_version past;
     std::string text;
     std::vector<on_saved> done;
     config_history history;
     uint64_t expect = 0;  // revision of the list that `history` was read from
-    bool is_new = false;  // the text was not there before
+    bool is_new = false;  // the text was not stored before
     int tries = 0;
   };
   using save_handle = std::shared_ptr<pending_save>;
@@ -73,8 +74,8 @@
   history_bounds bounds_;
   poster post_;
   save_handle in_flight_;
-  uint64_t writes_ = 0;  // names each write
-  uint64_t saved_ = 0;   // the highest version that this entry knows to be kept
+  uint64_t writes_ = 0;  // counter for write ids
+  uint64_t saved_ = 0;   // highest version known to be saved
 };
 
 }  // namespace catkinford
--- a/src/process/config_store.cc
+++ b/src/process/config_store.cc
@@ -9,8 +9,8 @@
 
 constexpr char kConfigKey[] = "config";
 constexpr milliseconds kWatchWait{20000};
-// Every entry reads by itself now and then: news through the domain's watcher and the peers comes
-// within a second, but a peer that keeps silent must not hold a version back for long.
+// Each entry also polls the store: updates from the watcher of its domain and from peers arrive
+// within a second, but a peer that sends nothing must not delay a version for long.
 constexpr milliseconds kReadInterval{5000};
 constexpr milliseconds kFirstReadInterval{200};  // until a first version is known
 constexpr milliseconds kRetryDelay{500};
@@ -41,7 +41,7 @@
 }
 
 void config_store::Refresh(std::function<void(bool, monotonic_time)> done) {
-  // A watch that does not wait: the whole document comes only when it is newer than ours.
+  // A watch with zero wait: returns the document only if it is newer than ours.
   store_.Watch(kConfigKey, order_.Version(), milliseconds{0},
                [this, done = std::move(done)](store_reply reply) mutable {
                  post_([this, done = std::move(done), reply = std::move(reply)](monotonic_time at) {
@@ -81,15 +81,15 @@
 
 void config_store::Offer(uint64_t version, const std::string& text, version_origin origin,
                          monotonic_time now) {
-  // The watch may bring our own change before the reply to it: taken for another's, nobody would
-  // tell the peers of it.
+  // The watch may deliver our own change before the reply to it. Taken for a change of another
+  // entry, it would not be sent to the peers.
   const bool is_ours = own_writes_.contains(SignatureOf(text).write_id);
   if (!order_.Offer(version, text, now)) return;
   changed_(is_ours ? version_origin::kOwnChange : origin, now);
 }
 
-// The next change then finds its predecessor kept, and costs one write between the operator and the
-// version in force. Whether this one succeeds does not matter: the next change makes sure.
+// The next change then finds its predecessor already saved, which leaves one write between the
+// operator and the new version. A failure here is harmless: the next change saves it if needed.
 void config_store::SaveCurrent(uint64_t version, const std::string& text) {
   history_.Save(version, text, [](save_outcome, monotonic_time) {});
 }
@@ -97,7 +97,7 @@
 void config_store::Change(uint64_t expect, const std::string& text,
                           const config_signature& signature,
                           std::function<void(change_result, monotonic_time)> done) {
-  // What was read from an entry still carries the signature of its last writer.
+  // Text read from an entry still carries the signature of its last writer.
   const std::string signed_text = SignConfiguration(WithoutSignature(text), signature);
   own_writes_.insert(signature.write_id);
   done = [this, write_id = signature.write_id, done = std::move(done)](const change_result& result,
@@ -109,7 +109,7 @@
     SaveAndSend(expect, signed_text, signature.write_id, std::move(done));
     return;
   }
-  // The operator read it from another entry, which is ahead of this one.
+  // The operator read it from another entry that is ahead of this one.
   Refresh([this, expect, signed_text, write_id = signature.write_id, done = std::move(done)](
               bool answered, monotonic_time now) mutable {
     if (!answered) {
@@ -120,7 +120,7 @@
   });
 }
 
-// An expected version that is not the one in force loses its swap, and there is nothing to keep.
+// If the expected version is not the current one, the swap will fail and there is nothing to save.
 void config_store::SaveAndSend(uint64_t expect, const std::string& text,
                                const std::string& write_id,
                                std::function<void(change_result, monotonic_time)> done) {
@@ -135,14 +135,14 @@
                     done({change_outcome::kUnavailable, 0, {}}, now);
                     return;
                   }
-                  // A superseded version loses its swap, whose answer tells what stands there.
+                  // If superseded, the swap fails and its reply contains the stored version.
                   SendChange(expect, text, write_id, kChangeAttempts, std::move(done));
                 });
 }
 
 void config_store::History(
     std::function<void(std::optional<std::vector<past_version>>, monotonic_time)> done) {
-  // First the version in force, then the list: one that is superseded in between is in the list.
+  // Read the current version first, then the list: a version superseded in between is in the list.
   Refresh([this, done = std::move(done)](bool answered, monotonic_time now) mutable {
     if (!answered) {
       done(std::nullopt, now);
@@ -186,8 +186,8 @@
   store_.CompareAndSwap(kConfigKey, expect, text, write_id, "", std::move(on_reply));
 }
 
-// A lost reply is followed by the same swap once more: it can only take effect once, and what then
-// stands there tells whether it was ours.
+// After a lost reply the same swap is sent again: it takes effect at most once, and the value
+// stored then shows whether it was ours.
 void config_store::OnChangeReply(const store_reply& reply, uint64_t expect, const std::string& text,
                                  const std::string& write_id, int tries,
                                  std::function<void(change_result, monotonic_time)> done,
@@ -207,7 +207,7 @@
       done({change_outcome::kDone, stored.revision, {}}, now);
       return;
     }
-    // After a lost reply the standing value may have been written over ours.
+    // After a lost reply, the stored value may have overwritten ours.
     done({was_lost ? change_outcome::kUnknown : change_outcome::kConflict, stored.revision,
           stored.value},
          now);
--- a/src/process/contract_commands.cc
+++ b/src/process/contract_commands.cc
@@ -19,7 +19,7 @@
   return CheckDocument(context, *text);
 }
 
-// The versions that are kept, oldest first; nothing after a failure that has been explained.
+// The stored versions, oldest first; after a failure the exit code, with the error already printed.
 std::variant<json, exit_code> FetchHistory(command_context& context) {
   entry_answer answer = CallEntry(context, "GET", "/v1/config/history", "");
   if (!answer.IsGood() || !answer.body.contains("versions")) return PrintFailure(context, answer);
@@ -34,11 +34,11 @@
 
 bool IsVersion(command_context& context, const std::string& argument) {
   if (VersionNumber(argument)) return true;
-  context.err << "catkinford: " << argument << " is not the number of a version\n";
+  context.err << "catkinford: " << argument << " is not a version number\n";
   return false;
 }
 
-// One version that is kept, or the one in force, in its canonical text.
+// A stored version, or the current one, in canonical form.
 std::variant<fetched_config, exit_code> FetchVersion(command_context& context,
                                                      const std::string& argument) {
   if (!IsVersion(context, argument)) return exit_code::kUsage;
@@ -56,7 +56,7 @@
   return static_cast<int>(exit_code::kDone);
 }
 
-// What no other part of the document can set right: the file says nothing of keys that are granted.
+// Prints the warnings that the file alone justifies: it does not contain the granted keys.
 void PrintFileWarnings(command_context& context, const configuration& config) {
   for (const contract_warning& warning : WarningsOf({}, config, {})) {
     const bool concerns_keys = warning.kind == contract_warning_kind::kNoOperatorKey ||
@@ -86,7 +86,7 @@
   if (context.options.json) {
     context.out << json{{"workspaces", config.workspaces.size()}, {"teams", teams}}.dump() << "\n";
   } else {
-    context.out << "good: " << config.workspaces.size() << " workspaces, " << teams << " teams\n";
+    context.out << "valid: " << config.workspaces.size() << " workspaces, " << teams << " teams\n";
   }
   PrintFileWarnings(context, config);
   return static_cast<int>(exit_code::kDone);
--- a/src/process/entry_client.cc
+++ b/src/process/entry_client.cc
@@ -10,7 +10,7 @@
 
 constexpr int kUnavailable = 503;
 
-// An entry that leaves says so; another takes the call.
+// Whether the entry answered that it is shutting down; the call then goes to another one.
 bool IsLeaving(const http_result& result) {
   if (result.code != kUnavailable) return false;
   const auto body = nlohmann::json::parse(result.body, nullptr, false);
@@ -59,7 +59,8 @@
       maybe_sent = true;
     }
   }
-  // A refusal by one that leaves says nothing of another that took the call and went silent.
+  // The rejection by an entry that is shutting down does not cover another one that received the
+  // call and did not answer.
   if (maybe_sent) return {transfer_status::kMaybeSent, 0, ""};
   return last;
 }
--- a/src/process/entry_client.h
+++ b/src/process/entry_client.h
@@ -1,5 +1,5 @@
-// Calls of the command line to the entries: any entry takes any call, and one that does not answer
-// is passed over for the next.
+// Calls of the command line to the entries: any entry accepts any call, and one that does not
+// answer is skipped.
 #ifndef CATKINFORD_PROCESS_ENTRY_CLIENT_H_
 #define CATKINFORD_PROCESS_ENTRY_CLIENT_H_
 
@@ -19,19 +19,20 @@
   std::chrono::milliseconds timeout{30000};
 };
 
-// The address of an entry as calls need it; absent where it is none. A slash at the end is left
-// out: with it every path would begin with two and be unknown.
+// The base URL of an entry; absent if it is not valid. Trailing slashes are removed: with them
+// every path would start with two slashes and be unknown.
 std::optional<std::string> BaseUrl(const std::string& entry);
 
 class entry_client {
  public:
   entry_client(http_client& http, entry_client_options options);
 
-  // The first answer of any entry. Calls have to be repeatable: reads, changes with an expected
-  // version, submissions with an idempotency key. An entry that is shutting down, or is silent, is
-  // passed over. Without any answer: kMaybeSent if one of them may have seen the call.
+  // Returns the first answer of any entry. Calls have to be repeatable: reads, changes with an
+  // expected version, submissions with an idempotency key. An entry that is shutting down or does
+  // not answer is skipped. Without any answer: kMaybeSent if one of them may have received the
+  // call.
   http_result Call(const std::string& method, const std::string& path, const std::string& body);
-  // The answer of this one, by its place in Entries().
+  // Calls the entry at this index of Entries().
   http_result CallAt(size_t entry, const std::string& method, const std::string& path,
                      const std::string& body);
 
--- a/src/process/flag_check.cc
+++ b/src/process/flag_check.cc
@@ -9,10 +9,10 @@
 namespace catkinford {
 namespace {
 
-constexpr std::array<std::string_view, 3> kFaultTexts = {"no such flag", "needs a value",
-                                                         "bad value"};
+constexpr std::array<std::string_view, 3> kFaultTexts = {"unknown flag", "missing value",
+                                                         "invalid value"};
 
-// "--name", "-name", "--name=value"; empty for what is no flag.
+// The flag name in "--name", "-name" or "--name=value"; empty if not a flag.
 std::string NameOf(const std::string& argument) {
   if (argument.size() < 2 || argument[0] != '-') return {};
   const size_t begin = argument[1] == '-' ? 2 : 1;
@@ -36,7 +36,7 @@
 
 std::optional<flag_error> CheckFlags(const std::vector<std::string>& arguments) {
   for (size_t i = 0; i < arguments.size(); ++i) {
-    if (arguments[i] == "--") return std::nullopt;  // the rest are no flags
+    if (arguments[i] == "--") return std::nullopt;  // the rest are not flags
     const std::string name = NameOf(arguments[i]);
     if (name.empty()) continue;
     const std::string shown = absl::StrCat("--", name);
--- a/src/process/job_commands.cc
+++ b/src/process/job_commands.cc
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// How long one call waits at the entry; many of these make up a long wait.
+// Longest wait of one call at the entry; a longer wait uses several calls.
 constexpr milliseconds kMaxWaitPerCall{10000};
 
 exit_code CodeOf(const json& outcome) {
@@ -37,7 +37,7 @@
   return exit_code::kUnknown;
 }
 
-// Prints an outcome; its kind is the exit code.
+// Prints an outcome and returns its exit code.
 exit_code ShowOutcome(command_context& context, const json& outcome) {
   const std::string kind = TextField(outcome, "outcome");
   if (context.options.json) {
@@ -62,7 +62,7 @@
                {"cpu_milli", job.each.cpu_milli},       {"memory_mb", job.each.memory_mb},
                {"accelerators", job.each.accelerators}, {"urgent", job.urgent},
                {"repeatable", job.repeatable},          {"wait", job.wait}};
-  // Drawn here where there is none: only then may a call whose answer was lost be repeated.
+  // Generated if absent: only then may a call whose answer was lost be retried.
   body["idempotency_key"] =
       job.idempotency_key.empty() ? ToHex(NewRequestId()) : job.idempotency_key;
   if (job.deadline.count() > 0) body["deadline_ms"] = job.deadline.count();
@@ -112,7 +112,7 @@
   return text;
 }
 
-// One line that is written over; nothing where nobody looks.
+// Prints progress on one line that is overwritten; prints nothing without a terminal.
 void ShowProgress(command_context& context, const json& status) {
   if (!context.options.terminal) return;
   context.err << "\r" << TextField(status, "state") << TaskCounts(status) << "   " << std::flush;
@@ -129,10 +129,10 @@
   context.out << "\n";
 }
 
-// Said here and not by an entry, which may not be reachable, and whose time it would be.
+// Checked locally: an entry may not be reachable, and the check would cost its time.
 bool IsId(command_context& context, const std::string& argument) {
   if (ParseRequestId(argument)) return true;
-  context.err << "catkinford: " << argument << " is not the id of a job: 32 hexadecimal digits\n";
+  context.err << "catkinford: " << argument << " is not a job id: 32 hexadecimal digits expected\n";
   return false;
 }
 
--- a/src/process/key_commands.cc
+++ b/src/process/key_commands.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// "TEAM NAME", or with --operator "NAME".
+// The arguments "TEAM NAME", or "NAME" with --operator.
 struct key_name {
   std::string team;  // empty for an operator's key
   std::string name;
@@ -21,7 +21,7 @@
   if (arguments.size() == expected) {
     return expected == 1 ? key_name{"", arguments[0]} : key_name{arguments[0], arguments[1]};
   }
-  context.err << "catkinford: give TEAM NAME, or --operator and NAME\n";
+  context.err << "catkinford: use TEAM NAME, or --operator and NAME\n";
   return std::nullopt;
 }
 
@@ -47,7 +47,7 @@
 
 int RunKeyMake(command_context& context, const command_arguments& arguments) {
   if (!IsContractName(arguments[0])) {
-    context.err << "catkinford: a name has 1 to 64 of a-z, 0-9, '-', '_' and '.'\n";
+    context.err << "catkinford: a name has 1 to 64 characters of a-z, 0-9, '-', '_' and '.'\n";
     return static_cast<int>(exit_code::kUsage);
   }
   const new_key key = MakeKey(arguments[0], context.options.is_operator);
@@ -65,14 +65,14 @@
   const std::optional<key_name> target = ParseKeyName(context, arguments);
   if (!target) return static_cast<int>(exit_code::kUsage);
   if (!IsContractName(target->name)) {
-    context.err << "catkinford: a name has 1 to 64 of a-z, 0-9, '-', '_' and '.'\n";
+    context.err << "catkinford: a name has 1 to 64 characters of a-z, 0-9, '-', '_' and '.'\n";
     return static_cast<int>(exit_code::kUsage);
   }
   const new_key key = MakeKey(target->name, context.options.is_operator);
   const int code = ChangeConfig(context, on_conflict::kTryAgain, [&](configuration& config) {
     return AddKey(config, target->team, key.record);
   });
-  // After a lost answer the key may be in force, so that its holder needs the secret.
+  // After a lost answer the key may be valid, so its holder needs the secret.
   const bool may_be_granted = code == static_cast<int>(exit_code::kDone) ||
                               code == static_cast<int>(exit_code::kNotYetInForce) ||
                               code == static_cast<int>(exit_code::kUnknown);
--- a/src/process/operator_commands.cc
+++ b/src/process/operator_commands.cc
@@ -11,11 +11,12 @@
 
 using nlohmann::json;
 
-// Pages of one entry's time line: a bound, since events may come in as fast as they are read.
+// Limit on the timeline pages read from one entry, since events may arrive as fast as they are
+// read.
 constexpr int kMaxTimelinePages = 200;
 
-// An action on one domain; `counted` is what the answer counts. Each entry is asked until one did
-// it; what the last one says is the reason if none did.
+// Posts an action on a failure domain to each entry until one accepts it; `counted` is the field of
+// the answer that holds the count. If none does, prints the reason given by the last one.
 int PostAction(command_context& context, const std::string& path, const char* counted) {
   const std::string body = json{{"dry_run", context.options.dry_run}}.dump();
   entry_answer answer;
@@ -36,14 +37,14 @@
   return static_cast<int>(exit_code::kDone);
 }
 
-// Draining twice is as good as once, so that the next entry may be asked when one gives no answer.
+// Draining is idempotent, so the next entry is called if one does not answer.
 int SetDrained(command_context& context, const std::string& path) {
   const entry_answer answer = CallEntry(context, "POST", path, "{}");
   return static_cast<int>(answer.IsGood() ? ShowChange(context, answer)
                                           : PrintFailure(context, answer));
 }
 
-// Only the owner of the endpoint's shard knows what runs there; the others say all else.
+// Only the owner of the endpoint's shard knows what runs there; any entry knows the rest.
 int PreviewDrain(command_context& context, const std::string& path) {
   entry_answer answer;
   entry_answer good;
@@ -62,9 +63,9 @@
   const bool is_drained = drained != good.body.end() && *drained == true;
   context.out << TextField(good.body, "endpoint") << (is_drained ? ": drained" : ": not drained");
   if (good.body.contains("running")) {
-    context.out << ", " << NumberField(good.body, "running") << " tasks run there";
+    context.out << ", " << NumberField(good.body, "running") << " tasks running";
   } else {
-    context.out << "; its owner is not among the entries asked, so what runs there is not known";
+    context.out << "; the running tasks are unknown: its owner is not among the entries queried";
   }
   context.out << "\n";
   return static_cast<int>(exit_code::kDone);
@@ -100,7 +101,7 @@
   }
 }
 
-// All that one entry still remembers.
+// Reads all events that one entry still holds.
 bool ReadEntry(command_context& context, size_t entry, merged_timeline& merged) {
   uint64_t since = 0;
   for (int page = 0; page < kMaxTimelinePages; ++page) {
@@ -161,7 +162,7 @@
     if (ReadEntry(context, i, merged)) {
       ++answered;
     } else {
-      context.err << "catkinford: no time line from " << context.entries.Entries()[i] << "\n";
+      context.err << "catkinford: no timeline from " << context.entries.Entries()[i] << "\n";
     }
   }
   if (context.options.terminal) context.err << "\n";
@@ -190,7 +191,7 @@
   if (context.options.json) {
     context.out << json{{"settings", "good"}}.dump() << "\n";
   } else {
-    context.out << "good: " << read.name << "\n";
+    context.out << "valid: " << read.name << "\n";
   }
   return static_cast<int>(exit_code::kDone);
 }
@@ -210,7 +211,7 @@
 int RunCheckConfig(command_context& context, const command_arguments& arguments) {
   if (arguments[0] == "contracts") return RunContractCheck(context, {arguments[1]});
   if (arguments[0] != "settings") {
-    context.err << "catkinford: give settings FILE or contracts FILE\n";
+    context.err << "catkinford: use settings FILE or contracts FILE\n";
     return static_cast<int>(exit_code::kUsage);
   }
   return leaf::try_handle_all(
