--- a/src/process/event_log.cc
+++ b/src/process/event_log.cc
@@ -12,8 +12,8 @@
 constexpr std::chrono::milliseconds kWriterPollInterval{200};
 constexpr unsigned char kFirstPrintable = 0x20;
 
-// Subjects and details may hold a caller's text. A line break in it would let a caller write log
-// lines that look like ours; it is shown as a question mark.
+// Subjects and details may contain text of callers. A line break would let a caller forge log
+// lines; control characters are replaced by a question mark.
 std::string OneLine(const std::string& text) {
   std::string out = text;
   for (char& c : out) {
--- a/src/process/event_log.h
+++ b/src/process/event_log.h
@@ -1,5 +1,5 @@
-// One call for each numbered event: it goes into the time line at once, and to the log through a
-// bounded ring and a thread of its own, so that a slow disk or terminal never delays a decision.
+// Logs numbered events: each goes into the timeline at once, and to the log through a bounded ring
+// and a separate thread, so that a slow disk or terminal never delays a decision.
 #ifndef CATKINFORD_PROCESS_EVENT_LOG_H_
 #define CATKINFORD_PROCESS_EVENT_LOG_H_
 
@@ -18,23 +18,23 @@
 namespace catkinford {
 
 struct event_log_options {
-  event_level level = event_level::kInfo;  // the least that is logged; the time line takes all
+  event_level level = event_level::kInfo;  // lowest level logged; the timeline records all
   std::string file;                        // empty: standard error
-  size_t queue_capacity = 8192;            // lines that may wait for the log thread
+  size_t queue_capacity = 8192;            // lines waiting for the log thread
 };
 
 class event_log {
  public:
   event_log(const event_log_options& options, timeline& events);
-  // Writes what still waits.
+  // Writes all waiting lines.
   ~event_log();
   event_log(const event_log&) = delete;
   event_log& operator=(const event_log&) = delete;
 
-  // From any thread; never blocks on output. `subject` is a shard, endpoint, peer or team.
+  // Thread-safe; never blocks on output. `subject` is a shard, endpoint, peer or team.
   void Emit(event_code code, monotonic_time now, const request_id& id = {}, uint64_t epoch = 0,
             std::string subject = {}, std::string detail = {});
-  // Log lines that found the ring full; the time line has their events all the same.
+  // Log lines dropped because the ring was full; the timeline still has their events.
   uint64_t DroppedLines() const { return dropped_.load(std::memory_order_relaxed); }
 
  private:
--- a/src/process/events.cc
+++ b/src/process/events.cc
@@ -5,65 +5,67 @@
 namespace catkinford {
 namespace {
 
-// Numbers run from 100 up to here, with gaps.
+// Event numbers are in [kFirstCode, kCodeLimit), with gaps.
 constexpr uint16_t kFirstCode = 100;
 constexpr uint16_t kCodeLimit = 600;
 
-// The one place where an event is described. A switch without a default: the compiler refuses an
-// event that is not described here.
+// The only place that describes an event. The switch has no default, so the compiler rejects an
+// event without a description.
 constexpr event_info Describe(event_code code) {
   using enum event_code;
   using enum event_level;
   switch (code) {
     case kProcessStarted:
-      return {code, kInfo, "process_started", "The process has read its settings and begins."};
+      return {code, kInfo, "process_started", "The process has read its settings and starts."};
     case kProcessReady:
       return {code, kInfo, "process_ready",
-              "The entry has a configuration in force and takes requests."};
+              "The entry has a configuration in effect and accepts requests."};
     case kShutdownBegun:
       return {code, kInfo, "shutdown_begun",
-              "A graceful shutdown began: no new work, what is in flight goes on."};
+              "A graceful shutdown began: new work is rejected, requests in flight continue."};
     case kShutdownDone:
-      return {code, kInfo, "shutdown_done", "Nothing is in flight any more; the process ends."};
+      return {code, kInfo, "shutdown_done", "The shutdown is complete; the process ends."};
     case kCertificateTaken:
       return {code, kInfo, "certificate_taken",
-              "The certificate for callers was read; new connections get it."};
+              "The certificate for callers was read; new connections use it."};
     case kCertificateRefused:
       return {code, kError, "certificate_refused",
-              "The certificate or its key cannot be used; the one before, if any, stays."};
+              "The certificate or its key cannot be used; the previous one, if any, stays in use."};
     case kPeerSecretsTaken:
       return {code, kInfo, "peer_secrets_taken",
-              "The secrets that calls between entries are signed with were read."};
+              "The secrets that sign calls between entries were read."};
     case kPeerSecretsRefused:
       return {code, kError, "peer_secrets_refused",
-              "The file of the peers' secrets cannot be used; the ones before, if any, stay."};
+              "The peer secret file cannot be used; the previous secrets, if any, stay in use."};
     case kRequestReceived:
       return {code, kDebug, "request_received", "A caller's request passed its key check."};
     case kRequestForwarded:
       return {code, kDebug, "request_forwarded", "The entry sent the request to a shard's owner."};
     case kRequestQueued:
-      return {code, kDebug, "request_queued", "The shard took the request into its queue."};
+      return {code, kDebug, "request_queued", "The shard added the request to its queue."};
     case kTaskStartSent:
       return {code, kDebug, "task_start_sent", "The owner sent a start to an endpoint."};
     case kTaskStarted:
       return {code, kDebug, "task_started", "The endpoint confirmed the start."};
     case kTaskStartFailed:
-      return {code, kDebug, "task_start_failed", "The endpoint refused or failed the start."};
+      return {code, kDebug, "task_start_failed",
+              "The endpoint rejected the start, or the start failed."};
     case kTaskFinished:
       return {code, kDebug, "task_finished", "The endpoint reported the end of the task."};
     case kTaskStopSent:
-      return {code, kDebug, "task_stop_sent", "The owner told the endpoint to stop the task."};
+      return {code, kDebug, "task_stop_sent",
+              "The owner sent a stop for the task to the endpoint."};
     case kRequestAnswered:
-      return {code, kDebug, "request_answered", "The caller has the outcome."};
+      return {code, kDebug, "request_answered", "The outcome was sent to the caller."};
     case kPartPlaced:
       return {code, kDebug, "part_placed",
-              "Another shard has recorded its part of a job whose home this is."};
+              "Another shard has recorded its part of a job whose home is this shard."};
     case kPartTakenHome:
       return {code, kInfo, "part_taken_home",
-              "Another shard turned its part of a job away; the job's home takes it."};
+              "Another shard rejected its part of a job; the home shard of the job takes it over."};
     case kJobMoved:
       return {code, kInfo, "job_moved",
-              "What was left of the job goes from an evacuated failure domain to another."};
+              "The rest of the job moves from an evacuated failure domain to another."};
     case kJobGivenUp:
       return {
           code, kWarning, "job_given_up",
@@ -78,46 +80,49 @@
       return {code, kInfo, "shard_released", "This entry handed the shard to its successor."};
     case kEndpointFenced:
       return {code, kDebug, "endpoint_fenced",
-              "The endpoint took the new epoch and listed what it runs; it can be given work."};
+              "The endpoint accepted the new epoch and listed what it runs; it can get work."};
     case kEndpointSilent:
       return {code, kWarning, "endpoint_silent",
-              "The endpoint does not answer; it gets nothing new and still counts as full."};
+              "The endpoint does not answer; it gets no new work and still counts as full."};
     case kEndpointGone:
       return {code, kWarning, "endpoint_gone",
-              "The leases of all tasks there have lapsed; they are placed again."};
+              "The leases of all tasks there have expired; the tasks are placed again."};
     case kEndpointLeaving:
-      return {code, kInfo, "endpoint_leaving", "The endpoint gets nothing new; its work is moved."};
+      return {code, kInfo, "endpoint_leaving",
+              "The endpoint gets no new work; its tasks are moved."};
     case kFencedOff:
       return {code, kWarning, "fenced_off",
-              "An endpoint refused our epoch: another owner has taken the shard over."};
+              "An endpoint rejected our epoch: another owner has taken over the shard."};
     case kEvacuationBegun:
       return {code, kWarning, "evacuation_begun",
-              "The epochs of a lost failure domain are raised; the leases of its tasks are waited "
-              "out before its jobs move."};
+              "The epochs of a lost failure domain are raised; its jobs move after the leases of "
+              "its tasks have expired."};
     case kEvacuationReady:
       return {code, kWarning, "evacuation_ready",
               "The job log of a lost failure domain is taken over; its jobs move."};
     case kEvacuationStopped:
       return {code, kWarning, "evacuation_stopped",
-              "The failure domain is back, or was not lost: nothing more of it moves."};
+              "The failure domain is back, or was not lost: no more of its jobs move."};
     case kPeerUp:
-      return {code, kInfo, "peer_up", "News of a peer has come, its own or by others."};
+      return {code, kInfo, "peer_up",
+              "A status of the peer was received, directly or forwarded by others."};
     case kPeerDown:
       return {code, kWarning, "peer_down",
-              "A peer has been silent for too long, or a call to it failed."};
+              "No status of the peer was received for too long, or a call to it failed."};
     case kStoreDown:
-      return {code, kWarning, "store_down",
-              "The platform's store does not answer; no owner changes and no new jobs until then."};
+      return {
+          code, kWarning, "store_down",
+          "The platform's store does not answer; until it does, no owner changes and no new jobs."};
     case kStoreUp:
       return {code, kInfo, "store_up", "The platform's store answers again."};
     case kPeerRefused:
       return {code, kWarning, "peer_refused",
-              "Calls to the peer port carried no good signature; nothing of them was taken."};
+              "Calls to the peer port had no valid signature and were rejected."};
     case kVersionInForce:
-      return {code, kInfo, "version_in_force", "A configuration version is in force here."};
+      return {code, kInfo, "version_in_force", "A configuration version is in effect here."};
     case kVersionRefused:
       return {code, kWarning, "version_refused",
-              "A configuration was not taken: lower than the one in force, or not readable."};
+              "A configuration was rejected: older than the current one, or not readable."};
     case kGrantsMoved:
       return {code, kDebug, "grants_moved", "The shard's parts of the teams' limits changed."};
   }
--- a/src/process/events.h
+++ b/src/process/events.h
@@ -1,5 +1,5 @@
-// The numbered events of logs and time line. docs/EVENTS.md is the catalogue; a test holds both
-// together.
+// The numbered events of logs and timeline. docs/EVENTS.md lists them; a test checks that both
+// agree.
 #ifndef CATKINFORD_PROCESS_EVENTS_H_
 #define CATKINFORD_PROCESS_EVENTS_H_
 
@@ -64,14 +64,14 @@
   event_code code;
   event_level level;
   std::string_view name;  // snake_case, stable
-  std::string_view text;  // one sentence for people
+  std::string_view text;  // one readable sentence
 };
 
-// All events, by number.
+// All events, ordered by number.
 std::span<const event_info> AllEvents();
 const event_info& InfoOf(event_code code);
 
-// "debug", "info", "warning", "error": the words of settings and logs.
+// The names used in settings and logs: "debug", "info", "warning", "error".
 std::string_view ToText(event_level level);
 std::optional<event_level> ParseEventLevel(std::string_view text);
 
--- a/src/process/log_storage.cc
+++ b/src/process/log_storage.cc
@@ -1,7 +1,7 @@
-// The log library's one instance in each program; part of its library, so that every program that
+// The single instance of the log library's storage; part of the library so that every program that
 // logs has it.
 #include <easylogging++.h>
 
-// clang-format off: it takes the macro for a keyword.
+// clang-format off: it parses the macro as a keyword.
 INITIALIZE_EASYLOGGINGPP
 // clang-format on
--- a/src/process/metrics.cc
+++ b/src/process/metrics.cc
@@ -17,10 +17,10 @@
 using prometheus::Histogram;
 using prometheus::Registry;
 
-// Seconds. Fine around the goal of 1 ms at the half and 5 ms at the 99th of a hundred.
+// Seconds; fine-grained around the targets of 1 ms for the median and 5 ms for the 99th percentile.
 const Histogram::BucketBoundaries kLatencyBounds = {
     0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.5, 1, 5, 20};
-// Seconds. Fine around the goal of 100 us.
+// Seconds; fine-grained around the target of 100 us.
 const Histogram::BucketBoundaries kDecisionBounds = {0.000005, 0.00001, 0.000025, 0.00005,
                                                      0.0001,   0.00025, 0.001,    0.01};
 
@@ -37,7 +37,7 @@
   return prometheus::BuildHistogram().Name(name).Help(help).Register(registry).Add({}, bounds);
 }
 
-// `total` only grows; the counter follows it.
+// Raises the counter to `total`, which never decreases.
 void AdvanceTo(Counter& counter, uint64_t total) {
   counter.Increment(static_cast<double>(total) - counter.Value());
 }
@@ -81,15 +81,15 @@
       peer_messages_(MakeCounter(registry_, "catkinford_peer_messages_total",
                                  "Messages sent to other entries.")),
       peer_bytes_sent_(MakeCounter(registry_, "catkinford_peer_bytes_sent_total",
-                                   "Bytes of the texts sent to other entries.")),
+                                   "Bytes of the messages sent to other entries.")),
       peer_bytes_received_(MakeCounter(registry_, "catkinford_peer_bytes_received_total",
-                                       "Bytes of the texts received from other entries.")),
+                                       "Bytes of the messages received from other entries.")),
       peer_refused_(MakeCounter(registry_, "catkinford_peer_refused_total",
-                                "Calls to the peer port that carried no good signature.")),
+                                "Calls to the peer port without a valid signature.")),
       grant_moves_(MakeCounter(registry_, "catkinford_grant_moves_total",
                                "Changes of the grant ledger by shards owned here.")),
       log_lines_dropped_(MakeCounter(registry_, "catkinford_log_lines_dropped_total",
-                                     "Log lines that found the log thread's ring full.")),
+                                     "Log lines dropped because the log thread's ring was full.")),
       placement_(MakeHistogram(registry_, "catkinford_placement_seconds",
                                "Time from a job's arrival at its owner to its first start.",
                                kLatencyBounds)),
@@ -97,38 +97,40 @@
                             "Time from a request's arrival at this entry to its answer.",
                             kLatencyBounds)),
       decision_(MakeHistogram(registry_, "catkinford_decision_seconds",
-                              "Time of one round of the core thread.", kDecisionBounds)),
+                              "Duration of one round of the core thread.", kDecisionBounds)),
       resident_bytes_(MakeGauge(registry_, "process_resident_memory_bytes",
                                 "Resident memory of this process.")),
       cpu_seconds_(MakeCounter(registry_, "process_cpu_seconds_total",
-                               "Processor time that this process has used.")),
+                               "Processor time used by this process.")),
       waiting_requests(MakeGauge(registry_, "catkinford_waiting_requests",
-                                 "Requests in this entry that wait for their answer.")),
+                                 "Requests in this entry waiting for their answer.")),
       queued_tasks(MakeGauge(registry_, "catkinford_queued_tasks",
-                             "Tasks that wait in the shards owned here.")),
+                             "Tasks waiting in the shards owned here.")),
       running_tasks(MakeGauge(registry_, "catkinford_running_tasks",
-                              "Tasks that run in the shards owned here.")),
+                              "Tasks running in the shards owned here.")),
       endpoints(
           MakeGauge(registry_, "catkinford_endpoints", "Endpoints of the shards owned here.")),
       open_endpoints(MakeGauge(registry_, "catkinford_open_endpoints",
-                               "Endpoints of the shards owned here that can be given work.")),
+                               "Endpoints of the shards owned here that accept work.")),
       owned_shards(MakeGauge(registry_, "catkinford_owned_shards", "Shards owned here.")),
       highest_epoch(MakeGauge(registry_, "catkinford_highest_epoch",
                               "Highest epoch of the shards owned here.")),
       config_version(MakeGauge(registry_, "catkinford_config_version",
-                               "Configuration version in force here.")),
+                               "Configuration version in effect here.")),
       peers_up(MakeGauge(registry_, "catkinford_peers_up", "Peers that answer heartbeats.")),
-      peers_down(MakeGauge(registry_, "catkinford_peers_down", "Peers that do not.")),
+      peers_down(
+          MakeGauge(registry_, "catkinford_peers_down", "Peers that do not answer heartbeats.")),
       store_up(MakeGauge(registry_, "catkinford_store_up",
                          "1 while the platform's store answers, else 0.")),
-      keys_trusted(MakeGauge(registry_, "catkinford_keys_trusted",
-                             "0 once cut off for longer than isolation.key_grace, else 1.")),
-      ready(MakeGauge(registry_, "catkinford_ready", "1 while this entry takes requests.")),
+      keys_trusted(
+          MakeGauge(registry_, "catkinford_keys_trusted",
+                    "0 after being isolated for longer than isolation.key_grace, else 1.")),
+      ready(MakeGauge(registry_, "catkinford_ready", "1 while this entry accepts requests.")),
       takeovers(MakeCounter(registry_, "catkinford_takeovers_total", "Shards claimed here.")),
       instance_reads(MakeCounter(registry_, "catkinford_instance_reads_total",
                                  "Reads of the platform's instance list by this entry.")),
       fenced_off(MakeCounter(registry_, "catkinford_fenced_off_total",
-                             "Calls that an endpoint refused for their epoch.")) {
+                             "Calls that an endpoint rejected for their epoch.")) {
   auto& requests = prometheus::BuildCounter()
                        .Name("catkinford_requests_total")
                        .Help("Requests answered here, by workload kind and outcome.")
@@ -142,7 +144,7 @@
   }
   auto& refusals = prometheus::BuildCounter()
                        .Name("catkinford_refusals_total")
-                       .Help("Requests refused here as not run, by reason.")
+                       .Help("Requests rejected here without running, by reason.")
                        .Register(registry_);
   for (size_t reason = 0; reason < kRefusalReasons; ++reason) {
     refusals_[reason] =
--- a/src/process/metrics.h
+++ b/src/process/metrics.h
@@ -1,5 +1,5 @@
-// The numbers that an operator watches: every metric of this process, made in one place with its
-// name and help. docs/OPERATING.md lists them; a test holds both together.
+// All metrics of this process, created in one place with name and help. docs/OPERATING.md lists
+// them; a test checks that both agree.
 #ifndef CATKINFORD_PROCESS_METRICS_H_
 #define CATKINFORD_PROCESS_METRICS_H_
 
@@ -43,7 +43,7 @@
   std::string help;
 };
 
-// All writers may be on any thread.
+// Metrics may be updated from any thread.
 class metrics {
  public:
   metrics();
@@ -56,18 +56,19 @@
   void ObservePlacement(std::chrono::microseconds waited);
   // From a request's arrival at this entry to its answer.
   void ObserveAnswer(std::chrono::microseconds waited);
-  // One round of the core thread: its inputs, the decisions and what follows from them.
+  // One round of the core thread: reading its inputs, the decisions and the actions that follow.
   void ObserveDecision(std::chrono::microseconds spent);
 
-  // Totals that others count; called from one thread.
+  // Totals counted elsewhere; set from one thread.
   void SetPeerTotals(const peer_totals& totals);
   void SetLogLinesDropped(uint64_t lines);
-  // Changes of the ledger by the shards owned here.
+  // Changes of the grant ledger by the shards owned here.
   void SetGrantMoves(uint64_t moves);
 
-  // Name, type, labels and help of each, in order of names: for the docs.
+  // Name, type, labels and help of each metric, sorted by name, for the documentation.
   std::vector<metric_info> List() const;
-  // The Prometheus text format. Reads memory and processor time of the process from the system.
+  // Returns all metrics in Prometheus text format, with the current memory and processor time of
+  // the process.
   std::string Text();
 
  private:
@@ -88,23 +89,23 @@
   prometheus::Counter& cpu_seconds_;
 
  public:
-  // State; the owner of each number sets it once a second or when it changes.
-  prometheus::Gauge& waiting_requests;  // requests in this entry that wait for their answer
+  // Gauges and counters set by their users, once a second or on change.
+  prometheus::Gauge& waiting_requests;  // requests waiting for their answer
   prometheus::Gauge& queued_tasks;      // in the shards owned here
   prometheus::Gauge& running_tasks;     // in the shards owned here
   prometheus::Gauge& endpoints;         // of the shards owned here
-  prometheus::Gauge& open_endpoints;    // those that can be given work
+  prometheus::Gauge& open_endpoints;    // endpoints that accept work
   prometheus::Gauge& owned_shards;
   prometheus::Gauge& highest_epoch;  // of the shards owned here
   prometheus::Gauge& config_version;
   prometheus::Gauge& peers_up;
   prometheus::Gauge& peers_down;
   prometheus::Gauge& store_up;      // 1 or 0
-  prometheus::Gauge& keys_trusted;  // 0 once cut off for longer than isolation.key_grace
+  prometheus::Gauge& keys_trusted;  // 0 after isolation for longer than isolation.key_grace
   prometheus::Gauge& ready;         // 1 or 0
   prometheus::Counter& takeovers;   // shards claimed
   prometheus::Counter& instance_reads;
-  prometheus::Counter& fenced_off;  // calls that an endpoint refused for their epoch
+  prometheus::Counter& fenced_off;  // calls rejected by an endpoint for their epoch
 };
 
 }  // namespace catkinford
--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -30,8 +30,8 @@
                      [&](const setting_info& info) { return info.path.starts_with(prefix); });
 }
 
-// Names that stand twice in one object: nlohmann keeps the last one without a word, and the
-// operator who edits the first one wonders why nothing changes.
+// Finds names that appear twice in one object. nlohmann keeps the last one silently, so an edit of
+// the first one would have no effect.
 class duplicate_finder {
  public:
   bool operator()(int /*depth*/, json::parse_event_t event, json& parsed) {
@@ -55,7 +55,7 @@
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// Reads one JSON value into the slot of one setting.
+// Reads one JSON value into the field of one setting.
 struct value_reader {
   const setting_info& info;
   const json& value;
@@ -103,7 +103,7 @@
   template <typename Number>
   failure operator()(Number* slot) const {
     if (!value.is_number_integer()) return Fail(settings_fault::kWrongType);
-    // Above what int64_t holds nlohmann would wrap to a negative number.
+    // nlohmann would wrap values above the int64_t range to negative numbers.
     const bool huge =
         value.is_number_unsigned() && value.get<uint64_t>() > std::numeric_limits<int64_t>::max();
     if (huge || !InRange(value.get<int64_t>())) return Fail(settings_fault::kOutOfRange);
@@ -114,7 +114,7 @@
   bool InRange(int64_t number) const { return number >= info.lowest && number <= info.highest; }
 };
 
-// Walks one file and remembers which settings it gave.
+// Reads one file and records which settings it contains.
 class settings_reader {
  public:
   failure ReadObject(const json& object, const std::string& prefix) {
@@ -176,9 +176,9 @@
                        "set together with listen.tls_certificate_file, or neither");
 }
 
-// With a heartbeat as long as the lease a member would lapse between two of them; with a window
-// shorter than a deadline a request that is asked for again could start twice; with a sync that
-// may be held as long as the lease every quiet endpoint would kill its tasks.
+// With a heartbeat as long as the lease, a member would expire between two heartbeats; with a
+// window shorter than a deadline, a retried request could start twice; with a sync held as long as
+// the lease, every idle endpoint would kill its tasks.
 failure CheckTiming(const settings& s) {
   const auto& t = s.timing;
   if (t.heartbeat >= t.member_lease) {
@@ -210,8 +210,8 @@
         settings_error{settings_fault::kNotJson, "", "", "one JSON object, comments allowed"});
   }
   if (!duplicates.Found().empty()) {
-    return leaf::new_error(
-        settings_error{settings_fault::kDuplicateField, duplicates.Found(), "", "one of them"});
+    return leaf::new_error(settings_error{settings_fault::kDuplicateField, duplicates.Found(), "",
+                                          "a single occurrence"});
   }
   settings_reader reader;
   if (failure error = reader.ReadObject(root, "")) return leaf::new_error(*error);
--- a/src/process/settings_error.cc
+++ b/src/process/settings_error.cc
@@ -12,9 +12,9 @@
 // In the order of the enumeration.
 constexpr std::array<std::string_view, kSettingsFaults> kFaultTexts = {
     "the settings file cannot be read",
-    "not JSON with comments",
+    "not valid JSON (comments allowed)",
     "unknown setting",
-    "required setting is missing",
+    "required setting missing",
     "wrong type",
     "wrong or missing unit",
     "out of range",
@@ -32,7 +32,7 @@
   out += ": ";
   out += ToText(error.fault);
   if (!error.value.empty()) out += ": " + error.value;
-  if (!error.want.empty()) out += "; wanted: " + error.want;
+  if (!error.want.empty()) out += "; expected: " + error.want;
   return out;
 }
 
@@ -40,7 +40,7 @@
   std::ifstream in(file, std::ios::binary);
   std::ostringstream text;
   if (in) text << in.rdbuf();
-  // Opening a folder succeeds; only the read fails.
+  // Opening a directory succeeds; only the read fails.
   if (!in || !text) {
     return leaf::new_error(
         settings_error{settings_fault::kMissingFile, "", file, "a readable file"});
--- a/src/process/settings_table.cc
+++ b/src/process/settings_table.cc
@@ -33,95 +33,102 @@
     {"name", [](settings& s) { return setting_slot(&s.name); }, true, text_form::kName, 0, 0,
      "This entry's name, unique in the fleet."},
     {"failure_domain", [](settings& s) { return setting_slot(&s.failure_domain); }, true,
-     text_form::kName, 0, 0, "The failure domain that this entry stands in."},
+     text_form::kName, 0, 0, "Failure domain of this entry."},
     {"failure_domains", [](settings& s) { return setting_slot(&s.failure_domains); }, true,
      text_form::kName, 1, 64,
      "All failure domains of the fleet, in the same order on every entry."},
 
     {"listen.address", [](settings& s) { return setting_slot(&s.listen.address); }, false,
-     text_form::kIpAddress, 0, 0, "IP number that both ports listen on and peers connect to."},
+     text_form::kIpAddress, 0, 0, "IP address that both ports listen on and peers connect to."},
     {"listen.caller_port", [](settings& s) { return setting_slot(&s.listen.caller_port); }, true,
-     text_form::kAny, 0, 65535, "Port for callers, operators and metrics; 0: the system picks."},
+     text_form::kAny, 0, 65535,
+     "Port for callers, operators and metrics; 0: chosen by the system."},
     {"listen.peer_port", [](settings& s) { return setting_slot(&s.listen.peer_port); }, true,
-     text_form::kAny, 0, 65535, "Port for the fleet's other entries; 0: the system picks."},
+     text_form::kAny, 0, 65535, "Port for the fleet's other entries; 0: chosen by the system."},
     {"listen.tls_certificate_file",
      [](settings& s) { return setting_slot(&s.listen.tls_certificate_file); }, false,
      text_form::kAny, 0, 0, "PEM certificate of the caller port; empty: plain HTTP."},
     {"listen.tls_key_file", [](settings& s) { return setting_slot(&s.listen.tls_key_file); }, false,
-     text_form::kAny, 0, 0, "PEM key that belongs to the certificate."},
+     text_form::kAny, 0, 0, "PEM private key of the certificate."},
     {"listen.peer_secret_file",
      [](settings& s) { return setting_slot(&s.listen.peer_secret_file); }, false, text_form::kAny,
-     0, 0, "Secrets that calls between entries are signed with, one a line; empty: unchecked."},
+     0, 0, "Secrets that sign calls between entries, one per line; empty: calls are not checked."},
 
     {"platform.store_url", [](settings& s) { return setting_slot(&s.platform.store_url); }, true,
-     text_form::kUrl, 0, 0, "Base address of the platform's key-value store."},
+     text_form::kUrl, 0, 0, "Base URL of the platform's key-value store."},
     {"platform.instances_url", [](settings& s) { return setting_slot(&s.platform.instances_url); },
-     true, text_form::kUrl, 0, 0, "Base address of the platform's instance list."},
+     true, text_form::kUrl, 0, 0, "Base URL of the platform's instance list."},
     {"platform.endpoints_fence",
      [](settings& s) { return setting_slot(&s.platform.endpoints_fence); }, false, text_form::kAny,
-     0, 0, "Whether endpoints refuse an epoch lower than the highest seen; if not, time protects."},
+     0, 0,
+     "Whether endpoints reject an epoch lower than the highest seen; if not, lease times protect."},
 
     {"shards.per_domain", [](settings& s) { return setting_slot(&s.shards.per_domain); }, false,
-     text_form::kAny, 1, 64, "Shards that each failure domain's endpoints are split into."},
+     text_form::kAny, 1, 64,
+     "Number of shards that the endpoints of each failure domain are split into."},
 
     {"timing.member_lease", [](settings& s) { return setting_slot(&s.timing.member_lease); }, false,
      text_form::kAny, 100, 5 * kMinute,
-     "Lease of a member in the store; a dead owner's shards are taken over after it."},
+     "Lease of a member in the store; shards of a lost owner are taken over after it."},
     {"timing.heartbeat", [](settings& s) { return setting_slot(&s.timing.heartbeat); }, false,
      text_form::kAny, 10, kMinute,
-     "Time between heartbeats inside the failure domain, at the fastest."},
+     "Minimum interval between heartbeats inside the failure domain."},
     {"timing.far_heartbeat", [](settings& s) { return setting_slot(&s.timing.far_heartbeat); },
      false, text_form::kAny, 10, kMinute,
-     "Time between heartbeats to one other failure domain, at the fastest."},
+     "Minimum interval between heartbeats to one other failure domain."},
     {"timing.instance_poll", [](settings& s) { return setting_slot(&s.timing.instance_poll); },
-     false, text_form::kAny, 10, 5 * kMinute, "Time between reads of the instance list."},
+     false, text_form::kAny, 10, 5 * kMinute, "Interval between reads of the instance list."},
     {"timing.task_lease", [](settings& s) { return setting_slot(&s.timing.task_lease); }, false,
      text_form::kAny, 100, kHour,
-     "Lease of a running task; an endpoint kills it without a renewal."},
+     "Lease of a running task; without a renewal the endpoint kills the task."},
     {"timing.sync_wait", [](settings& s) { return setting_slot(&s.timing.sync_wait); }, false,
-     text_form::kAny, 10, 5 * kMinute, "How long an endpoint may hold a sync that has no news."},
+     text_form::kAny, 10, 5 * kMinute,
+     "How long an endpoint may hold a sync that has nothing to report."},
     {"timing.call_timeout", [](settings& s) { return setting_slot(&s.timing.call_timeout); }, false,
-     text_form::kAny, 10, kMinute, "Bound on each call to a peer, an endpoint or the platform."},
+     text_form::kAny, 10, kMinute, "Timeout of each call to a peer, an endpoint or the platform."},
     {"timing.identity_window", [](settings& s) { return setting_slot(&s.timing.identity_window); },
      false, text_form::kAny, 100, kHour,
-     "How long a finished request's identity is remembered; longer than any deadline."},
+     "How long the id of a finished request is retained; longer than any deadline."},
     {"timing.default_deadline",
      [](settings& s) { return setting_slot(&s.timing.default_deadline); }, false, text_form::kAny,
-     10, kHour, "Deadline of a request that names none."},
+     10, kHour, "Deadline of a request that gives none."},
     {"timing.max_deadline", [](settings& s) { return setting_slot(&s.timing.max_deadline); }, false,
-     text_form::kAny, 10, kHour, "Longest deadline that a caller who waits may ask for."},
+     text_form::kAny, 10, kHour, "Longest deadline that a waiting caller may request."},
     {"timing.shutdown_limit", [](settings& s) { return setting_slot(&s.timing.shutdown_limit); },
-     false, text_form::kAny, 0, kHour, "How long a graceful shutdown waits for what is in flight."},
+     false, text_form::kAny, 0, kHour,
+     "How long a graceful shutdown waits for requests in flight."},
     {"timing.forget_drain", [](settings& s) { return setting_slot(&s.timing.forget_drain); }, false,
      text_form::kAny, 1000, 24 * kHour,
-     "How long an endpoint must be off the instance list before its drain is forgotten."},
+     "How long an endpoint must be off the instance list before its drain is removed."},
 
     {"bounds.waiting_requests",
      [](settings& s) { return setting_slot(&s.bounds.waiting_requests); }, false, text_form::kAny,
-     1, 1000000, "Requests that may wait in this entry; more are refused at once."},
+     1, 1000000, "Requests that may wait in this entry; more are rejected at once."},
     {"bounds.body_bytes", [](settings& s) { return setting_slot(&s.bounds.body_bytes); }, false,
-     text_form::kAny, 1024, 64 << 20, "Largest body of a caller's request, in bytes."},
+     text_form::kAny, 1024, 64 << 20, "Maximum body size of a caller's request, in bytes."},
     {"bounds.batch_jobs", [](settings& s) { return setting_slot(&s.bounds.batch_jobs); }, false,
-     text_form::kAny, 1, 100000, "Most jobs in one call of /v1/batch."},
+     text_form::kAny, 1, 100000, "Maximum number of jobs in one call of /v1/batch."},
     {"bounds.peer_bytes", [](settings& s) { return setting_slot(&s.bounds.peer_bytes); }, false,
      text_form::kAny, 500, 10000000,
-     "Bytes a second for heartbeats, sent and received; a larger fleet beats less often."},
+     "Bytes per second for heartbeats, sent and received; larger fleets send them less often."},
     {"bounds.history_versions",
      [](settings& s) { return setting_slot(&s.bounds.history_versions); }, false, text_form::kAny,
-     1, 2000, "Past versions of the configuration that are kept in the store."},
+     1, 2000, "Past versions of the configuration kept in the store."},
     {"bounds.history_bytes", [](settings& s) { return setting_slot(&s.bounds.history_bytes); },
-     false, text_form::kAny, 1 << 20, 1 << 30, "Bytes of their texts; the oldest give way."},
+     false, text_form::kAny, 1 << 20, 1 << 30,
+     "Bytes of the past versions kept in the store; the oldest are deleted first."},
 
     {"isolation.key_grace", [](settings& s) { return setting_slot(&s.isolation.key_grace); }, false,
      text_form::kAny, 0, 24 * kHour,
-     "Cut off from the platform and all peers: how long keys are still trusted."},
+     "How long keys stay trusted while isolated from the platform and all peers."},
 
     {"logs.level", [](settings& s) { return setting_slot(&s.logs.level); }, false,
-     text_form::kLogLevel, 0, 0, "Least level that is logged: debug, info, warning or error."},
+     text_form::kLogLevel, 0, 0, "Lowest level logged: debug, info, warning or error."},
     {"logs.file", [](settings& s) { return setting_slot(&s.logs.file); }, false, text_form::kAny, 0,
      0, "Log file; empty: standard error."},
     {"logs.timeline_events", [](settings& s) { return setting_slot(&s.logs.timeline_events); },
-     false, text_form::kAny, 16, 10000000, "Events kept for the time line; older ones give way."},
+     false, text_form::kAny, 16, 10000000,
+     "Events kept for the timeline; older ones are overwritten."},
 });
 
 bool IsNameCharacter(char c) {
@@ -155,13 +162,13 @@
 std::string FormText(text_form form) {
   switch (form) {
     case text_form::kAny:
-      return "a text";
+      return "a string";
     case text_form::kName:
       return "a name of letters, digits, '-', '_' and '.', at most 63";
     case text_form::kIpAddress:
-      return "an IP number";
+      return "an IP address";
     case text_form::kUrl:
-      return "a text that starts with http:// or https:// and does not end in /";
+      return "a string that starts with http:// or https:// and does not end in /";
     case text_form::kLogLevel:
       return "one of debug, info, warning, error";
   }
@@ -173,7 +180,7 @@
 
   std::string operator()(const std::string* /*slot*/) const { return FormText(info.form); }
   std::string operator()(const std::vector<std::string>* /*slot*/) const {
-    return "a list of names without repetition";
+    return "a list of distinct names";
   }
   std::string operator()(const bool* /*slot*/) const { return "true or false"; }
   std::string operator()(const milliseconds* /*slot*/) const {
@@ -183,7 +190,7 @@
   }
   template <typename Number>
   std::string operator()(const Number* /*slot*/) const {
-    return "a whole number " + RangeText(info.lowest, info.highest);
+    return "an integer " + RangeText(info.lowest, info.highest);
   }
 };
 
@@ -259,7 +266,7 @@
 
 std::string SettingsTableText() {
   settings defaults;
-  std::string out = "| setting | default | takes | meaning |\n| --- | --- | --- | --- |\n";
+  std::string out = "| setting | default | values | meaning |\n| --- | --- | --- | --- |\n";
   for (const setting_info& info : kSettings) {
     const std::string standard =
         info.required ? "(required)" : absl::StrCat("`", ValueText(info, defaults), "`");
--- a/src/process/settings_table.h
+++ b/src/process/settings_table.h
@@ -1,6 +1,6 @@
-// The table of settings: name, unit, range, default and meaning of each stand here and nowhere
-// else. The reader walks it, `catkinfordd --settings_table` prints it and docs/OPERATING.md holds
-// the print.
+// The table of settings: the only place that defines name, unit, range, default and meaning of
+// each. The reader uses it, `catkinfordd --settings_table` prints it, and docs/OPERATING.md
+// contains the output.
 #ifndef CATKINFORD_PROCESS_SETTINGS_TABLE_H_
 #define CATKINFORD_PROCESS_SETTINGS_TABLE_H_
 
@@ -17,15 +17,15 @@
 
 namespace catkinford {
 
-// Where a setting is kept; the type of the pointer is the type of the setting.
+// Pointer to the field of a setting; its type is the type of the setting.
 using setting_slot = std::variant<std::string*, std::vector<std::string>*, bool*, uint16_t*,
                                   uint32_t*, std::chrono::milliseconds*>;
 
-// What a text must look like.
+// Required format of a string setting.
 enum class text_form : uint8_t {
   kAny,
   kName,       // letters, digits, '-', '_' and '.', 1 to 63 of them
-  kIpAddress,  // platform and peers talk by IP numbers
+  kIpAddress,  // platform and peers use IP addresses
   kUrl,        // http:// or https://
   kLogLevel,
 };
@@ -34,8 +34,8 @@
   std::string_view path;  // "timing.heartbeat"
   setting_slot (*slot)(settings& all);
   bool required = false;
-  text_form form = text_form::kAny;  // of texts
-  int64_t lowest = 0;                // of numbers; of durations in milliseconds
+  text_form form = text_form::kAny;  // for strings
+  int64_t lowest = 0;                // for numbers; for durations in milliseconds
   int64_t highest = 0;
   std::string_view meaning;
 };
@@ -43,17 +43,17 @@
 // All settings, in the order of the documentation.
 std::span<const setting_info> AllSettings();
 
-// A duration text with its unit: "250ms", "10s", "10m" or "2h". Nothing for other texts.
+// Parses a duration with its unit: "250ms", "10s", "10m" or "2h"; absent for any other text.
 std::optional<std::chrono::milliseconds> ParseDuration(std::string_view text);
-// The shortest such text.
+// The shortest text that ParseDuration reads back as `duration`.
 std::string DurationText(std::chrono::milliseconds duration);
 
 bool HasForm(text_form form, const std::string& text);
-// For people: what a setting takes, e.g. "a duration from 10ms to 1m".
+// Readable description of the valid values, e.g. "a duration from 10ms to 1m".
 std::string ExpectedText(const setting_info& info);
-// The value in `all` as it would be written in a settings file.
+// The value in `all` as written in a settings file.
 std::string ValueText(const setting_info& info, settings& all);
-// The table as Markdown, one line for each setting.
+// The table as Markdown, one row per setting.
 std::string SettingsTableText();
 
 }  // namespace catkinford
--- a/src/process/timeline.h
+++ b/src/process/timeline.h
@@ -1,4 +1,4 @@
-// The time line: a bounded ring of numbered events in each process, merged over all processes by
+// The timeline: a bounded ring of numbered events in each process, merged over all processes by
 // `catkinford timeline`.
 #ifndef CATKINFORD_PROCESS_TIMELINE_H_
 #define CATKINFORD_PROCESS_TIMELINE_H_
@@ -20,13 +20,13 @@
   uint64_t seq = 0;
   monotonic_time at{};
   event_code code{};
-  request_id id;        // of the request or job, zero without one
-  uint64_t epoch = 0;   // of the shard, zero without one
+  request_id id;        // of the request or job; zero if none
+  uint64_t epoch = 0;   // of the shard; zero if none
   std::string subject;  // shard, endpoint, peer or team
   std::string detail;
 };
 
-// Writers are the threads of one process, readers the HTTP front. Old events give way to new ones.
+// Written by all threads of the process, read by the HTTP threads. New events overwrite the oldest.
 class timeline {
  public:
   explicit timeline(size_t capacity);
--- a/src/process/timeline_merge.cc
+++ b/src/process/timeline_merge.cc
@@ -39,7 +39,7 @@
   return event;
 }
 
-// "b" and "e" begin and end a span of a request; "i" is an instant.
+// Chrome trace phase: "b" and "e" begin and end the span of a request, "i" is an instant.
 const char* PhaseOf(const merged_event& event) {
   if (event.id.empty()) return "i";
   if (event.code == static_cast<uint32_t>(event_code::kRequestReceived)) return "b";
@@ -60,7 +60,7 @@
                   {"subject", event.subject},
                   {"detail", event.detail},
                   {"id", event.id}}}};
-  // A span's beginning and end are matched by category, identity and name.
+  // Viewers match the begin and end of a span by category, id and name.
   const bool is_end_point = phase == "b" || phase == "e";
   trace["name"] = is_end_point ? "request" : event.name;
   if (phase == "i") {
--- a/src/process/timeline_merge.h
+++ b/src/process/timeline_merge.h
@@ -1,4 +1,4 @@
-// The time lines of all processes as one: by wall time, in the Chrome trace format or as text.
+// Merges the timelines of all processes by wall time and writes them as Chrome trace or text.
 #ifndef CATKINFORD_PROCESS_TIMELINE_MERGE_H_
 #define CATKINFORD_PROCESS_TIMELINE_MERGE_H_
 
@@ -11,14 +11,14 @@
 
 namespace catkinford {
 
-// One event of one process, at the wall time of that process's clock.
+// An event of one process, in wall time of the clock of that process.
 struct merged_event {
   std::chrono::microseconds wall{0};  // since 1970
-  size_t process = 0;                 // place in merged_timeline::processes
+  size_t process = 0;                 // index into merged_timeline::processes
   uint64_t seq = 0;
   uint32_t code = 0;
   std::string name;
-  std::string id;  // of the request or job, 32 hexadecimal digits; empty without one
+  std::string id;  // of the request or job, 32 hexadecimal digits; empty if none
   uint64_t epoch = 0;
   std::string subject;
   std::string detail;
@@ -27,7 +27,7 @@
 struct timeline_process {
   std::string name;
   std::string failure_domain;
-  uint64_t next = 0;  // where to read on
+  uint64_t next = 0;  // sequence number to continue reading at
 };
 
 struct merged_timeline {
@@ -35,19 +35,19 @@
   std::vector<merged_event> events;
 };
 
-// Takes in the answer of one process to GET /v1/timeline. False when it is none. Each process gives
-// its monotonic and wall time of one moment, so that a wall clock that was set meanwhile does not
-// tear its events apart.
+// Adds the answer of one process to GET /v1/timeline; false if it is malformed. Each process
+// reports its monotonic and wall time of the same moment, so that a change of the wall clock in
+// between does not separate its events.
 bool AddProcess(std::string_view answer, merged_timeline& into);
-// By wall time; events of one process keep their order.
+// Sorts by wall time; events of one process keep their order.
 void SortByTime(merged_timeline& timeline);
-// Only events of this request or job.
+// Removes all events except those of this request or job.
 void KeepOnly(std::string_view id, merged_timeline& timeline);
 
-// For viewers of the Chrome trace format: a track for each process, a span for each request from
-// its arrival to its answer, everything else as instants.
+// Returns a Chrome trace: a track for each process, a span for each request from its arrival to its
+// answer, all other events as instants.
 std::string ToChromeTrace(const merged_timeline& timeline);
-// One line an event.
+// Returns one line per event.
 std::string ToText(const merged_timeline& timeline);
 
 }  // namespace catkinford
