--- a/test/command_line_fleet_test.cc
+++ b/test/command_line_fleet_test.cc
@@ -67,9 +67,9 @@
   bool EventuallyEverywhere(const std::string& key, const std::vector<std::string>& words,
                             exit_code wanted) {
     const std::vector<std::string> all = client_.entries;
-    const auto give_up = steady_clock::now() + kGenerousLimit;
+    const auto deadline = steady_clock::now() + kGenerousLimit;
     size_t agreeing = 0;
-    while (agreeing < all.size() && steady_clock::now() < give_up) {
+    while (agreeing < all.size() && steady_clock::now() < deadline) {
       client_.entries = {all[agreeing]};
       if (RunWith(key, words) == Code(wanted)) {
         ++agreeing;
@@ -87,7 +87,7 @@
       // Another program on this machine may take the port between its choice and its use; the entry
       // then ends at once, and is replaced once more.
       bool ready = false;
-      for (int tries = 0; tries < 3 && !ready; ++tries) {
+      for (int attempts = 0; attempts < 3 && !ready; ++attempts) {
         ready = fleet_.ReplaceEntry(i) && fleet_.WaitReady(i, limit);
         if (fleet_.Entry(i).process.Alive()) break;
       }
@@ -154,14 +154,14 @@
   REQUIRE(started_);
   const std::string team = fleet_.Contract().teams[0].team;
   REQUIRE(Run({"key", "grant", team, "leaver"}) == Code(exit_code::kDone));
-  const size_t place = out_.str().find("ck_");
-  REQUIRE(place != std::string::npos);
-  const std::string secret = out_.str().substr(place, 46);
-  const std::vector<std::string> ask = {"submit", "interactive"};
-  REQUIRE(EventuallyEverywhere(secret, ask, exit_code::kDone));
+  const size_t position = out_.str().find("ck_");
+  REQUIRE(position != std::string::npos);
+  const std::string secret = out_.str().substr(position, 46);
+  const std::vector<std::string> submit_command = {"submit", "interactive"};
+  REQUIRE(EventuallyEverywhere(secret, submit_command, exit_code::kDone));
   REQUIRE(Run({"key", "withdraw", team, "leaver"}) == Code(exit_code::kDone));
-  CHECK(EventuallyEverywhere(secret, ask, exit_code::kUnauthorized));
-  CHECK(EventuallyEverywhere(fleet_.Contract().teams[0].secret, ask, exit_code::kDone));
+  CHECK(EventuallyEverywhere(secret, submit_command, exit_code::kUnauthorized));
+  CHECK(EventuallyEverywhere(fleet_.Contract().teams[0].secret, submit_command, exit_code::kDone));
   REQUIRE(Run({"contract", "history"}) == Code(exit_code::kDone));
   CHECK_THAT(out_.str(),
              Catch::Contains(" UTC by " + fleet_.Contract().config.operator_keys[0].name));
@@ -179,7 +179,7 @@
   const std::string workspace = fleet_.Contract().config.workspaces[0].name;
   options_.json = true;
   REQUIRE(Run({"contract", "get"}) == Code(exit_code::kDone));
-  const std::string good = nlohmann::json::parse(out_.str())["version"].dump();
+  const std::string base_version = nlohmann::json::parse(out_.str())["version"].dump();
   options_.json = false;
   REQUIRE(Run({"key", "withdraw", team, key}) == Code(exit_code::kDone));
   REQUIRE(Run({"contract", "remove", workspace}) == Code(exit_code::kDone));
@@ -187,9 +187,9 @@
   REQUIRE(Run({"contract", "history"}) == Code(exit_code::kDone));
   CHECK_THAT(out_.str(), Catch::Contains("key " + key + " of " + team + " withdrawn"));
   CHECK_THAT(out_.str(), Catch::Contains("workspace " + workspace + " removed"));
-  REQUIRE(Run({"contract", "diff", good}) == Code(exit_code::kDone));
+  REQUIRE(Run({"contract", "diff", base_version}) == Code(exit_code::kDone));
   CHECK_THAT(out_.str(), Catch::Contains("\"name\": \"" + workspace + "\""));
-  REQUIRE(Run({"contract", "restore", good}) == Code(exit_code::kDone));
+  REQUIRE(Run({"contract", "restore", base_version}) == Code(exit_code::kDone));
   REQUIRE(Run({"contract", "get"}) == Code(exit_code::kDone));
   CHECK_THAT(out_.str(), Catch::Contains("\"name\": \"" + workspace + "\""));
   CHECK(RunWith(secret, {"submit", "interactive"}) == Code(exit_code::kUnauthorized));
@@ -266,14 +266,14 @@
     call.body = R"({"remove":")" + endpoint + R"("})";
     REQUIRE(http_.SendAndWait(call).code == 200);
   }
-  const auto give_up = steady_clock::now() + kGenerousLimit;
-  bool forgotten = false;
-  while (!forgotten && steady_clock::now() < give_up) {
+  const auto deadline = steady_clock::now() + kGenerousLimit;
+  bool removed = false;
+  while (!removed && steady_clock::now() < deadline) {
     REQUIRE(Run({"members"}) == Code(exit_code::kDone));
-    forgotten = out_.str().find("drained ") == std::string::npos;
-    if (!forgotten) std::this_thread::sleep_for(milliseconds{50});
+    removed = out_.str().find("drained ") == std::string::npos;
+    if (!removed) std::this_thread::sleep_for(milliseconds{50});
   }
-  CHECK(forgotten);
+  CHECK(removed);
   REQUIRE(Run({"contract", "history"}) == Code(exit_code::kDone));
   CHECK_THAT(out_.str(), Catch::Contains("by entry:"));
 }
--- a/test/command_line_test.cc
+++ b/test/command_line_test.cc
@@ -52,7 +52,7 @@
   uint64_t version = 0;
   std::string text;
   bool silent = false;               // does what it is asked, and answers nothing
-  std::string race;                  // another operator's document, written before the next change
+  std::string concurrent_change;     // another operator's document, written before the next change
   std::vector<std::string> pending;  // domains that have not confirmed
   std::vector<std::string> submitted_keys;
   http_response put_answer{0, ""};  // of a change, where it is not made
@@ -64,7 +64,7 @@
     ++calls;
     if (request.bearer != "ck_operator") return {401, R"({"error":"unknown_key"})"};
     if (request.path == "/v1/config" && request.method == "PUT") return Change(request);
-    if (request.path == "/v1/config") return {200, Present().dump()};
+    if (request.path == "/v1/config") return {200, CurrentAnswer().dump()};
     if (request.path == "/v1/jobs") {
       submitted_keys.push_back(json::parse(request.body)["idempotency_key"]);
       return job_answer;
@@ -73,18 +73,18 @@
     return {404, R"({"error":"not_found"})"};
   }
 
-  json Present() const { return {{"version", version}, {"text", text}}; }
+  json CurrentAnswer() const { return {{"version", version}, {"text", text}}; }
 
   http_response Change(const http_request& request) {
     if (put_answer.status != 0) return put_answer;
-    if (!race.empty()) {
-      text = race;
+    if (!concurrent_change.empty()) {
+      text = concurrent_change;
       version += 1;
-      race.clear();
+      concurrent_change.clear();
     }
     const json body = json::parse(request.body);
     if (body["expect"] != version) {
-      json conflict = Present();
+      json conflict = CurrentAnswer();
       conflict["error"] = "conflict";
       return {409, conflict.dump()};
     }
@@ -131,7 +131,9 @@
     return file_;
   }
 
-  configuration InForce() const { return std::get<configuration>(ParseConfiguration(entry_.text)); }
+  configuration CurrentConfig() const {
+    return std::get<configuration>(ParseConfiguration(entry_.text));
+  }
 
   std::string file_ =
       absl::StrCat(CATKINFORD_BIN_DIR, "/contracts_", ToHex(NewRequestId()), ".json");
@@ -148,7 +150,7 @@
 TEST_CASE_METHOD(command_line_fixture, "command line, contract applied, is in force", "[cli]") {
   CHECK(Run({"contract", "apply", FileWith(kContracts)}) == Code(exit_code::kDone));
   CHECK(entry_.version == 10);
-  CHECK(InForce().workspaces[0].teams[0].name == "booking");
+  CHECK(CurrentConfig().workspaces[0].teams[0].name == "booking");
   CHECK(out_.str() == "version 10\nin force: a\n");
 }
 
@@ -177,14 +179,14 @@
 TEST_CASE_METHOD(command_line_fixture, "command line, operators race, shows both versions",
                  "[cli]") {
   Run({"contract", "apply", FileWith(kContracts)});
-  configuration theirs = InForce();
+  configuration theirs = CurrentConfig();
   theirs.workspaces[0].teams[0].share = 50;
-  entry_.race = ToText(theirs);
+  entry_.concurrent_change = ToText(theirs);
   std::string mine = kContracts;
   mine.replace(mine.find("400}"), 3, "300");
   CHECK(Run({"contract", "apply", FileWith(mine)}) == Code(exit_code::kConflict));
-  CHECK(InForce().workspaces[0].teams[0].share == 50);
-  CHECK(InForce().workspaces[0].teams[0].running_limit == 400);
+  CHECK(CurrentConfig().workspaces[0].teams[0].share == 50);
+  CHECK(CurrentConfig().workspaces[0].teams[0].running_limit == 400);
   CHECK_THAT(out_.str(), Catch::Contains("+     \"share\": 50"));
   CHECK_THAT(out_.str(), Catch::Contains("+      \"running\": 300"));
 }
@@ -193,23 +195,23 @@
 TEST_CASE_METHOD(command_line_fixture, "command line, key granted in a race, keeps both changes",
                  "[cli]") {
   Run({"contract", "apply", FileWith(kContracts)});
-  configuration theirs = InForce();
+  configuration theirs = CurrentConfig();
   theirs.workspaces[0].teams[0].share = 50;
-  entry_.race = ToText(theirs);
+  entry_.concurrent_change = ToText(theirs);
   CHECK(Run({"key", "grant", "booking", "desk"}) == Code(exit_code::kDone));
-  CHECK(InForce().workspaces[0].teams[0].share == 50);
-  const size_t place = out_.str().find("ck_");
-  REQUIRE(place != std::string::npos);
-  const std::string secret = out_.str().substr(place, 46);
-  CHECK(key_ring(InForce()).Find(secret).has_value());
+  CHECK(CurrentConfig().workspaces[0].teams[0].share == 50);
+  const size_t position = out_.str().find("ck_");
+  REQUIRE(position != std::string::npos);
+  const std::string secret = out_.str().substr(position, 46);
+  CHECK(key_ring(CurrentConfig()).Find(secret).has_value());
   CHECK(entry_.text.find(secret) == std::string::npos);
   CHECK(Run({"key", "withdraw", "booking", "desk"}) == Code(exit_code::kDone));
-  CHECK_FALSE(key_ring(InForce()).Find(secret).has_value());
+  CHECK_FALSE(key_ring(CurrentConfig()).Find(secret).has_value());
   // A file from before the withdrawal does not put it back.
   std::string stale = entry_.text;
   stale.replace(stale.find("\"withdrawn\": true"), 17, "\"withdrawn\": false");
   CHECK(Run({"contract", "apply", FileWith(stale)}) == Code(exit_code::kDone));
-  CHECK_FALSE(key_ring(InForce()).Find(secret).has_value());
+  CHECK_FALSE(key_ring(CurrentConfig()).Find(secret).has_value());
   CHECK(Run({"key", "grant", "booking", "desk"}) == Code(exit_code::kUsage));
   CHECK(Run({"key", "withdraw", "nobody", "desk"}) == Code(exit_code::kNotFound));
 }
@@ -240,7 +242,7 @@
   client_.timeout = std::chrono::milliseconds{150};
   fake_entry second;
   configuration made = std::get<configuration>(ParseConfiguration(kContracts));
-  second.race = ToText(made);
+  second.concurrent_change = ToText(made);
   client_.entries = {second.Url()};
   CHECK(Run({"contract", "apply", FileWith(kContracts)}) == Code(exit_code::kDone));
   CHECK(second.version == 1);
--- a/test/config_store_test.cc
+++ b/test/config_store_test.cc
@@ -53,9 +53,9 @@
   }
 
   bool Eventually(const std::function<bool()>& condition) {
-    const monotonic_time give_up = steady_clock::now() + kGenerousLimit;
+    const monotonic_time deadline = steady_clock::now() + kGenerousLimit;
     while (!condition()) {
-      if (steady_clock::now() > give_up) return false;
+      if (steady_clock::now() > deadline) return false;
       std::deque<std::function<void(monotonic_time)>> tasks;
       {
         const std::lock_guard lock(mutex_);
@@ -76,7 +76,7 @@
   }
 
   // Tries again as an operator does: reads what is in force and changes that.
-  uint64_t ChangeForSure(config_store& entry, const std::string& workspace) {
+  uint64_t ChangeUntilDone(config_store& entry, const std::string& workspace) {
     for (int i = 0; i < 50; ++i) {
       CatchUp(entry);
       const change_result result = Change(entry, entry.Order().Version(), workspace);
@@ -93,45 +93,45 @@
   void CatchUp(config_store& entry) {
     bool answered = false;
     while (!answered) {
-      bool heard = false;
+      bool replied = false;
       entry.History([&](const auto& versions, monotonic_time) {
-        heard = true;
+        replied = true;
         answered = versions.has_value();
       });
-      REQUIRE(Eventually([&] { return heard; }));
+      REQUIRE(Eventually([&] { return replied; }));
     }
   }
 
   std::vector<past_version> History(config_store& entry) {
     std::optional<std::vector<past_version>> list;
-    bool heard = false;
+    bool replied = false;
     entry.History([&](std::optional<std::vector<past_version>> versions, monotonic_time) {
       list = std::move(versions);
-      heard = true;
+      replied = true;
     });
-    REQUIRE(Eventually([&] { return heard; }));
+    REQUIRE(Eventually([&] { return replied; }));
     REQUIRE(list.has_value());
     return *list;
   }
 
-  static std::vector<std::string> Whats(const std::vector<past_version>& list) {
-    std::vector<std::string> words;
-    words.reserve(list.size());
-    for (const past_version& past : list) words.push_back(past.what);
-    return words;
+  static std::vector<std::string> Descriptions(const std::vector<past_version>& list) {
+    std::vector<std::string> descriptions;
+    descriptions.reserve(list.size());
+    for (const past_version& past : list) descriptions.push_back(past.what);
+    return descriptions;
   }
 
   std::string TextOf(config_store& entry, uint64_t version) {
     std::string text;
-    bool heard = false;
+    bool replied = false;
     entry.TextOf(
         version,
         [&](store_status, const std::string& read, monotonic_time) {
           text = std::string(WithoutSignature(read));
-          heard = true;
+          replied = true;
         },
         steady_clock::now());
-    REQUIRE(Eventually([&] { return heard; }));
+    REQUIRE(Eventually([&] { return replied; }));
     return text;
   }
 
@@ -164,10 +164,10 @@
                  "[history]") {
   std::vector<uint64_t> versions;
   config_store* const first = NewEntry();
-  for (const char* name : {"a", "b", "c"}) versions.push_back(ChangeForSure(*first, name));
+  for (const char* name : {"a", "b", "c"}) versions.push_back(ChangeUntilDone(*first, name));
   config_store* const second = NewEntry();
   const std::vector<past_version> list = History(*second);
-  CHECK(Whats(list) == std::vector<std::string>{"a", "b", "c"});
+  CHECK(Descriptions(list) == std::vector<std::string>{"a", "b", "c"});
   CHECK(list[0].by == "night");
   for (size_t i = 0; i < versions.size(); ++i) {
     CHECK(list[i].version == versions[i]);
@@ -180,17 +180,19 @@
 TEST_CASE_METHOD(config_store_fixture, "history, writer dies before its swap, shows nothing twice",
                  "[history]") {
   config_store* const entry = NewEntry();
-  const uint64_t version = ChangeForSure(*entry, "a");
-  config_history_store dying(*adapter_, bounds_, [this](std::function<void(monotonic_time)> task) {
-    const std::lock_guard lock(mutex_);
-    tasks_.push_back(std::move(task));
-  });
-  std::optional<save_outcome> kept;
-  dying.Save(version, entry->Order().Text(), [&](save_outcome end, monotonic_time) { kept = end; });
-  REQUIRE(Eventually([&] { return kept.has_value(); }));
-  CHECK(Whats(History(*entry)) == std::vector<std::string>{"a"});
-  ChangeForSure(*entry, "b");
-  CHECK(Whats(History(*entry)) == std::vector<std::string>{"a", "b"});
+  const uint64_t version = ChangeUntilDone(*entry, "a");
+  config_history_store lost_writer(*adapter_, bounds_,
+                                   [this](std::function<void(monotonic_time)> task) {
+                                     const std::lock_guard lock(mutex_);
+                                     tasks_.push_back(std::move(task));
+                                   });
+  std::optional<save_outcome> saved;
+  lost_writer.Save(version, entry->Order().Text(),
+                   [&](save_outcome end, monotonic_time) { saved = end; });
+  REQUIRE(Eventually([&] { return saved.has_value(); }));
+  CHECK(Descriptions(History(*entry)) == std::vector<std::string>{"a"});
+  ChangeUntilDone(*entry, "b");
+  CHECK(Descriptions(History(*entry)) == std::vector<std::string>{"a", "b"});
 }
 
 // Two operators change the same version at two entries. The one that lost was never in force: in
@@ -199,18 +201,18 @@
                  "[history]") {
   config_store* const one = NewEntry();
   config_store* const other = NewEntry();
-  const uint64_t base = ChangeForSure(*one, "base");
+  const uint64_t base = ChangeUntilDone(*one, "base");
   CatchUp(*other);
   std::vector<change_result> results;
-  const auto note = [&](const change_result& end, monotonic_time) { results.push_back(end); };
-  one->Change(base, Document("x"), {"id-x", "night", {}, "x"}, note);
-  other->Change(base, Document("y"), {"id-y", "day", {}, "y"}, note);
+  const auto on_result = [&](const change_result& end, monotonic_time) { results.push_back(end); };
+  one->Change(base, Document("x"), {"id-x", "night", {}, "x"}, on_result);
+  other->Change(base, Document("y"), {"id-y", "day", {}, "y"}, on_result);
   REQUIRE(Eventually([&] { return results.size() == 2; }));
   const bool first_won = results[0].end == change_outcome::kDone;
   CHECK(results[first_won ? 1 : 0].end == change_outcome::kConflict);
   CatchUp(*one);
   const std::string winner = SignatureOf(one->Order().Text()).what;
-  CHECK(Whats(History(*other)) == std::vector<std::string>{"base", winner});
+  CHECK(Descriptions(History(*other)) == std::vector<std::string>{"base", winner});
 }
 
 // An operator reads the version from an entry that is ahead of the one that takes the change. What
@@ -218,13 +220,13 @@
 TEST_CASE_METHOD(config_store_fixture, "history, change at an entry that lags, misses no version",
                  "[history]") {
   config_store* const ahead = NewEntry();
-  config_store* const behind = NewEntry();
-  ChangeForSure(*ahead, "a");
-  CatchUp(*behind);
-  const uint64_t second = ChangeForSure(*ahead, "b");
-  CHECK(behind->Order().Version() < second);
-  CHECK(Change(*behind, second, "c").end == change_outcome::kDone);
-  CHECK(Whats(History(*ahead)) == std::vector<std::string>{"a", "b", "c"});
+  config_store* const lagging = NewEntry();
+  ChangeUntilDone(*ahead, "a");
+  CatchUp(*lagging);
+  const uint64_t second = ChangeUntilDone(*ahead, "b");
+  CHECK(lagging->Order().Version() < second);
+  CHECK(Change(*lagging, second, "c").end == change_outcome::kDone);
+  CHECK(Descriptions(History(*ahead)) == std::vector<std::string>{"a", "b", "c"});
   CHECK(TextOf(*ahead, second) == Document("b"));
 }
 
@@ -234,16 +236,16 @@
                  "[history]") {
   config_store* const one = NewEntry();
   config_store* const other = NewEntry();
-  ChangeForSure(*one, "w0");
+  ChangeUntilDone(*one, "w0");
   SetStore(R"({"mode":"lose_replies","ratio":0.4})");
   std::vector<std::string> names = {"w0"};
   for (int i = 1; i <= 12; ++i) {
     names.push_back(absl::StrCat("w", i));
-    REQUIRE(ChangeForSure(i % 2 == 0 ? *one : *other, names.back()) != 0);
+    REQUIRE(ChangeUntilDone(i % 2 == 0 ? *one : *other, names.back()) != 0);
   }
   SetStore(R"({"mode":"up"})");
   CatchUp(*one);
-  CHECK(Whats(History(*one)) == names);
+  CHECK(Descriptions(History(*one)) == names);
 }
 
 // With the store down nothing can be kept, and so nothing changed: the operator is told so, and not
@@ -251,11 +253,11 @@
 TEST_CASE_METHOD(config_store_fixture, "history, store down, refuses the change as not made",
                  "[history]") {
   config_store* const entry = NewEntry();
-  const uint64_t version = ChangeForSure(*entry, "a");
+  const uint64_t version = ChangeUntilDone(*entry, "a");
   SetStore(R"({"mode":"down"})");
   CHECK(Change(*entry, version, "b").end == change_outcome::kUnavailable);
   SetStore(R"({"mode":"up"})");
-  CHECK(Whats(History(*entry)) == std::vector<std::string>{"a"});
+  CHECK(Descriptions(History(*entry)) == std::vector<std::string>{"a"});
 }
 
 // A site changes its contracts for years. The store must not fill with texts.
@@ -264,7 +266,7 @@
   bounds_.versions = 3;
   config_store* const one = NewEntry();
   config_store* const other = NewEntry();
-  for (int i = 0; i < 12; ++i) ChangeForSure(i % 2 == 0 ? *one : *other, absl::StrCat("w", i));
+  for (int i = 0; i < 12; ++i) ChangeUntilDone(i % 2 == 0 ? *one : *other, absl::StrCat("w", i));
   CHECK(History(*one).size() >= 3);
   CHECK(History(*one).size() <= 4);         // the one in force may be listed or not
   CHECK(KeysInStore("history/") <= 3 + 1);  // the last dropped one goes with the next change
--- a/test/settings_test.cc
+++ b/test/settings_test.cc
@@ -14,14 +14,14 @@
 class settings_fixture {
  protected:
   // A complete file with `more` as further lines.
-  static std::string File(const std::string& more = "") {
+  static std::string SettingsText(const std::string& more = "") {
     return R"({ // of one entry
       "name": "e1", "failure_domain": "otaru", "failure_domains": ["otaru", "asahikawa"],
       "platform": {"store_url": "http://127.0.0.1:1", "instances_url": "http://127.0.0.1:2"},
       )" + more +
            R"("listen": {"caller_port": 0, "peer_port": 0}})";
   }
-  static settings Good(const std::string& text) {
+  static settings ParseValid(const std::string& text) {
     return leaf::try_handle_all([&] { return ParseSettings(text); },
                                 [](const settings_error& error) {
                                   FAIL(ToText(error));
@@ -32,13 +32,13 @@
                                   return settings{};
                                 });
   }
-  static settings_error Bad(const std::string& text) {
+  static settings_error ParseInvalid(const std::string& text) {
     const auto error = ErrorOf<settings_error>([&] { return ParseSettings(text); });
     REQUIRE(error);
     return *error;
   }
-  static void CheckBad(const std::string& more, settings_fault fault, const std::string& path) {
-    const settings_error error = Bad(File(more));
+  static void CheckInvalid(const std::string& more, settings_fault fault, const std::string& path) {
+    const settings_error error = ParseInvalid(SettingsText(more));
     INFO(more << " gave " << ToText(error));
     CHECK(error.fault == fault);
     CHECK(error.path == path);
@@ -49,7 +49,8 @@
 
 TEST_CASE_METHOD(settings_fixture, "settings, complete file with comments, are read",
                  "[settings]") {
-  const settings read = Good(File(R"("timing": {"heartbeat": "300ms", "max_deadline": "15s"},)"));
+  const settings read =
+      ParseValid(SettingsText(R"("timing": {"heartbeat": "300ms", "max_deadline": "15s"},)"));
   CHECK(read.name == "e1");
   CHECK(read.failure_domains.size() == 2);
   CHECK(read.timing.heartbeat == milliseconds{300});
@@ -60,44 +61,47 @@
 TEST_CASE_METHOD(settings_fixture, "settings, one wrong field, give its fault and path",
                  "[settings]") {
   using enum settings_fault;
-  CheckBad(R"("timming": {},)", kUnknownField, "timming");
-  CheckBad(R"("timing": {"hartbeat": "1s"},)", kUnknownField, "timing.hartbeat");
-  CheckBad(R"("timing": 3,)", kWrongType, "timing");
-  CheckBad(R"("timing": {"heartbeat": 250},)", kWrongUnit, "timing.heartbeat");
-  CheckBad(R"("timing": {"heartbeat": "250"},)", kWrongUnit, "timing.heartbeat");
-  CheckBad(R"("timing": {"heartbeat": "1 s"},)", kWrongUnit, "timing.heartbeat");
-  CheckBad(R"("timing": {"heartbeat": "-1s"},)", kWrongUnit, "timing.heartbeat");
-  CheckBad(R"("timing": {"heartbeat": "99999999999999999h"},)", kWrongUnit, "timing.heartbeat");
-  CheckBad(R"("timing": {"heartbeat": "1h"},)", kOutOfRange, "timing.heartbeat");
-  CheckBad(R"("timing": {"heartbeat": true},)", kWrongType, "timing.heartbeat");
-  CheckBad(R"("shards": {"per_domain": 0},)", kOutOfRange, "shards.per_domain");
-  CheckBad(R"("shards": {"per_domain": 18446744073709551615},)", kOutOfRange, "shards.per_domain");
-  CheckBad(R"("shards": {"per_domain": 1.5},)", kWrongType, "shards.per_domain");
-  CheckBad(R"("logs": {"level": "loud"},)", kOutOfRange, "logs.level");
-  CheckBad(R"("logs": {"level": "info", "level": "debug"},)", kDuplicateField, "level");
+  CheckInvalid(R"("timming": {},)", kUnknownField, "timming");
+  CheckInvalid(R"("timing": {"hartbeat": "1s"},)", kUnknownField, "timing.hartbeat");
+  CheckInvalid(R"("timing": 3,)", kWrongType, "timing");
+  CheckInvalid(R"("timing": {"heartbeat": 250},)", kWrongUnit, "timing.heartbeat");
+  CheckInvalid(R"("timing": {"heartbeat": "250"},)", kWrongUnit, "timing.heartbeat");
+  CheckInvalid(R"("timing": {"heartbeat": "1 s"},)", kWrongUnit, "timing.heartbeat");
+  CheckInvalid(R"("timing": {"heartbeat": "-1s"},)", kWrongUnit, "timing.heartbeat");
+  CheckInvalid(R"("timing": {"heartbeat": "99999999999999999h"},)", kWrongUnit, "timing.heartbeat");
+  CheckInvalid(R"("timing": {"heartbeat": "1h"},)", kOutOfRange, "timing.heartbeat");
+  CheckInvalid(R"("timing": {"heartbeat": true},)", kWrongType, "timing.heartbeat");
+  CheckInvalid(R"("shards": {"per_domain": 0},)", kOutOfRange, "shards.per_domain");
+  CheckInvalid(R"("shards": {"per_domain": 18446744073709551615},)", kOutOfRange,
+               "shards.per_domain");
+  CheckInvalid(R"("shards": {"per_domain": 1.5},)", kWrongType, "shards.per_domain");
+  CheckInvalid(R"("logs": {"level": "loud"},)", kOutOfRange, "logs.level");
+  CheckInvalid(R"("logs": {"level": "info", "level": "debug"},)", kDuplicateField, "level");
 }
 
 TEST_CASE_METHOD(settings_fixture, "settings, two fields that cannot both hold, are refused",
                  "[settings]") {
   using enum settings_fault;
-  CheckBad(R"("timing": {"heartbeat": "2s"},)", kContradiction, "timing.heartbeat");
-  CheckBad(R"("timing": {"sync_wait": "10s"},)", kContradiction, "timing.sync_wait");
-  CheckBad(R"("timing": {"default_deadline": "25s"},)", kContradiction, "timing.default_deadline");
-  CheckBad(R"("timing": {"identity_window": "20s"},)", kContradiction, "timing.identity_window");
+  CheckInvalid(R"("timing": {"heartbeat": "2s"},)", kContradiction, "timing.heartbeat");
+  CheckInvalid(R"("timing": {"sync_wait": "10s"},)", kContradiction, "timing.sync_wait");
+  CheckInvalid(R"("timing": {"default_deadline": "25s"},)", kContradiction,
+               "timing.default_deadline");
+  CheckInvalid(R"("timing": {"identity_window": "20s"},)", kContradiction,
+               "timing.identity_window");
 }
 
 TEST_CASE_METHOD(settings_fixture, "settings, file without a required field, name the field",
                  "[settings]") {
-  const settings_error error = Bad(R"({"name": "e1"})");
+  const settings_error error = ParseInvalid(R"({"name": "e1"})");
   CHECK(error.fault == settings_fault::kMissingField);
   CHECK(error.path == "failure_domain");
 }
 
 TEST_CASE_METHOD(settings_fixture, "settings, broken or missing file, give a fault of their own",
                  "[settings]") {
-  CHECK(Bad("{").fault == settings_fault::kNotJson);
-  CHECK(Bad("[]").fault == settings_fault::kNotJson);
-  CHECK(Bad("{\"name\": \"\xff\xfe\"}").fault == settings_fault::kNotJson);
+  CHECK(ParseInvalid("{").fault == settings_fault::kNotJson);
+  CHECK(ParseInvalid("[]").fault == settings_fault::kNotJson);
+  CHECK(ParseInvalid("{\"name\": \"\xff\xfe\"}").fault == settings_fault::kNotJson);
   for (const std::string file : {"/nonexistent/settings.json", "/"}) {
     const auto error = ErrorOf<settings_error>([&] { return LoadSettings(file); });
     REQUIRE(error);
--- a/test/shutdown_test.cc
+++ b/test/shutdown_test.cc
@@ -46,8 +46,8 @@
                     spec, steady_clock::now());
   }
   bool EventuallyStarted(const std::string& work) {
-    const auto give_up = steady_clock::now() + kGenerousLimit;
-    while (steady_clock::now() < give_up) {
+    const auto deadline = steady_clock::now() + kGenerousLimit;
+    while (steady_clock::now() < deadline) {
       for (const run_event& event : fleet_.Events()) {
         if (event.event == "start" && event.work == work) return true;
       }
