--- a/test/command_line_fleet_test.cc
+++ b/test/command_line_fleet_test.cc
@@ -32,7 +32,7 @@
   return options;
 }
 
-// A fleet of real processes and the command line against all its entries.
+// A fleet of real processes, with the command line calling all its entries.
 class command_line_fleet_fixture {
  public:
   command_line_fleet_fixture() {
@@ -63,7 +63,7 @@
     return code;
   }
 
-  // Runs it at each entry by itself until all give this code.
+  // Runs the command at each entry separately until all return this code.
   bool EventuallyEverywhere(const std::string& key, const std::vector<std::string>& words,
                             exit_code wanted) {
     const std::vector<std::string> all = client_.entries;
@@ -85,7 +85,7 @@
     const auto limit = std::chrono::duration_cast<milliseconds>(kGenerousLimit);
     for (size_t i = 0; i < fleet_.Entries(); ++i) {
       // Another program on this machine may take the port between its choice and its use; the entry
-      // then ends at once, and is replaced once more.
+      // then exits at once and is replaced again.
       bool ready = false;
       for (int attempts = 0; attempts < 3 && !ready; ++attempts) {
         ready = fleet_.ReplaceEntry(i) && fleet_.WaitReady(i, limit);
@@ -97,7 +97,7 @@
     return true;
   }
 
-  // Starts at the endpoint, by its own record.
+  // Starts at the endpoint, from its own record.
   size_t StartsAt(const std::string& endpoint) {
     const std::vector<run_event> events = fleet_.Events();
     return static_cast<size_t>(
@@ -147,8 +147,7 @@
   CHECK(RunWith(key, {"members"}) == Code(exit_code::kUnauthorized));
 }
 
-// A member of staff leaves and the key is withdrawn. At no entry may it go on working, and no other
-// key may stop.
+// A withdrawn key must stop working at every entry, and no other key may.
 TEST_CASE_METHOD(command_line_fleet_fixture, "command line, key withdrawn, stops at every entry",
                  "[cli][fleet]") {
   REQUIRE(started_);
@@ -167,8 +166,9 @@
              Catch::Contains(" UTC by " + fleet_.Contract().config.operator_keys[0].name));
 }
 
-// A change turns out to be wrong a day later, when every entry has been replaced. The operator
-// looks it up, sees what it did and goes back; a key that was withdrawn in between stays withdrawn.
+// A change turns out to be wrong after every entry has been replaced. The operator must find it in
+// the history, see its diff and restore the earlier version; a key withdrawn in between must stay
+// withdrawn.
 TEST_CASE_METHOD(command_line_fleet_fixture,
                  "command line, all entries replaced, finds and restores an earlier version",
                  "[cli][fleet]") {
@@ -197,10 +197,10 @@
   CHECK(Run({"contract", "restore", "yesterday"}) == Code(exit_code::kUsage));
 }
 
-// An operator empties an endpoint for repair, and over the next hours all entries are replaced.
-// Forgotten by then, the drain would let new work start on it while it is being taken apart.
+// All entries are replaced while an endpoint is drained for repair. If the drain were lost, new
+// work would start on an endpoint under repair.
 TEST_CASE_METHOD(command_line_fleet_fixture,
-                 "command line, endpoint drained and all entries replaced, gets nothing new",
+                 "command line, endpoint drained and all entries replaced, gets no new work",
                  "[cli][fleet]") {
   REQUIRE(started_);
   const std::string endpoint = fleet_.EndpointsOf(0)[0];
@@ -211,7 +211,7 @@
   CHECK(StartsAt(endpoint) == before);
   REQUIRE(Run({"members"}) == Code(exit_code::kDone));
   CHECK_THAT(out_.str(), Catch::Contains("drained " + endpoint + "\n"));
-  CHECK(Run({"endpoint", "drain", endpoint}) == Code(exit_code::kDone));  // once more does no harm
+  CHECK(Run({"endpoint", "drain", endpoint}) == Code(exit_code::kDone));  // idempotent
   REQUIRE(Run({"endpoint", "undrain", endpoint}) == Code(exit_code::kDone));
   CHECK(Run({"endpoint", "undrain", endpoint}) == Code(exit_code::kDone));
   SubmitMany(90);
@@ -221,10 +221,10 @@
   CHECK_THAT(out_.str(), Catch::Contains(": endpoint " + endpoint + " drained"));
 }
 
-// Two operators drain different endpoints at two entries in the same moment. Neither asked for a
-// version, so neither may be told of a conflict or lose the word of the other.
+// Operators drain different endpoints through several entries at the same moment. None names an
+// expected version, so none may get a conflict or lose the drain of another.
 TEST_CASE_METHOD(command_line_fleet_fixture,
-                 "command line, endpoints drained in a race, are all drained", "[cli][fleet]") {
+                 "command line, endpoints drained concurrently, are all drained", "[cli][fleet]") {
   REQUIRE(started_);
   std::vector<std::string> names;
   for (size_t domain = 0; domain < 3; ++domain) {
@@ -251,10 +251,10 @@
   CHECK(nlohmann::json::parse(out_.str())["drained"] == nlohmann::json(names));
 }
 
-// An endpoint is drained and then taken away for good. A new one may come under its name after
-// weeks, and must get work without anybody remembering the drain.
+// A drained endpoint is removed for good. A new one with the same name, weeks later, must get work
+// although nobody removed the drain.
 TEST_CASE_METHOD(command_line_fleet_fixture,
-                 "command line, drained endpoint gone from the list, is forgotten",
+                 "command line, drained endpoint removed from the list, loses its drain",
                  "[cli][fleet]") {
   REQUIRE(started_);
   const std::string endpoint = fleet_.EndpointsOf(0)[0];
@@ -296,13 +296,13 @@
   CHECK(out_.str().empty());
   config.workspaces[0].teams[0].queue_limit = 78;
   std::ofstream(file) << ToText(config);
-  options_.expect = 1;  // the version that the fleet began with
+  options_.expect = 1;  // the initial version of the fleet
   CHECK(Run({"contract", "apply", file}) == Code(exit_code::kConflict));
   options_.dry_run = true;
   CHECK(Run({"contract", "apply", file}) == Code(exit_code::kConflict));
   options_.dry_run = false;
   options_.expect.reset();
-  // A limit that is lowered is said to be so; it drains and is not in force at once.
+  // Lowering a limit gives a warning: it drains and is not in effect at once.
   config.workspaces[0].teams[0].running_limit -= 1;
   std::ofstream(file) << ToText(config);
   CHECK(Run({"contract", "apply", file}) == Code(exit_code::kDone));
--- a/test/command_line_test.cc
+++ b/test/command_line_test.cc
@@ -33,7 +33,7 @@
   {"name": "booking", "share": 60, "kinds": ["interactive"],
    "limit": {"cpu_milli": 64000, "memory_mb": 131072, "running": 400}}]}]})";
 
-// The configuration and jobs as an entry would answer for them, and the ways in which it may fail.
+// Fake entry that answers configuration and job calls, with configurable faults.
 class fake_entry {
  public:
   fake_entry() {
@@ -51,11 +51,11 @@
 
   uint64_t version = 0;
   std::string text;
-  bool silent = false;               // does what it is asked, and answers nothing
-  std::string concurrent_change;     // another operator's document, written before the next change
+  bool silent = false;               // executes calls but sends no answer
+  std::string concurrent_change;     // document of another operator, written before the next change
   std::vector<std::string> pending;  // domains that have not confirmed
   std::vector<std::string> submitted_keys;
-  http_response put_answer{0, ""};  // of a change, where it is not made
+  http_response put_answer{0, ""};  // fixed answer to a change, which is then not made
   size_t calls = 0;
   http_response job_answer{200, R"({"id":"1","outcome":"completed","answer":"whole"})"};
 
@@ -147,14 +147,15 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(command_line_fixture, "command line, contract applied, is in force", "[cli]") {
+TEST_CASE_METHOD(command_line_fixture,
+                 "command line, contract applied, reports where it is in effect", "[cli]") {
   CHECK(Run({"contract", "apply", FileWith(kContracts)}) == Code(exit_code::kDone));
   CHECK(entry_.version == 10);
   CHECK(CurrentConfig().workspaces[0].teams[0].name == "booking");
   CHECK(out_.str() == "version 10\nin force: a\n");
 }
 
-TEST_CASE_METHOD(command_line_fixture, "command line, domain not confirmed, says so by exit code",
+TEST_CASE_METHOD(command_line_fixture, "command line, domain not confirmed, returns its exit code",
                  "[cli]") {
   entry_.pending = {"b"};
   CHECK(Run({"contract", "apply", FileWith(kContracts)}) == Code(exit_code::kNotYetInForce));
@@ -168,14 +169,14 @@
   CHECK_THAT(out_.str(), Catch::Contains("+   \"name\": \"showrooms\","));
 }
 
-TEST_CASE_METHOD(command_line_fixture, "command line, wrong contract, names the field", "[cli]") {
+TEST_CASE_METHOD(command_line_fixture, "command line, invalid contract, names the field", "[cli]") {
   CHECK(Run({"contract", "check", FileWith(R"({"workspaces":[{"name":"w"}]})")}) ==
         Code(exit_code::kContract));
   CHECK(err_.str().find("missing_field at workspaces[0].teams") != std::string::npos);
 }
 
-// Two operators change the contracts at the same time. The second must see what the first made of
-// it and what its own change would have been, and must not undo the first.
+// Two operators change the contracts concurrently. The second must see the change of the first and
+// its own intended change, and must not overwrite the first.
 TEST_CASE_METHOD(command_line_fixture, "command line, operators race, shows both versions",
                  "[cli]") {
   Run({"contract", "apply", FileWith(kContracts)});
@@ -191,8 +192,8 @@
   CHECK_THAT(out_.str(), Catch::Contains("+      \"running\": 300"));
 }
 
-// A key is granted while another operator changes a contract: both must hold in the end.
-TEST_CASE_METHOD(command_line_fixture, "command line, key granted in a race, keeps both changes",
+// A key is granted while another operator changes a contract: both changes must be kept.
+TEST_CASE_METHOD(command_line_fixture, "command line, key granted concurrently, keeps both changes",
                  "[cli]") {
   Run({"contract", "apply", FileWith(kContracts)});
   configuration theirs = CurrentConfig();
@@ -207,7 +208,7 @@
   CHECK(entry_.text.find(secret) == std::string::npos);
   CHECK(Run({"key", "withdraw", "booking", "desk"}) == Code(exit_code::kDone));
   CHECK_FALSE(key_ring(CurrentConfig()).Find(secret).has_value());
-  // A file from before the withdrawal does not put it back.
+  // A file saved before the withdrawal must not re-enable the key.
   std::string stale = entry_.text;
   stale.replace(stale.find("\"withdrawn\": true"), 17, "\"withdrawn\": false");
   CHECK(Run({"contract", "apply", FileWith(stale)}) == Code(exit_code::kDone));
@@ -216,10 +217,11 @@
   CHECK(Run({"key", "withdraw", "nobody", "desk"}) == Code(exit_code::kNotFound));
 }
 
-// An entry takes a job and goes silent. The command line asks the next one, with the same identity,
-// so that the job cannot run twice; without any answer it must not claim that nothing ran.
+// An entry accepts a job and does not answer. The command line calls the next entry with the same
+// idempotency key, so that the job cannot run twice; without any answer it must not report that
+// nothing ran.
 TEST_CASE_METHOD(command_line_fixture,
-                 "command line, entry silent, asks the next with one identity", "[cli]") {
+                 "command line, entry does not answer, calls the next with one key", "[cli]") {
   fake_entry second;
   client_.entries.push_back(second.Url());
   client_.timeout = std::chrono::milliseconds{150};
@@ -236,8 +238,8 @@
 }
 
 // The first entry makes the change and its answer is lost. The second finds it made: the operator
-// is told so, and not that somebody else was faster.
-TEST_CASE_METHOD(command_line_fixture, "command line, answer to a change lost, finds it made",
+// must get a success, not a conflict.
+TEST_CASE_METHOD(command_line_fixture, "command line, answer to a change lost, reports it as made",
                  "[cli]") {
   client_.timeout = std::chrono::milliseconds{150};
   fake_entry second;
@@ -248,7 +250,7 @@
   CHECK(second.version == 1);
 }
 
-TEST_CASE_METHOD(command_line_fixture, "command line, outcomes, each have an exit code", "[cli]") {
+TEST_CASE_METHOD(command_line_fixture, "command line, each outcome, has an exit code", "[cli]") {
   entry_.job_answer = {503,
                        R"({"id":"1","outcome":"refused","reason":"shed","retry_after_ms":70})"};
   CHECK(Run({"submit", "batch"}) == Code(exit_code::kRefused));
@@ -263,16 +265,16 @@
   CHECK(Run({"nonsense"}) == Code(exit_code::kUsage));
 }
 
-TEST_CASE_METHOD(command_line_fixture, "command line, time line, is merged by wall time", "[cli]") {
+TEST_CASE_METHOD(command_line_fixture, "command line, timeline, is merged by wall time", "[cli]") {
   CHECK(Run({"timeline"}) == Code(exit_code::kDone));
   CHECK(out_.str() ==
         "1970-01-01 00:00:01.000050 e1 (a) 200 request_received id=ab\n"
         "1970-01-01 00:00:01.000090 e1 (a) 208 request_answered id=ab\n");
 }
 
-TEST_CASE("time line, several processes, becomes one Chrome trace", "[cli]") {
+TEST_CASE("timeline, several processes, becomes one Chrome trace", "[cli]") {
   merged_timeline merged;
-  // The second process's monotonic clock began elsewhere; only wall time joins the two.
+  // The monotonic clock of the second process has another origin; only wall time relates the two.
   CHECK(AddProcess(R"({"process":"e1","failure_domain":"a","mono_us":100,"wall_us":1100,"events":[
     {"seq":1,"mono_us":50,"code":200,"name":"request_received","id":"ab"},
     {"seq":2,"mono_us":95,"code":208,"name":"request_answered","id":"ab"}]})",
@@ -324,8 +326,8 @@
   }
 }
 
-// An operator leaves and withdraws his key, which is the only one. Done, nobody could ever change
-// the configuration again but by hand in the platform's store.
+// An operator withdraws the only operator key. If allowed, the configuration could only be changed
+// by hand in the platform's store.
 TEST_CASE_METHOD(command_line_fixture, "command line, last operator's key, is not withdrawn",
                  "[cli]") {
   configuration config;
@@ -335,12 +337,12 @@
   CHECK(Run({"key", "withdraw", "night"}) == Code(exit_code::kDone));
   CHECK(Run({"key", "withdraw", "day"}) == Code(exit_code::kRefused));
   CHECK_THAT(err_.str(), Catch::Contains("last_operator_key"));
-  CHECK(Run({"key", "withdraw", "night"}) == Code(exit_code::kDone));  // once more does no harm
+  CHECK(Run({"key", "withdraw", "night"}) == Code(exit_code::kDone));  // idempotent
 }
 
-// A newcomer forgets --entry. "No entry can be reached" would send him to look for a fault of the
-// network.
-TEST_CASE_METHOD(command_line_fixture, "command line, no entry given, asks for one", "[cli]") {
+// --entry is missing. The message "no entry is reachable" would wrongly suggest a network fault.
+TEST_CASE_METHOD(command_line_fixture, "command line, no entry given, reports how to set one",
+                 "[cli]") {
   client_.entries.clear();
   for (const std::vector<std::string>& words :
        {std::vector<std::string>{"members"}, {"contract", "history"}, {"submit", "batch"}}) {
@@ -349,24 +351,24 @@
   }
 }
 
-TEST_CASE("entry's address, as people type it, is cut to its base or refused", "[cli]") {
+TEST_CASE("entry address, with slashes or without scheme, is normalized or rejected", "[cli]") {
   CHECK(BaseUrl("http://10.0.0.1:8080") == std::string("http://10.0.0.1:8080"));
   CHECK(BaseUrl("https://10.0.0.1:8080//") == std::string("https://10.0.0.1:8080"));
   CHECK_FALSE(BaseUrl("10.0.0.1:8080").has_value());
   CHECK_FALSE(BaseUrl("http://").has_value());
 }
 
-// The entry got no answer of the store: the change may have been made. "Refused and not run" would
-// be untrue, and a script would make it twice.
-TEST_CASE_METHOD(command_line_fixture, "command line, entry does not know, says may have been made",
-                 "[cli]") {
+// The store did not answer the entry, so the change may have been made. Reported as rejected, a
+// script would make it twice.
+TEST_CASE_METHOD(command_line_fixture,
+                 "command line, store did not answer, reports the change as unknown", "[cli]") {
   entry_.put_answer = {504, R"({"error":"unknown","detail":"read it back"})"};
   CHECK(Run({"contract", "apply", FileWith(kContracts)}) == Code(exit_code::kUnknown));
   entry_.text = kContracts;
   CHECK(Run({"contract", "apply", FileWith(kContracts)}) == Code(exit_code::kDone));
 }
 
-TEST_CASE_METHOD(command_line_fixture, "command line, bad input, is told before anything is sent",
+TEST_CASE_METHOD(command_line_fixture, "command line, invalid input, is rejected before any call",
                  "[cli]") {
   for (const std::vector<std::string>& words : {std::vector<std::string>{"status", "zz"},
                                                 {"cancel", "zz"},
@@ -383,10 +385,10 @@
   }
   CHECK(entry_.calls == 0);
   entry_.job_answer = {422, R"({"error":"bad_field","path":"tasks"})"};
-  CHECK(Run({"submit", "batch"}) == Code(exit_code::kUsage));  // and not a wrong contract
+  CHECK(Run({"submit", "batch"}) == Code(exit_code::kUsage));  // not kContract
 }
 
-TEST_CASE_METHOD(command_line_fixture, "command line, comparison as json, can be read", "[cli]") {
+TEST_CASE_METHOD(command_line_fixture, "command line, diff as json, can be parsed", "[cli]") {
   options_.json = true;
   CHECK(Run({"contract", "diff", FileWith(kContracts)}) == Code(exit_code::kDone));
   const json lines = json::parse(out_.str())["lines"];
@@ -394,8 +396,8 @@
   CHECK(lines[0].contains("mark"));
 }
 
-TEST_CASE_METHOD(command_line_fixture, "command line, contract that allows nothing, is warned of",
-                 "[cli]") {
+TEST_CASE_METHOD(command_line_fixture,
+                 "command line, contract that allows nothing, gives a warning", "[cli]") {
   std::string text = kContracts;
   text.replace(text.find("\"running\": 400"), 14, "\"running\": 0");
   text.replace(text.find("[\"interactive\"]"), 15, "[]");
@@ -406,15 +408,15 @@
   CHECK(err_.str().empty());
 }
 
-TEST_CASE("help, on a group of commands, lists these only", "[cli]") {
+TEST_CASE("help, on a group of commands, lists only these", "[cli]") {
   const std::string text = HelpOn({"contract"});
   CHECK(text.find("catkinford contract restore VERSION") != std::string::npos);
   CHECK(text.find("catkinford members") == std::string::npos);
   CHECK(HelpOn({"nonsense"}).find("catkinford members") != std::string::npos);
 }
 
-// The flag library ends the program with 1, which says of a job that it ran and failed.
-TEST_CASE("flags, unknown, without value or wrong, are told", "[cli]") {
+// The flag library would end the program with 1, the exit code of a job that ran and failed.
+TEST_CASE("flags, unknown, without value or invalid, are reported", "[cli]") {
   CHECK_FALSE(CheckFlags({"members", "--test_time", "3s", "--test_yes", "--notest_yes"}));
   CHECK_FALSE(CheckFlags({"submit", "--", "--nosuch"}));
   CHECK(CheckFlags({"--nosuch"})->fault == flag_fault::kUnknown);
--- a/test/config_store_test.cc
+++ b/test/config_store_test.cc
@@ -28,7 +28,8 @@
   return R"({"workspaces":[{"name":")" + workspace + R"(","teams":[]}]})";
 }
 
-// Entries' keepers over one store stand-in. What they hand to the core thread runs here.
+// Configuration stores of several entries over one store stand-in. Tasks posted to the core thread
+// run here.
 class config_store_fixture {
  public:
   config_store_fixture() {
@@ -40,7 +41,7 @@
   ~config_store_fixture() { http_.Stop(); }
 
  protected:
-  // Lives as long as the fixture: replies to what it asked may still come.
+  // Kept until the end of the fixture, since late replies may still arrive.
   config_store* NewEntry() {
     entries_.push_back(std::make_unique<config_store>(
         *adapter_, milliseconds{600000}, bounds_,
@@ -75,14 +76,14 @@
     return *result;
   }
 
-  // Tries again as an operator does: reads what is in force and changes that.
+  // Retries like an operator: reads the current version and changes that.
   uint64_t ChangeUntilDone(config_store& entry, const std::string& workspace) {
     for (int i = 0; i < 50; ++i) {
       CatchUp(entry);
       const change_result result = Change(entry, entry.Order().Version(), workspace);
       if (result.end == change_outcome::kDone) return result.version;
       CatchUp(entry);
-      // What became of a change whose answer was lost.
+      // A change whose answer was lost may have been made.
       if (WithoutSignature(entry.Order().Text()) == Document(workspace)) {
         return entry.Order().Version();
       }
@@ -158,9 +159,9 @@
 
 }  // namespace
 
-// All entries are replaced, as happens on any day. An operator who looks for last week's change
-// must still find it, with who made it, and what it was.
-TEST_CASE_METHOD(config_store_fixture, "history, all entries replaced, is still there",
+// After all entries have been replaced, a change must still be in the history, with its author and
+// text.
+TEST_CASE_METHOD(config_store_fixture, "history, all entries replaced, is still complete",
                  "[history]") {
   std::vector<uint64_t> versions;
   config_store* const first = NewEntry();
@@ -175,9 +176,9 @@
   }
 }
 
-// An entry dies after it kept the version in force and before the swap. The version was never
-// superseded: it must show once, also after another entry has made the change.
-TEST_CASE_METHOD(config_store_fixture, "history, writer dies before its swap, shows nothing twice",
+// An entry is lost after it saved the current version and before the swap. The version was never
+// superseded: it must be listed once, also after another entry has made the change.
+TEST_CASE_METHOD(config_store_fixture, "history, writer lost before its swap, lists nothing twice",
                  "[history]") {
   config_store* const entry = NewEntry();
   const uint64_t version = ChangeUntilDone(*entry, "a");
@@ -195,9 +196,10 @@
   CHECK(Descriptions(History(*entry)) == std::vector<std::string>{"a", "b"});
 }
 
-// Two operators change the same version at two entries. The one that lost was never in force: in
-// the list it would look as if it had been, and a diff would show a change that nobody made.
-TEST_CASE_METHOD(config_store_fixture, "history, operators race, has only versions in force",
+// Two operators change the same version at two entries. The losing text was never in effect:
+// listed, a diff would show a change that nobody made.
+TEST_CASE_METHOD(config_store_fixture,
+                 "history, concurrent changes, lists only versions that were in effect",
                  "[history]") {
   config_store* const one = NewEntry();
   config_store* const other = NewEntry();
@@ -215,9 +217,9 @@
   CHECK(Descriptions(History(*other)) == std::vector<std::string>{"base", winner});
 }
 
-// An operator reads the version from an entry that is ahead of the one that takes the change. What
-// that entry has in memory is not what stands there and must not be kept under its number.
-TEST_CASE_METHOD(config_store_fixture, "history, change at an entry that lags, misses no version",
+// An operator reads the version from an entry that is ahead of the one that receives the change.
+// The text in memory there is an older version and must not be saved under the newer number.
+TEST_CASE_METHOD(config_store_fixture, "history, change at a lagging entry, misses no version",
                  "[history]") {
   config_store* const ahead = NewEntry();
   config_store* const lagging = NewEntry();
@@ -230,8 +232,8 @@
   CHECK(TextOf(*ahead, second) == Document("b"));
 }
 
-// The store does what it is told and does not say so. Each change must still be made once and stand
-// once in the list, whichever of its writes lost its reply.
+// The store executes writes but their replies are lost. Each change must be made once and listed
+// once, whichever of its writes lost its reply.
 TEST_CASE_METHOD(config_store_fixture, "history, replies of the store lost, misses no version",
                  "[history]") {
   config_store* const one = NewEntry();
@@ -248,9 +250,9 @@
   CHECK(Descriptions(History(*one)) == names);
 }
 
-// With the store down nothing can be kept, and so nothing changed: the operator is told so, and not
-// that it may have been.
-TEST_CASE_METHOD(config_store_fixture, "history, store down, refuses the change as not made",
+// With the store down nothing can be saved, so nothing is changed: the operator must get "not
+// changed", not "unknown".
+TEST_CASE_METHOD(config_store_fixture, "history, store down, rejects the change as not made",
                  "[history]") {
   config_store* const entry = NewEntry();
   const uint64_t version = ChangeUntilDone(*entry, "a");
@@ -260,16 +262,16 @@
   CHECK(Descriptions(History(*entry)) == std::vector<std::string>{"a"});
 }
 
-// A site changes its contracts for years. The store must not fill with texts.
-TEST_CASE_METHOD(config_store_fixture, "history, over its bound, deletes texts in the store",
+// After years of changes the store must not fill up with old texts.
+TEST_CASE_METHOD(config_store_fixture, "history, over its limit, deletes texts in the store",
                  "[history]") {
   bounds_.versions = 3;
   config_store* const one = NewEntry();
   config_store* const other = NewEntry();
   for (int i = 0; i < 12; ++i) ChangeUntilDone(i % 2 == 0 ? *one : *other, absl::StrCat("w", i));
   CHECK(History(*one).size() >= 3);
-  CHECK(History(*one).size() <= 4);         // the one in force may be listed or not
-  CHECK(KeysInStore("history/") <= 3 + 1);  // the last dropped one goes with the next change
+  CHECK(History(*one).size() <= 4);         // the current one may be listed or not
+  CHECK(KeysInStore("history/") <= 3 + 1);  // the last dropped one is deleted by the next change
 }
 
 }  // namespace catkinford
--- a/test/event_log_test.cc
+++ b/test/event_log_test.cc
@@ -27,9 +27,9 @@
   ~event_log_fixture() { std::remove(file_.c_str()); }
 
  protected:
-  // What the log holds after it was closed.
+  // The content of the log after it was closed.
   std::string Log(event_level level, const std::string& detail) {
-    // easylogging++ keeps a file open by its name for the life of the program: a name for each.
+    // easylogging++ keeps files open by name until the program ends, so each level uses its own.
     file_ = "event_log_test_" + std::string(ToText(level)) + ".log";
     {
       event_log log({level, file_, 16}, events_);
@@ -46,7 +46,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(timeline_fixture, "time line, overfull, keeps the newest in order", "[timeline]") {
+TEST_CASE_METHOD(timeline_fixture, "timeline, full, keeps the newest events in order",
+                 "[timeline]") {
   for (uint64_t epoch = 1; epoch <= 6; ++epoch) {
     events_.Record(event_code::kShardClaimed, kStart, {}, epoch);
   }
@@ -56,7 +57,7 @@
   CHECK(all.back().epoch == 6);
 }
 
-TEST_CASE_METHOD(timeline_fixture, "time line, read in parts, misses and repeats nothing",
+TEST_CASE_METHOD(timeline_fixture, "timeline, read in pages, misses and repeats nothing",
                  "[timeline]") {
   for (uint64_t epoch = 1; epoch <= 4; ++epoch) {
     events_.Record(event_code::kShardClaimed, kStart, {}, epoch);
@@ -69,23 +70,22 @@
   CHECK(events_.Since(5, 100).empty());
 }
 
-TEST_CASE_METHOD(event_log_fixture, "event log, level info, logs no debug event but records it",
-                 "[events]") {
+TEST_CASE_METHOD(event_log_fixture,
+                 "event log, level info, only records debug events in the timeline", "[events]") {
   const std::string text = Log(event_level::kInfo, "lease lapsed");
   CHECK(text.find("task_started") == std::string::npos);
   CHECK(text.find("301 shard_lost epoch=8 subject=otaru/0 lease lapsed") != std::string::npos);
   CHECK(events_.Since(0, 10).size() == 2);
 }
 
-// A caller puts a line break into a text that ends up in the log; the operator would read a line
-// that no process of ours wrote.
+// A caller puts a line break into a text that is logged; the log would show a forged line.
 TEST_CASE_METHOD(event_log_fixture, "event log, line break in a text, stays on one line",
                  "[events]") {
   const std::string text = Log(event_level::kWarning, "x\n2026 ERROR 303 endpoint_fenced");
   CHECK(std::count(text.begin(), text.end(), '\n') == 1);
 }
 
-TEST_CASE("events, all, have numbers in order and distinct names", "[events]") {
+TEST_CASE("events, all, have ascending numbers and distinct names", "[events]") {
   std::vector<std::string_view> names;
   uint16_t last = 0;
   for (const event_info& info : AllEvents()) {
--- a/test/settings_test.cc
+++ b/test/settings_test.cc
@@ -13,7 +13,7 @@
 
 class settings_fixture {
  protected:
-  // A complete file with `more` as further lines.
+  // A complete settings file with `more` added.
   static std::string SettingsText(const std::string& more = "") {
     return R"({ // of one entry
       "name": "e1", "failure_domain": "otaru", "failure_domains": ["otaru", "asahikawa"],
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(settings_fixture, "settings, complete file with comments, are read",
+TEST_CASE_METHOD(settings_fixture, "settings, complete file with comments, are parsed",
                  "[settings]") {
   const settings read =
       ParseValid(SettingsText(R"("timing": {"heartbeat": "300ms", "max_deadline": "15s"},)"));
@@ -58,7 +58,7 @@
   CHECK(read.timing.member_lease == settings{}.timing.member_lease);
 }
 
-TEST_CASE_METHOD(settings_fixture, "settings, one wrong field, give its fault and path",
+TEST_CASE_METHOD(settings_fixture, "settings, one invalid field, give its fault and path",
                  "[settings]") {
   using enum settings_fault;
   CheckInvalid(R"("timming": {},)", kUnknownField, "timming");
@@ -79,7 +79,7 @@
   CheckInvalid(R"("logs": {"level": "info", "level": "debug"},)", kDuplicateField, "level");
 }
 
-TEST_CASE_METHOD(settings_fixture, "settings, two fields that cannot both hold, are refused",
+TEST_CASE_METHOD(settings_fixture, "settings, two contradicting fields, are rejected",
                  "[settings]") {
   using enum settings_fault;
   CheckInvalid(R"("timing": {"heartbeat": "2s"},)", kContradiction, "timing.heartbeat");
@@ -97,7 +97,7 @@
   CHECK(error.path == "failure_domain");
 }
 
-TEST_CASE_METHOD(settings_fixture, "settings, broken or missing file, give a fault of their own",
+TEST_CASE_METHOD(settings_fixture, "settings, malformed or missing file, give their own fault",
                  "[settings]") {
   CHECK(ParseInvalid("{").fault == settings_fault::kNotJson);
   CHECK(ParseInvalid("[]").fault == settings_fault::kNotJson);
@@ -110,8 +110,7 @@
   }
 }
 
-TEST_CASE_METHOD(settings_fixture, "settings fault, each, has an exit code of its own",
-                 "[settings]") {
+TEST_CASE_METHOD(settings_fixture, "settings fault, each, has its own exit code", "[settings]") {
   std::set<int> codes;
   for (size_t i = 0; i < kSettingsFaults; ++i) {
     codes.insert(ExitCode(static_cast<settings_fault>(i)));
--- a/test/shutdown_test.cc
+++ b/test/shutdown_test.cc
@@ -18,7 +18,8 @@
 
 constexpr seconds kGenerousLimit{30};
 
-// What an entry would wait for where nothing ends it before; longer than any limit here.
+// The shutdown limit is longer than any limit of these tests, so only the end of the work can end
+// an entry.
 fleet_options SmallFleet() {
   fleet_options options;
   options.domains = {"sapporo-ch"};
@@ -28,7 +29,7 @@
   return options;
 }
 
-// One failure domain of two real entries whose store can be taken away.
+// A failure domain with two real entries and a store that can be stopped.
 class shutdown_fixture {
  public:
   shutdown_fixture() {
@@ -67,9 +68,9 @@
 
 }  // namespace
 
-// An operator stops an entry while the store is out: its shards can be handed to nobody. With
-// nothing to finish it must not keep the operator waiting until the limit.
-TEST_CASE_METHOD(shutdown_fixture, "shutdown, store out and nothing in flight, ends",
+// An entry is stopped while the store is down and its shards cannot be handed over. With nothing in
+// flight it must not wait until the limit.
+TEST_CASE_METHOD(shutdown_fixture, "shutdown, store down and nothing in flight, ends",
                  "[shutdown]") {
   REQUIRE(started_);
   fleet_.SetStore({{"mode", "down"}});
@@ -77,10 +78,10 @@
   for (size_t slot = 0; slot < fleet_.Entries(); ++slot) CHECK(ExitCodeOf(slot) == 0);
 }
 
-// The same with a request under way, whose caller waits at the other entry or at the one that is
-// stopped. Ending before its answer would cut the caller off; ending only at the limit would keep
-// the operator waiting.
-TEST_CASE_METHOD(shutdown_fixture, "shutdown, store out and requests in flight, ends after them",
+// The same with a request in flight, whose caller waits at the other entry or at the stopped one.
+// Ending before the answer would disconnect the caller; ending only at the limit would delay the
+// operator.
+TEST_CASE_METHOD(shutdown_fixture, "shutdown, store down and requests in flight, ends after them",
                  "[shutdown]") {
   REQUIRE(started_);
   Submit(0, "slow-0", seconds{4});
@@ -98,10 +99,9 @@
   }
 }
 
-// The last entry of a failure domain is stopped: the store answers, and there is nobody to hand the
-// shards to.
-TEST_CASE_METHOD(shutdown_fixture, "shutdown, no entry left that could be heir, ends",
-                 "[shutdown]") {
+// The last entry of a failure domain is stopped: the store answers, but there is no successor for
+// the shards.
+TEST_CASE_METHOD(shutdown_fixture, "shutdown, no successor left, ends", "[shutdown]") {
   REQUIRE(started_);
   for (size_t slot = 0; slot < fleet_.Entries(); ++slot) {
     fleet_.Entry(slot).process.Signal(SIGTERM);
