--- a/src/process/command_line.cc
+++ b/src/process/command_line.cc
@@ -12,7 +12,7 @@
 namespace catkinford {
 namespace {
 
-struct command_entry {
+struct command_info {
   const char* name;       // words separated by spaces
   const char* arguments;  // as shown in the help
   size_t min_arguments;   // number of arguments
@@ -22,7 +22,7 @@
   const char* example;
 };
 
-constexpr std::array<command_entry, 21> kCommands = {{
+constexpr std::array<command_info, 21> kCommands = {{
     {"submit", "KIND | FILE", 1, 1, &RunSubmit,
      "Submits one job of a kind (interactive, service, batch, gang) with the flags --tasks, "
      "--cpu_milli,\n"
@@ -135,9 +135,9 @@
     "not show in the list of processes), --output text|json, --timeout 30s, --ca_file FILE.\n";
 
 // The command whose name `words` starts with; null if none.
-const command_entry* FindCommand(const command_arguments& words) {
-  const auto begins = [&words](const command_entry& entry) {
-    const std::vector<std::string> name = absl::StrSplit(entry.name, ' ');
+const command_info* FindCommand(const command_arguments& words) {
+  const auto begins = [&words](const command_info& command) {
+    const std::vector<std::string> name = absl::StrSplit(command.name, ' ');
     return name.size() <= words.size() && std::equal(name.begin(), name.end(), words.begin());
   };
   const auto found = std::find_if(kCommands.begin(), kCommands.end(), begins);
@@ -149,27 +149,28 @@
   return words.size();
 }
 
-std::string Usage(const command_entry& entry) {
-  return absl::StrCat("catkinford ", entry.name, entry.arguments[0] == '\0' ? "" : " ",
-                      entry.arguments);
+std::string Usage(const command_info& command) {
+  return absl::StrCat("catkinford ", command.name, command.arguments[0] == '\0' ? "" : " ",
+                      command.arguments);
 }
 
 }  // namespace
 
 std::string HelpOn(const std::vector<std::string>& words) {
-  if (const command_entry* entry = FindCommand(words)) {
-    return absl::StrCat(Usage(*entry), "\n\n", entry->help, "\n\nExamples:\n", entry->example,
+  if (const command_info* command = FindCommand(words)) {
+    return absl::StrCat(Usage(*command), "\n\n", command->help, "\n\nExamples:\n", command->example,
                         "\n\n", kCommonFlags, kExitCodes);
   }
   std::string text = "catkinford COMMAND [arguments] [--flag value ...]\n\n";
   const std::string group = words.empty() ? "" : words[0] + " ";
-  const bool is_group = std::any_of(
-      kCommands.begin(), kCommands.end(),
-      [&group](const command_entry& entry) { return std::string(entry.name).starts_with(group); });
-  for (const command_entry& entry : kCommands) {
-    if (is_group && !std::string(entry.name).starts_with(group)) continue;
-    const std::string help = entry.help;
-    absl::StrAppend(&text, "  ", Usage(entry), "\n      ", help.substr(0, help.find('\n')), "\n");
+  const bool is_group =
+      std::any_of(kCommands.begin(), kCommands.end(), [&group](const command_info& command) {
+        return std::string(command.name).starts_with(group);
+      });
+  for (const command_info& command : kCommands) {
+    if (is_group && !std::string(command.name).starts_with(group)) continue;
+    const std::string help = command.help;
+    absl::StrAppend(&text, "  ", Usage(command), "\n      ", help.substr(0, help.find('\n')), "\n");
   }
   absl::StrAppend(&text, "\ncatkinford COMMAND --help shows more, with examples.\n\n", kCommonFlags,
                   kExitCodes);
@@ -181,21 +182,21 @@
     : options_(std::move(options)), entries_(entries), out_(out), err_(err) {}
 
 int command_line::Run(const std::vector<std::string>& words) {
-  const command_entry* entry = FindCommand(words);
-  if (entry == nullptr) {
+  const command_info* command = FindCommand(words);
+  if (command == nullptr) {
     if (!words.empty())
       err_ << "catkinford: no such command: " << absl::StrJoin(words, " ") << "\n";
     err_ << HelpOn(words);
     return static_cast<int>(exit_code::kUsage);
   }
-  const command_arguments rest(words.begin() + static_cast<std::ptrdiff_t>(CountWords(entry->name)),
-                               words.end());
-  if (rest.size() < entry->min_arguments || rest.size() > entry->max_arguments) {
-    err_ << "usage: " << Usage(*entry) << "\n";
+  const command_arguments rest(
+      words.begin() + static_cast<std::ptrdiff_t>(CountWords(command->name)), words.end());
+  if (rest.size() < command->min_arguments || rest.size() > command->max_arguments) {
+    err_ << "usage: " << Usage(*command) << "\n";
     return static_cast<int>(exit_code::kUsage);
   }
   command_context context{options_, entries_, out_, err_};
-  return entry->run(context, rest);
+  return command->run(context, rest);
 }
 
 }  // namespace catkinford
--- a/src/process/config_change.cc
+++ b/src/process/config_change.cc
@@ -180,7 +180,7 @@
     if (IsWanted(answer, wanted)) {
       return static_cast<int>(ShowChange(context, answer));
     }
-    if (conflict == on_conflict::kShowBoth || attempt == kMaxConflictAttempts) {
+    if (conflict == on_conflict::kShowConflict || attempt == kMaxConflictAttempts) {
       return static_cast<int>(ShowConflict(context, answer, base, wanted));
     }
   }
--- a/src/process/config_change.h
+++ b/src/process/config_change.h
@@ -30,7 +30,7 @@
 
 // Whether a change may be retried on top of a concurrent change of another operator: true for
 // changes that commute, such as granting a key.
-enum class on_conflict : uint8_t { kShowBoth, kTryAgain };
+enum class on_conflict : uint8_t { kShowConflict, kRetry };
 
 // Applies `edit` to the current configuration and prints where the new version is in effect.
 int ChangeConfig(command_context& context, on_conflict conflict,
--- a/src/process/contract_commands.cc
+++ b/src/process/contract_commands.cc
@@ -96,7 +96,7 @@
   const std::variant<configuration, exit_code> read = ReadContracts(context, arguments[0]);
   if (const auto* code = std::get_if<exit_code>(&read)) return static_cast<int>(*code);
   const auto& file = std::get<configuration>(read);
-  return ChangeConfig(context, on_conflict::kShowBoth, [&file](configuration& config) {
+  return ChangeConfig(context, on_conflict::kShowConflict, [&file](configuration& config) {
     config = MergeContracts(config, file);
     return edit_fault::kNone;
   });
@@ -106,14 +106,14 @@
   const auto read = FetchVersion(context, arguments[0]);
   if (const auto* code = std::get_if<exit_code>(&read)) return static_cast<int>(*code);
   const configuration& past = std::get<fetched_config>(read).config;
-  return ChangeConfig(context, on_conflict::kShowBoth, [&past](configuration& config) {
+  return ChangeConfig(context, on_conflict::kShowConflict, [&past](configuration& config) {
     config = RestoreContracts(config, past);
     return edit_fault::kNone;
   });
 }
 
 int RunContractRemove(command_context& context, const command_arguments& arguments) {
-  return ChangeConfig(context, on_conflict::kShowBoth, [&arguments](configuration& config) {
+  return ChangeConfig(context, on_conflict::kShowConflict, [&arguments](configuration& config) {
     return RemoveWorkspace(config, arguments[0]);
   });
 }
--- a/src/process/event_log.cc
+++ b/src/process/event_log.cc
@@ -14,7 +14,7 @@
 
 // Subjects and details may contain text of callers. A line break would let a caller forge log
 // lines; control characters are replaced by a question mark.
-std::string OneLine(const std::string& text) {
+std::string ReplaceControlCharacters(const std::string& text) {
   std::string out = text;
   for (char& c : out) {
     if (static_cast<unsigned char>(c) < kFirstPrintable) c = '?';
@@ -44,8 +44,8 @@
   out += InfoOf(code).name;
   if (id != request_id{}) absl::StrAppend(&out, " id=", ToHex(id));
   if (epoch != 0) absl::StrAppend(&out, " epoch=", epoch);
-  if (!subject.empty()) absl::StrAppend(&out, " subject=", OneLine(subject));
-  if (!detail.empty()) absl::StrAppend(&out, " ", OneLine(detail));
+  if (!subject.empty()) absl::StrAppend(&out, " subject=", ReplaceControlCharacters(subject));
+  if (!detail.empty()) absl::StrAppend(&out, " ", ReplaceControlCharacters(detail));
   return out;
 }
 
--- a/src/process/key_commands.cc
+++ b/src/process/key_commands.cc
@@ -69,7 +69,7 @@
     return static_cast<int>(exit_code::kUsage);
   }
   const new_key key = MakeKey(target->name, context.options.is_operator);
-  const int code = ChangeConfig(context, on_conflict::kTryAgain, [&](configuration& config) {
+  const int code = ChangeConfig(context, on_conflict::kRetry, [&](configuration& config) {
     return AddKey(config, target->team, key.record);
   });
   // After a lost answer the key may be valid, so its holder needs the secret.
@@ -88,7 +88,7 @@
 int RunKeyWithdraw(command_context& context, const command_arguments& arguments) {
   const std::optional<key_name> target = ParseKeyName(context, arguments);
   if (!target) return static_cast<int>(exit_code::kUsage);
-  return ChangeConfig(context, on_conflict::kTryAgain, [&](configuration& config) {
+  return ChangeConfig(context, on_conflict::kRetry, [&](configuration& config) {
     return WithdrawKey(config, target->team, target->name);
   });
 }
--- a/src/process/node_status.cc
+++ b/src/process/node_status.cc
@@ -105,12 +105,12 @@
 }
 
 void node::TickStatus(monotonic_time now) {
-  std::vector<uint64_t> over;
+  std::vector<uint64_t> expired;
   for (auto& [query, open] : statuses_) {
     if (now >= open.next_poll) QueryOwners(query, open, now);
-    if (now >= open.deadline) over.push_back(query);
+    if (now >= open.deadline) expired.push_back(query);
   }
-  for (const uint64_t query : over) {
+  for (const uint64_t query : expired) {
     const auto found = statuses_.find(query);
     if (found->second.status.IsKnown()) {
       AnswerStatus(query, now);
@@ -120,11 +120,11 @@
                    ErrorResponse(504, "unknown", "not every owner could be queried"));
     statuses_.erase(found);
   }
-  std::vector<request_id> late;
+  std::vector<request_id> expired_cancels;
   for (const auto& [id, waiting] : cancels_) {
-    if (now >= waiting.front().deadline) late.push_back(id);
+    if (now >= waiting.front().deadline) expired_cancels.push_back(id);
   }
-  for (const request_id& id : late) {
+  for (const request_id& id : expired_cancels) {
     OnOutcome(UnknownOutcome(id, "cancelled; the outcome is not known yet"), now);
   }
   CheckChanges(now);
--- a/src/process/timeline_merge.cc
+++ b/src/process/timeline_merge.cc
@@ -72,7 +72,7 @@
   return trace;
 }
 
-std::string Line(const merged_event& event, const timeline_process& process) {
+std::string FormatEvent(const merged_event& event, const timeline_process& process) {
   const std::string time = absl::FormatTime(
       "%Y-%m-%d %H:%M:%E6S", absl::FromUnixMicros(event.wall.count()), absl::UTCTimeZone());
   std::string line = absl::StrCat(time, " ", process.name, " (", process.failure_domain, ") ",
@@ -125,7 +125,7 @@
 std::string ToText(const merged_timeline& timeline) {
   std::string text;
   for (const merged_event& event : timeline.events) {
-    absl::StrAppend(&text, Line(event, timeline.processes[event.process]), "\n");
+    absl::StrAppend(&text, FormatEvent(event, timeline.processes[event.process]), "\n");
   }
   return text;
 }
