--- a/src/process/node.cc
+++ b/src/process/node.cc
@@ -416,9 +416,7 @@
   const bool can_end = !have_callers && (handed_over || cannot_hand_over);
   if (!can_end && now < shutdown_deadline_) return;
   const char* how = "shutdown limit reached";
-  if (can_end)
-    how = handed_over ? "all requests finished"
-                      : "all requests finished; no successor for the shards";
+  if (can_end) how = handed_over ? "all requests finished" : "all requests finished; no successor";
   log_.Emit(event_code::kShutdownDone, now, {}, 0, config_.name, how);
   done_ = true;
 }
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -317,8 +317,7 @@
   resources cell_capacity_;
   std::vector<message_body> local_messages_;  // messages to this entry
   std::vector<deferred_service> deferred_services_;
-  std::map<std::string, uint64_t>
-      notified_epochs_;  // by shard: last owner epoch reported to the shards here
+  std::map<std::string, uint64_t> notified_epochs_;  // by shard, as reported to shards here
   absl::flat_hash_map<uint64_t, open_status> statuses_;
   absl::flat_hash_map<request_id, std::vector<open_cancel>> cancels_;
   std::map<uint64_t, open_change> changes_;
