--- a/src/process/command_line.cc
+++ b/src/process/command_line.cc
@@ -123,7 +123,7 @@
 }};
 
 constexpr const char* kExitCodes =
-    "Exit codes: 0 done, 1 ran and failed, 2 wrong command line, 3 rejected and not run, 4 may "
+    "Exit codes: 0 done, 1 ran and failed, 2 invalid command line, 3 rejected and not run, 4 may "
     "have\n"
     "run, 5 conflict with another change, 6 invalid contract, 7 no entry answered, 8 key not "
     "valid,\n"
--- a/src/process/node_config.cc
+++ b/src/process/node_config.cc
@@ -61,8 +61,7 @@
 
 // A new version is in effect here; shards apply it at once. Only the entry that made the change
 // sends it to all peers; the others only resend it to lagging peers. When every entry that read the
-// version from the store passed it on as well, a change was sent 16 times where 5 were enough
-// (catkinford-bench spread).
+// version from the store passed it on as well, a change was sent 16 times where 5 were enough.
 void node::OnVersion(version_origin origin, monotonic_time now) {
   const version_order& order = versions_.Order();
   for (auto& [number, held] : shards_) held->SetConfiguration(*order.Config(), now);
