--- a/src/process/config_change.cc
+++ b/src/process/config_change.cc
@@ -11,8 +11,8 @@
 using nlohmann::json;
 
 constexpr int kConflictStatus = 409;
-constexpr int kUnknownStatus = 504;  // the entry had no answer of the store
-constexpr int kTriesOnConflict = 8;
+constexpr int kUnknownStatus = 504;  // the store did not answer the entry
+constexpr int kMaxConflictAttempts = 8;
 constexpr size_t kDiffContext = 2;
 
 void PrintFault(command_context& context, const contract_error& error) {
@@ -40,7 +40,7 @@
   return text;
 }
 
-// Both versions: what this change started from and wanted, and what another operator made of it.
+// Shows both versions: the base and result of this change, and the change of the other operator.
 exit_code ShowConflict(command_context& context, const entry_answer& answer,
                        const fetched_config& base, const std::string& wanted) {
   const std::string theirs = TextField(answer.body, "text");
@@ -52,7 +52,7 @@
     context.out << both.dump(-1, ' ', true, json::error_handler_t::replace) << "\n";
   } else {
     context.out << "conflict: made from version " << base.version << ", but version " << version
-                << " is in force. Nothing was changed.\n--- their change\n";
+                << " is current. Nothing was changed.\n--- their change\n";
     PrintDiff(context, base.text, theirs);
     context.out << "--- your change\n";
     PrintDiff(context, base.text, wanted);
@@ -69,12 +69,12 @@
 entry_answer Put(command_context& context, uint64_t expect, const std::string& text) {
   json body = {{"expect", expect}, {"text", text}};
   if (context.options.dry_run) body["dry_run"] = true;
-  return Ask(context, "PUT", "/v1/config",
-             body.dump(-1, ' ', false, json::error_handler_t::replace));
+  return CallEntry(context, "PUT", "/v1/config",
+                   body.dump(-1, ' ', false, json::error_handler_t::replace));
 }
 
-// Whether an entry's document is the one that was wanted. Not text by text: the entries sign what
-// they keep with a comment.
+// Whether an entry's document equals the wanted one. Compared in parsed form: the entries add a
+// signature comment to the text they store.
 bool IsWanted(const entry_answer& answer, const std::string& wanted) {
   const std::variant<configuration, contract_error> parsed =
       ParseConfiguration(TextField(answer.body, "text"));
@@ -82,17 +82,18 @@
   return config != nullptr && ToText(*config) == wanted;
 }
 
-// A change whose answer was lost: it was made if what is in force is exactly this text.
-int ReadBack(command_context& context, const std::string& wanted) {
-  const entry_answer now = Ask(context, "GET", "/v1/config", "");
+// For a change whose answer was lost: it was made if the current configuration equals the wanted
+// one.
+int VerifyChange(command_context& context, const std::string& wanted) {
+  const entry_answer now = CallEntry(context, "GET", "/v1/config", "");
   if (now.IsGood() && IsWanted(now, wanted)) return static_cast<int>(ShowChange(context, now));
-  context.err << "catkinford: the answer was lost; see `catkinford contract get`\n";
+  context.err << "catkinford: the answer was lost; check with `catkinford contract get`\n";
   return static_cast<int>(exit_code::kUnknown);
 }
 
 }  // namespace
 
-// Where a change is in force; not yet everywhere is an exit code of its own.
+// Prints where a change is in effect; "not yet everywhere" has an exit code of its own.
 exit_code ShowChange(command_context& context, const entry_answer& answer) {
   const std::string pending = JoinNames(answer.body, "pending");
   if (context.options.json) {
@@ -136,16 +137,16 @@
 
 std::variant<fetched_config, exit_code> FetchConfig(command_context& context,
                                                     const std::string& query) {
-  const entry_answer answer = Ask(context, "GET", "/v1/config" + query, "");
-  if (!answer.IsGood()) return Explain(context, answer);
+  const entry_answer answer = CallEntry(context, "GET", "/v1/config" + query, "");
+  if (!answer.IsGood()) return PrintFailure(context, answer);
   fetched_config fetched;
   fetched.version = NumberField(answer.body, "version");
   fetched.text = TextField(answer.body, "text");
-  if (fetched.text.empty()) return fetched;  // nothing was ever written
+  if (fetched.text.empty()) return fetched;  // no configuration was ever written
   std::variant<configuration, exit_code> config = CheckDocument(context, fetched.text);
   if (const auto* code = std::get_if<exit_code>(&config)) return *code;
   fetched.config = std::move(std::get<configuration>(config));
-  fetched.text = ToText(fetched.config);  // without the comment that the entries sign it with
+  fetched.text = ToText(fetched.config);  // without the signature comment of the entries
   return fetched;
 }
 
@@ -162,23 +163,24 @@
       return static_cast<int>(CodeOf(fault));
     }
     const std::string wanted = ToText(next);
-    // The merged whole can be wrong where each part is right, as shares over the whole.
+    // The merged document can be invalid although each part is valid, for example when shares add
+    // up to more than the total.
     const std::variant<configuration, exit_code> checked = CheckDocument(context, wanted);
     if (const auto* code = std::get_if<exit_code>(&checked)) return static_cast<int>(*code);
     if (context.options.dry_run && !context.options.json) PrintDiff(context, base.text, wanted);
     const entry_answer answer = Put(context, context.options.expect.value_or(base.version), wanted);
     if (answer.IsGood()) return static_cast<int>(ShowChange(context, answer));
-    const bool may_be_made =
+    const bool may_be_applied =
         answer.result.status == transfer_status::kMaybeSent || answer.result.code == kUnknownStatus;
-    if (may_be_made) return ReadBack(context, wanted);
+    if (may_be_applied) return VerifyChange(context, wanted);
     if (answer.result.status != transfer_status::kDone || answer.result.code != kConflictStatus) {
-      return static_cast<int>(Explain(context, answer));
+      return static_cast<int>(PrintFailure(context, answer));
     }
-    // The first entry made it and its answer was lost; the second finds it made already.
+    // The first entry made the change and its answer was lost; the second finds it already made.
     if (IsWanted(answer, wanted)) {
       return static_cast<int>(ShowChange(context, answer));
     }
-    if (conflict == on_conflict::kShowBoth || attempt == kTriesOnConflict) {
+    if (conflict == on_conflict::kShowConflict || attempt == kMaxConflictAttempts) {
       return static_cast<int>(ShowConflict(context, answer, base, wanted));
     }
   }
--- a/src/process/event_log.cc
+++ b/src/process/event_log.cc
@@ -9,12 +9,12 @@
 namespace catkinford {
 namespace {
 
-constexpr std::chrono::milliseconds kWriterWait{200};
+constexpr std::chrono::milliseconds kWriterPollInterval{200};
 constexpr unsigned char kFirstPrintable = 0x20;
 
-// Subjects and details may hold a caller's text. A line break in it would let a caller write log
-// lines that look like ours; it is shown as a question mark.
-std::string OneLine(const std::string& text) {
+// Subjects and details may contain text of callers. A line break would let a caller forge log
+// lines; control characters are replaced by a question mark.
+std::string ReplaceControlCharacters(const std::string& text) {
   std::string out = text;
   for (char& c : out) {
     if (static_cast<unsigned char>(c) < kFirstPrintable) c = '?';
@@ -44,13 +44,13 @@
   out += InfoOf(code).name;
   if (id != request_id{}) absl::StrAppend(&out, " id=", ToHex(id));
   if (epoch != 0) absl::StrAppend(&out, " epoch=", epoch);
-  if (!subject.empty()) absl::StrAppend(&out, " subject=", OneLine(subject));
-  if (!detail.empty()) absl::StrAppend(&out, " ", OneLine(detail));
+  if (!subject.empty()) absl::StrAppend(&out, " subject=", ReplaceControlCharacters(subject));
+  if (!detail.empty()) absl::StrAppend(&out, " ", ReplaceControlCharacters(detail));
   return out;
 }
 
 event_log::event_log(const event_log_options& options, timeline& events)
-    : level_(options.level), timeline_(events), ring_(options.waiting_lines) {
+    : level_(options.level), timeline_(events), ring_(options.queue_capacity) {
   Configure(options);
   writer_ = std::thread([this] { Run(); });
 }
@@ -70,7 +70,7 @@
 
 void event_log::Run() {
   std::vector<line> lines;
-  while (ring_.PopAll(lines, kWriterWait)) {
+  while (ring_.PopAll(lines, kWriterPollInterval)) {
     for (const line& entry : lines) Write(entry);
     lines.clear();
   }
--- a/src/process/node_calls.cc
+++ b/src/process/node_calls.cc
@@ -1,4 +1,4 @@
-// The part of an entry that callers and operators see.
+// Calls of callers and operators to an entry.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -13,18 +13,19 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr milliseconds kComeBack{1000};
-// To hear that a durable job was accepted. With the grace for an owner's last word it ends before
-// the ten seconds after which many callers hang up: they would be left without any answer.
-constexpr milliseconds kDurablePatience{9000};
-constexpr milliseconds kEndless{std::chrono::hours{24 * 366}};
+constexpr milliseconds kRetryAfter{1000};
+// Time to wait for the acceptance of a durable job. With the grace period for an owner's last
+// answer it ends before the 10 s after which many callers disconnect; they would get no answer at
+// all.
+constexpr milliseconds kDurableAnswerTimeout{9000};
+constexpr milliseconds kUnboundedTimeout{std::chrono::hours{24 * 366}};
 constexpr size_t kTimelinePage = 10000;
 
 std::string Dump(const json& body) {
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// The team's contract, found by name; null when the version in force has none.
+// The team's contract, found by name; null when the current version has none.
 const team_contract* FindTeam(const configuration& config, const key_holder& holder) {
   for (const workspace_contract& workspace : config.workspaces) {
     if (workspace.name != holder.workspace) continue;
@@ -35,13 +36,13 @@
   return nullptr;
 }
 
-bool Holds(const std::vector<workload_kind>& kinds, workload_kind kind) {
+bool Contains(const std::vector<workload_kind>& kinds, workload_kind kind) {
   return std::find(kinds.begin(), kinds.end(), kind) != kinds.end();
 }
 
 }  // namespace
 
-// On the HTTP thread: reads the call, so that the core never sees a malformed one.
+// Runs on the HTTP thread and parses the call, so that the core thread never sees a malformed one.
 void node::OnHttp(http_server::token token, http_request request) {
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
@@ -53,12 +54,12 @@
       [&] { front_.Respond(token, ErrorResponse(400, "bad_call")); });
 }
 
-// The one producer that must not wait: a full ring is overload, and is said at once.
+// The only producer that must not block: a full ring means overload and is answered at once.
 void node::PostCall(http_server::token token, std::string key, caller_call call) {
   core_task task = [this, token, key = std::move(key), call = std::move(call)](
                        monotonic_time now) mutable { OnCall(token, key, std::move(call), now); };
   if (ring_.TryPush(task)) return;
-  http_response busy = ErrorResponse(503, "busy", "nothing was done");
+  http_response busy = ErrorResponse(503, "busy", "the request was not processed");
   busy.retry_after = std::chrono::seconds{1};
   front_.Respond(token, std::move(busy));
 }
@@ -74,10 +75,10 @@
   return ring->Find(key);
 }
 
-bool node::IsOperator(http_server::token token, const std::string& key, monotonic_time now) {
+bool node::RequireOperator(http_server::token token, const std::string& key, monotonic_time now) {
   const std::optional<key_holder> holder = HolderOf(key, now);
   if (holder && holder->is_operator) return true;
-  front_.Respond(token, ErrorResponse(401, "unknown_key", "an operator's key is needed"));
+  front_.Respond(token, ErrorResponse(401, "unknown_key", "an operator's key is required"));
   return false;
 }
 
@@ -91,11 +92,11 @@
   for (const job_spec& job : call.jobs) kinds.push_back(job.kind);
   table_.BeginCall(token, call.is_batch, std::move(kinds), now);
   if (!holder || holder->is_operator) {
-    table_actions refused;
+    table_actions rejected;
     for (size_t slot = 0; slot < call.jobs.size(); ++slot) {
-      table_.Settle(token, slot, RefusedOutcome({}, refusal_reason::kUnknownKey, {}, ""), refused);
+      table_.Settle(token, slot, RefusedOutcome({}, refusal_reason::kUnknownKey, {}, ""), rejected);
     }
-    TakeTable(std::move(refused), now);
+    ApplyTableActions(std::move(rejected), now);
     return;
   }
   for (size_t slot = 0; slot < call.jobs.size(); ++slot) {
@@ -111,22 +112,23 @@
   entry.first_ask = spec.first_ask;
   place.id = entry.keyed ? DeriveRequestId(holder.team, spec.idempotency_key) : NewRequestId();
   table_actions actions;
-  const auto refuse = [&](refusal_reason reason, milliseconds retry, std::string detail) {
+  const auto reject = [&](refusal_reason reason, milliseconds retry, std::string detail) {
     table_.Settle(token, slot, RefusedOutcome(place.id, reason, retry, std::move(detail)), actions);
-    TakeTable(std::move(actions), now);
+    ApplyTableActions(std::move(actions), now);
   };
   const team_contract* team = FindTeam(*versions_.Order().Config(), holder);
-  if (team == nullptr || !Holds(team->kinds, spec.kind)) {
-    refuse(refusal_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
+  if (team == nullptr || !Contains(team->kinds, spec.kind)) {
+    reject(refusal_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
     return;
   }
-  // A keyed job may already run: its caller gets its outcome from the shard that knows it.
+  // A job with an idempotency key may already run; its caller gets the outcome from the shard that
+  // knows it.
   if (shutting_down_ && !entry.keyed) {
-    refuse(refusal_reason::kShuttingDown, kComeBack, "ask another entry");
+    reject(refusal_reason::kShuttingDown, kRetryAfter, "retry at another entry");
     return;
   }
   if (table_.Pending() >= config_.bounds.waiting_requests) {
-    refuse(refusal_reason::kQueueFull, kComeBack, "too many requests wait in this entry");
+    reject(refusal_reason::kQueueFull, kRetryAfter, "too many requests are waiting in this entry");
     return;
   }
   const bool waits = spec.kind == workload_kind::kInteractive;
@@ -135,7 +137,7 @@
   if (waits) deadline = std::min(deadline, config_.timing.max_deadline);
   place.team = holder.team;
   place.kind = spec.kind;
-  place.urgent = spec.urgent && Holds(team->urgent_kinds, spec.kind);
+  place.urgent = spec.urgent && Contains(team->urgent_kinds, spec.kind);
   place.repeatable = spec.repeatable;
   place.wait = waits || spec.wait;
   place.tasks = spec.tasks;
@@ -143,14 +145,15 @@
   place.run_time = spec.run_time;
   place.deadline_left = deadline;
   place.payload = std::move(spec.payload);
-  entry.answer_timeout = waits ? deadline : kDurablePatience;
-  if (!waits && spec.wait) entry.answer_timeout = deadline.count() > 0 ? deadline : kEndless;
+  entry.answer_timeout = waits ? deadline : kDurableAnswerTimeout;
+  if (!waits && spec.wait)
+    entry.answer_timeout = deadline.count() > 0 ? deadline : kUnboundedTimeout;
   log_.Emit(event_code::kRequestReceived, now, place.id, 0, holder.team);
   table_.Add(token, slot, std::move(entry), now, actions);
-  TakeTable(std::move(actions), now);
+  ApplyTableActions(std::move(actions), now);
 }
 
-void node::TakeTable(table_actions actions, monotonic_time now) {
+void node::ApplyTableActions(table_actions actions, monotonic_time now) {
   for (place_to_send& send : actions.sends) {
     log_.Emit(event_code::kRequestForwarded, now, send.place.id, 0, send.owner);
     Send(send.owner, std::move(send.place), now);
@@ -169,7 +172,7 @@
 void node::OnOutcome(const outcome& result, monotonic_time now) {
   table_actions actions;
   table_.OnOutcome(result, now, actions);
-  TakeTable(std::move(actions), now);
+  ApplyTableActions(std::move(actions), now);
   const auto found = cancels_.find(result.id);
   if (found == cancels_.end() || result.kind == outcome_kind::kAccepted) return;
   for (const open_cancel& open : found->second) front_.Respond(open.token, ToResponse(result));
@@ -180,7 +183,7 @@
 
 void node::Handle(http_server::token token, const std::string& key, const members_call& /*call*/,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   json entries = json::array();
   json shards = json::array();
   const auto owned = [&](const std::string& entry) {
@@ -192,7 +195,7 @@
   };
   entries.push_back({{"name", config_.name},
                      {"failure_domain", config_.failure_domain},
-                     {"address", OwnWord().address},
+                     {"address", OwnStatus().address},
                      {"state", shutting_down_ ? "leaving" : "up"},
                      {"config_version", versions_.Order().Version()},
                      {"owns", owned(config_.name)}});
@@ -221,15 +224,15 @@
 
 void node::Handle(http_server::token token, const std::string& key, const timeline_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const auto micros = [](auto since) {
     return std::chrono::duration_cast<std::chrono::microseconds>(since).count();
   };
   json events = json::array();
   uint64_t next = call.since;
-  // Both clocks next to each other: with `now`, which is as old as this round of the loop, every
-  // event of this process would stand some milliseconds late in the merged time line, and an answer
-  // would come before the end of its task.
+  // Read both clocks together. `now` is as old as this round of the loop: with it, every event of
+  // this process would appear some milliseconds late in the merged timeline, and an answer would
+  // precede the end of its task.
   const auto wall = std::chrono::system_clock::now();
   const monotonic_time mono = steady_clock::now();
   for (const timeline_event& event : timeline_.Since(call.since, kTimelinePage)) {
--- a/src/process/node_config.cc
+++ b/src/process/node_config.cc
@@ -1,4 +1,4 @@
-// The part of an entry that changes the configuration and says where a version is in force.
+// Configuration changes, and where a version is in effect.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -13,15 +13,16 @@
 using json = nlohmann::json;
 using std::chrono::milliseconds;
 
-// How long an operator waits for the last failure domain before it is named as pending.
-constexpr milliseconds kInForceWait{2000};
+// Time an operator waits for the last failure domain before it is listed as pending.
+constexpr milliseconds kInEffectWait{2000};
 
-// How long a peer may still be on an older version before it is sent the new one again.
-constexpr milliseconds kConfigResend{500};
-constexpr milliseconds kHelpByWatcher{1000};
-constexpr milliseconds kHelpByAnybody{3000};
-// Calls of the store for one change, the past version's and a lost reply's among them.
-constexpr int kCallsOfChange = 8;
+// Time before a version is sent again to a peer that still has an older one.
+constexpr milliseconds kConfigResendInterval{500};
+constexpr milliseconds kWatcherResendDelay{1000};
+constexpr milliseconds kOtherResendDelay{3000};
+// Store calls for one change, including the write of the past version and the retry after a lost
+// reply.
+constexpr int kStoreCallsPerChange = 8;
 
 std::string Dump(const json& body) {
   return body.dump(-1, ' ', false, json::error_handler_t::replace);
@@ -58,38 +59,39 @@
 
 }  // namespace
 
-// A new version is in force here: shards decide by it at once. Who made the change tells everybody;
-// the others only help who lags. Passed on by each entry that had it from the store as well, a
-// change crossed 16 times where 5 were enough (catkinford-bench spread).
+// A new version is in effect here; shards apply it at once. Only the entry that made the change
+// sends it to all peers; the others only resend it to lagging peers. When every entry that read the
+// version from the store passed it on as well, a change was sent 16 times where 5 were enough
+// (catkinford-bench spread).
 void node::OnVersion(version_origin origin, monotonic_time now) {
   const version_order& order = versions_.Order();
   for (auto& [number, held] : shards_) held->SetConfiguration(*order.Config(), now);
   for (const auto& [name, other] : members_.Members()) {
     if (other.status.config_version >= order.Version()) continue;
-    peer_notes& notes = notes_[name];
-    notes.lags_since = now;
+    peer_state& state = peer_states_[name];
+    state.lagging_since = now;
     if (origin == version_origin::kOwnChange) {
-      SendVersion(other, std::max(other.status.config_version, notes.config_sent), now);
+      SendVersion(other, std::max(other.status.config_version, state.config_sent), now);
     }
   }
   log_.Emit(event_code::kVersionInForce, now, {}, 0, absl::StrCat(order.Version()));
 }
 
-// One made from another version than ours is left: our heartbeat shows that we lag.
-void node::OnStep(const version_step& step, monotonic_time now) {
+// A step based on a version other than ours is ignored; our heartbeat shows that we lag.
+void node::OnVersionStep(const version_step& step, monotonic_time now) {
   const std::optional<std::string> text = versions_.Order().After(step);
   if (text) versions_.Offer(step.version, *text, version_origin::kPeer, now);
 }
 
-void node::SayVersion(const std::string& to, monotonic_time now) {
-  Send(to, heartbeat_message{config_.failure_domain, false, {OwnWord()}}, now);
+void node::ConfirmVersion(const std::string& to, monotonic_time now) {
+  Send(to, heartbeat_message{config_.failure_domain, false, {OwnStatus()}}, now);
 }
 
 void node::SendVersion(const member& to, uint64_t known, monotonic_time now) {
   const version_order& order = versions_.Order();
-  peer_notes& notes = notes_[to.name];
-  notes.next_config = now + kConfigResend;
-  notes.config_sent = order.Version();
+  peer_state& state = peer_states_[to.name];
+  state.next_config_send = now + kConfigResendInterval;
+  state.config_sent = order.Version();
   if (order.Step() && order.Step()->base == known) {
     Send(to.name, config_step_message{*order.Step()}, now);
   } else {
@@ -97,25 +99,26 @@
   }
 }
 
-void node::HelpLagging(const member& other, monotonic_time now) {
+void node::ResendToLagging(const member& other, monotonic_time now) {
   if (other.status.config_version >= versions_.Order().Version()) return;
-  const peer_notes& notes = notes_[other.name];
-  if (now < notes.next_config || now < notes.lags_since + HelpDelay(other)) return;
+  const peer_state& state = peer_states_[other.name];
+  if (now < state.next_config_send || now < state.lagging_since + ResendDelay(other)) return;
   SendVersion(other, other.status.config_version, now);
 }
 
-// Who lags is helped by its own failure domain, and by the others only when that cannot: from
-// everybody at once, a replaced entry of a large fleet would get the document 53 times.
-milliseconds node::HelpDelay(const member& other) const {
+// A lagging peer is updated by its own failure domain, and by others only when that fails: sent by
+// all at once, a replaced entry of a large fleet would receive the document 53 times.
+milliseconds node::ResendDelay(const member& other) const {
   if (other.failure_domain == config_.failure_domain) {
-    return other.status.config_version == 0 ? milliseconds{0} : kConfigResend;
+    return other.status.config_version == 0 ? milliseconds{0} : kConfigResendInterval;
   }
-  return IsWatcher(config_.name, members_.LiveNeighbours()) ? kHelpByWatcher : kHelpByAnybody;
+  return IsWatcher(config_.name, members_.LiveNeighbours()) ? kWatcherResendDelay
+                                                            : kOtherResendDelay;
 }
 
 void node::Handle(http_server::token token, const std::string& key, const get_config_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const version_order& order = versions_.Order();
   if (call.version == 0) {
     front_.Respond(token, ConfigResponse(order.Version(), order.Text()));
@@ -128,7 +131,8 @@
         if (status == store_status::kDone) {
           front_.Respond(token, ConfigResponse(version, text));
         } else if (status == store_status::kAbsent) {
-          front_.Respond(token, ErrorResponse(404, "unknown_version", "it is not kept"));
+          front_.Respond(token,
+                         ErrorResponse(404, "unknown_version", "the version is no longer stored"));
         } else {
           front_.Respond(token, ErrorResponse(503, "store_unavailable"));
         }
@@ -138,7 +142,7 @@
 
 void node::Handle(http_server::token token, const std::string& key, const put_config_call& call,
                   monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   const auto parsed = ParseConfiguration(call.text);
   if (const auto* error = std::get_if<contract_error>(&parsed)) {
     front_.Respond(token, ContractResponse(*error));
@@ -164,18 +168,18 @@
   const uint64_t change = next_query_++;
   open_change& open = changes_[change];
   open.token = token;
-  open.give_up = now + GiveUpOfChange();
+  open.deadline = now + ChangeTimeout();
   open.warnings = std::move(warnings);
   open.by = HolderOf(key, now).value_or(key_holder{}).key_name;
-  MakeChange(change, call.expect, call.text, std::get<configuration>(parsed));
+  SubmitChange(change, call.expect, call.text, std::get<configuration>(parsed));
 }
 
-milliseconds node::GiveUpOfChange() const {
-  return kInForceWait + config_.timing.call_timeout * kCallsOfChange;
+milliseconds node::ChangeTimeout() const {
+  return kInEffectWait + config_.timing.call_timeout * kStoreCallsPerChange;
 }
 
-void node::MakeChange(uint64_t change, uint64_t expect, const std::string& text,
-                      const configuration& next) {
+void node::SubmitChange(uint64_t change, uint64_t expect, const std::string& text,
+                        const configuration& next) {
   const config_signature signature{ToHex(NewRequestId()), changes_[change].by,
                                    milliseconds(WallMs()),
                                    SummaryOf(*versions_.Order().Config(), next)};
@@ -189,27 +193,26 @@
   const auto found = changes_.find(change);
   if (found == changes_.end()) return;
   open_change& open = found->second;
-  if (result.end == change_end::kDone) {
+  if (result.end == change_outcome::kDone) {
     open.version = result.version;
-    open.give_up = now + kInForceWait;
+    open.deadline = now + kInEffectWait;
     CheckChanges(now);
     return;
   }
-  // What an entry changes by itself commutes with whatever another operator did, and does no harm
-  // when it is done twice.
+  // An entry's own edits commute with changes of operators and are idempotent.
   const bool may_be_lost =
-      result.end == change_end::kConflict || result.end == change_end::kUnknown;
-  if (open.edit && may_be_lost && --open.tries > 0) {
-    MakeEdit(change, now);
+      result.end == change_outcome::kConflict || result.end == change_outcome::kUnknown;
+  if (open.edit && may_be_lost && --open.attempts_left > 0) {
+    SubmitEdit(change, now);
     return;
   }
   http_response response;
-  if (result.end == change_end::kConflict) {
+  if (result.end == change_outcome::kConflict) {
     response = ConflictResponse(result.version, result.text);
-  } else if (result.end == change_end::kUnavailable) {
-    response = ErrorResponse(503, "store_unavailable", "nothing was changed");
+  } else if (result.end == change_outcome::kUnavailable) {
+    response = ErrorResponse(503, "store_unavailable", "the configuration was not changed");
   } else {
-    response = ErrorResponse(504, "unknown", "the change may have been accepted: read it back");
+    response = ErrorResponse(504, "unknown", "the change may have been accepted; read it back");
   }
   Respond(open, std::move(response));
   changes_.erase(found);
@@ -222,7 +225,7 @@
 void node::CheckChanges(monotonic_time now) {
   for (auto at = changes_.begin(); at != changes_.end();) {
     const open_change& open = at->second;
-    bool done = now >= open.give_up;
+    bool done = now >= open.deadline;
     in_force_report report;
     if (open.version > 0) {
       report = versions_.Order().InForce(open.version, config_.failure_domain, VersionMembers());
@@ -238,7 +241,7 @@
                                 {"pending", report.pending},
                                 {"warnings", open.warnings}})});
     } else {
-      Respond(open, ErrorResponse(504, "unknown", "the store gave no answer"));
+      Respond(open, ErrorResponse(504, "unknown", "the store did not answer"));
     }
     at = changes_.erase(at);
   }
@@ -246,7 +249,7 @@
 
 void node::Handle(http_server::token token, const std::string& key,
                   const config_history_call& /*call*/, monotonic_time now) {
-  if (!IsOperator(token, key, now)) return;
+  if (!RequireOperator(token, key, now)) return;
   versions_.History(
       [this, token](std::optional<std::vector<past_version>> versions, monotonic_time /*at*/) {
         if (!versions) {
--- a/src/process/node_peers.cc
+++ b/src/process/node_peers.cc
@@ -1,4 +1,4 @@
-// The part of an entry that knows its peers: heartbeats, who is up, the teams' use elsewhere.
+// Peers: heartbeats, liveness, and the teams' usage at other entries.
 #include <algorithm>
 #include <utility>
 
@@ -11,9 +11,9 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kStoreMembersInterval{1000};
-constexpr milliseconds kReplyInterval{250};
+constexpr milliseconds kHeartbeatReplyInterval{250};
 constexpr milliseconds kUsageInterval{250};
-constexpr milliseconds kLeastAgeLimit{3000};  // of what an owner says of its shards
+constexpr milliseconds kMinAgeLimit{3000};  // for an owner's reports on its shards
 
 }  // namespace
 
@@ -22,22 +22,23 @@
 void node::OnHeartbeat(const std::string& from, const heartbeat_message& heartbeat,
                        monotonic_time now) {
   if (from == config_.name) return;
-  const std::vector<std::string> news = members_.OnHeartbeat(heartbeat, now);
-  if (news.empty()) return;
-  FollowMembers(now);
-  TakeChanges(now);
-  for (const std::string& name : news) OnWord(*members_.Find(name), now);
+  const std::vector<std::string> updated = members_.OnHeartbeat(heartbeat, now);
+  if (updated.empty()) return;
+  UpdatePeers(now);
+  ApplyMemberChanges(now);
+  for (const std::string& name : updated) OnEntryStatus(*members_.Find(name), now);
   version_order& order = versions_.Order();
   if (const auto confirmed = DomainsConfirmed()) order.Confirm(order.Version(), *confirmed);
-  if (const member* sender = members_.Find(from)) HelpLagging(*sender, now);
+  if (const member* sender = members_.Find(from)) ResendToLagging(*sender, now);
   CheckChanges(now);
 }
 
-// First or second hand.
-void node::OnWord(const member& of, monotonic_time now) {
-  if (std::exchange(notes_[of.name].incarnation, of.status.incarnation) != of.status.incarnation) {
-    usage_.OnLost(of.name);  // a new process, which knows nothing
-    notes_[of.name].lags_since = now;
+// Called for a status received from the entry itself or forwarded by another.
+void node::OnEntryStatus(const member& of, monotonic_time now) {
+  if (std::exchange(peer_states_[of.name].incarnation, of.status.incarnation) !=
+      of.status.incarnation) {
+    usage_.OnLost(of.name);  // a new process without state
+    peer_states_[of.name].lagging_since = now;
   }
   for (const shard_report& report : of.status.shards) {
     const shard_route* route = routes_.Route(report.shard);
@@ -56,23 +57,23 @@
   if (one == nullptr) return;
   const bool was_up = members_.IsUp(peer);
   members_.OnSilent(peer, now);
-  TakeChanges(now);
+  ApplyMemberChanges(now);
   if (!was_up || one->failure_domain != config_.failure_domain) return;
   const silent_message silent{peer, one->status.incarnation, one->status.heartbeat};
   for (const std::string& name : members_.LiveNeighbours()) Send(name, silent, now);
 }
 
 void node::OnSilent(const silent_message& silent, monotonic_time now) {
-  if (members_.OnSilent(silent, now)) TakeChanges(now);
+  if (members_.OnSilent(silent, now)) ApplyMemberChanges(now);
 }
 
-// What the membership has changed its mind of.
-void node::TakeChanges(monotonic_time now) {
+// Applies state changes of members: up, suspect, down.
+void node::ApplyMemberChanges(monotonic_time now) {
   std::vector<member_change> changes;
   members_.Tick(now, changes);
   for (const member_change& change : changes) {
     const bool up = change.state == member_state::kUp;
-    if (!up && change.before != member_state::kUp) continue;  // suspect, now down
+    if (!up && change.before != member_state::kUp) continue;  // was suspect, is now down
     log_.Emit(up ? event_code::kPeerUp : event_code::kPeerDown, now, {}, 0, change.name);
     usage_.OnLost(change.name);
     if (up) {
@@ -85,12 +86,12 @@
   }
 }
 
-entry_status node::OwnWord() {
+entry_status node::OwnStatus() {
   entry_status status;
   status.name = config_.name;
   status.address = absl::StrCat("http://", config_.listen.address, ":", config_.listen.peer_port);
   status.incarnation = incarnation_;
-  status.heartbeat = ++beat_;
+  status.heartbeat = ++heartbeat_seq_;
   status.config_version = versions_.Order().Version();
   status.leaving = shutting_down_;
   for (const auto& [number, held] : shards_) status.shards.push_back(held->Report());
@@ -98,34 +99,34 @@
 }
 
 void node::Announce(monotonic_time now) {
-  const heartbeat_message heartbeat{config_.failure_domain, false, {OwnWord()}};
+  const heartbeat_message heartbeat{config_.failure_domain, false, {OwnStatus()}};
   for (const auto& [name, one] : members_.Members()) Send(name, heartbeat, now);
 }
 
 void node::SendHeartbeats(monotonic_time now) {
   const std::vector<heartbeat_target> targets = members_.DueHeartbeats(now);
   if (targets.empty()) return;
-  heartbeat_message heartbeat = members_.Heartbeat(OwnWord(), now);
+  heartbeat_message heartbeat = members_.Heartbeat(OwnStatus(), now);
   for (const heartbeat_target& target : targets) {
     heartbeat.wants_reply = !target.near;
     Send(target.name, heartbeat, now);
   }
 }
 
-void node::PrepareReply(monotonic_time now) {
-  heartbeat_message made = members_.Heartbeat(OwnWord(), now);
-  const std::lock_guard lock(reply_mutex_);
-  reply_ = std::move(made);
-  reply_made_ = now;
+void node::PrepareHeartbeatReply(monotonic_time now) {
+  heartbeat_message heartbeat_reply = members_.Heartbeat(OwnStatus(), now);
+  const std::lock_guard lock(heartbeat_reply_mutex_);
+  heartbeat_reply_ = std::move(heartbeat_reply);
+  heartbeat_reply_time_ = now;
 }
 
-// On a thread of the mailbox. The words have grown older since they were put together.
-std::optional<heartbeat_message> node::Reply() {
+// Runs on a mailbox thread. Adds the time since the reply was prepared to the age of each status.
+std::optional<heartbeat_message> node::HeartbeatReply() {
   const monotonic_time now = std::chrono::steady_clock::now();
-  const std::lock_guard lock(reply_mutex_);
-  if (reply_.entries.empty()) return std::nullopt;
-  heartbeat_message reply = reply_;
-  const auto since = std::chrono::ceil<milliseconds>(now - reply_made_);
+  const std::lock_guard lock(heartbeat_reply_mutex_);
+  if (heartbeat_reply_.entries.empty()) return std::nullopt;
+  heartbeat_message reply = heartbeat_reply_;
+  const auto since = std::chrono::ceil<milliseconds>(now - heartbeat_reply_time_);
   for (entry_status& status : reply.entries) status.age += since;
   return reply;
 }
@@ -139,39 +140,40 @@
   if (now >= next_store_members_) {
     next_store_members_ = now + kStoreMembersInterval;
     members_.OnStoreMembers(ownership_.Members(), now);
-    FollowMembers(now);
-    if (turns_.HasList()) ForgetDrains(now);
-    routes_.SetAgeLimits(std::max(kLeastAgeLimit, members_.NearTimeout()),
-                         std::max(kLeastAgeLimit, members_.FarTimeout()));
+    UpdatePeers(now);
+    if (instance_polling_.HasList()) RemoveStaleDrains(now);
+    routes_.SetAgeLimits(std::max(kMinAgeLimit, members_.NearTimeout()),
+                         std::max(kMinAgeLimit, members_.FarTimeout()));
   }
-  TakeChanges(now);
+  ApplyMemberChanges(now);
   SendHeartbeats(now);
-  if (now >= next_reply_) {
-    next_reply_ = now + kReplyInterval;
-    PrepareReply(now);
+  if (now >= next_heartbeat_reply_) {
+    next_heartbeat_reply_ = now + kHeartbeatReplyInterval;
+    PrepareHeartbeatReply(now);
   }
   if (now >= next_usage_) {
     next_usage_ = now + kUsageInterval;
-    ShareUsage(now);
+    PropagateUsage(now);
   }
 }
 
-// A sender for each member that has an address, none for those that were forgotten. One that we
-// have read of and not heard is told of us at once and asked for news: by turns that would take
-// many seconds, in which nobody would know that a version is in force there.
-void node::FollowMembers(monotonic_time now) {
-  std::vector<std::string> strangers;
+// Keeps one sender for each member that has an address and removes those of forgotten members. A
+// member known only from the store, without a heartbeat yet, is sent our status at once and asked
+// for a reply: on the heartbeat schedule that would take many seconds, in which nobody would know
+// that a version is in effect there.
+void node::UpdatePeers(monotonic_time now) {
+  std::vector<std::string> unheard;
   for (const auto& [name, one] : members_.Members()) {
     if (one.address.empty()) continue;
     mailbox_.SetPeer(name, one.address);
-    const bool is_new = notes_.try_emplace(name).second;
-    if (is_new && one.status.incarnation == 0) strangers.push_back(name);
+    const bool is_new = peer_states_.try_emplace(name).second;
+    if (is_new && one.status.incarnation == 0) unheard.push_back(name);
   }
-  if (!strangers.empty()) {
-    const heartbeat_message heartbeat{config_.failure_domain, true, {OwnWord()}};
-    for (const std::string& name : strangers) Send(name, heartbeat, now);
+  if (!unheard.empty()) {
+    const heartbeat_message heartbeat{config_.failure_domain, true, {OwnStatus()}};
+    for (const std::string& name : unheard) Send(name, heartbeat, now);
   }
-  std::erase_if(notes_, [this](const auto& item) {
+  std::erase_if(peer_states_, [this](const auto& item) {
     const bool is_gone = members_.Find(item.first) == nullptr;
     if (is_gone) {
       mailbox_.RemovePeer(item.first);
@@ -189,8 +191,8 @@
   return members;
 }
 
-// As old as the oldest of the domains' latest words: a domain that was cut off since then cannot
-// vouch for the time after.
+// The oldest of the domains' latest confirmations: a domain that was cut off since then cannot
+// confirm any later time.
 std::optional<monotonic_time> node::DomainsConfirmed() const {
   std::optional<monotonic_time> confirmed;
   for (const std::string& domain : config_.failure_domains) {
@@ -207,14 +209,14 @@
   return confirmed;
 }
 
-// ---- Use of teams --------------------------------------------------------------------------
+// ---- Usage of teams ------------------------------------------------------------------------
 
 usage_view node::UsageView() const {
   return {members_.LiveNeighbours(), members_.LiveFar(), cell_capacity_};
 }
 
-// What each team runs elsewhere, for shares over the whole cell.
-void node::ShareUsage(monotonic_time now) {
+// Sends and applies the usage of each team at other entries, for shares over the whole cell.
+void node::PropagateUsage(monotonic_time now) {
   team_usage_map own;
   for (const auto& [number, held] : shards_) {
     for (const team_report& team : held->TeamReports()) own[team.team] += team.running;
@@ -225,7 +227,7 @@
   usage_.Due(view, now, due);
   for (due_usage& one : due) Send(one.to, std::move(one.message), now);
   if (shards_.empty()) return;
-  // News grow from fresh to one period old.
+  // The age of a report ranges from zero to one period; use the mean.
   const milliseconds age = usage_.PropagationPeriod(view) / 2;
   const team_usage_map others = usage_.Elsewhere(view);
   for (auto& [number, held] : shards_) {
--- a/src/process/settings.cc
+++ b/src/process/settings.cc
@@ -30,20 +30,20 @@
                      [&](const setting_info& info) { return info.path.starts_with(prefix); });
 }
 
-// Names that stand twice in one object: nlohmann keeps the last one without a word, and the
-// operator who edits the first one wonders why nothing changes.
+// Finds names that appear twice in one object. nlohmann keeps the last one silently, so an edit of
+// the first one would have no effect.
 class duplicate_finder {
  public:
   bool operator()(int /*depth*/, json::parse_event_t event, json& parsed) {
     if (event == json::parse_event_t::object_start) names_.emplace_back();
     if (event == json::parse_event_t::object_end) names_.pop_back();
-    if (event == json::parse_event_t::key) Note(parsed.get_ref<const std::string&>());
+    if (event == json::parse_event_t::key) AddName(parsed.get_ref<const std::string&>());
     return true;
   }
   const std::string& Found() const { return found_; }
 
  private:
-  void Note(const std::string& name) {
+  void AddName(const std::string& name) {
     if (!names_.back().insert(name).second && found_.empty()) found_ = name;
   }
 
@@ -55,13 +55,13 @@
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-// Reads one JSON value into the slot of one setting.
+// Reads one JSON value into the field of one setting.
 struct value_reader {
   const setting_info& info;
   const json& value;
 
   failure Fail(settings_fault fault) const {
-    return settings_error{fault, std::string(info.path), Print(value), WantOf(info)};
+    return settings_error{fault, std::string(info.path), Print(value), ExpectedText(info)};
   }
 
   failure operator()(std::string* slot) const {
@@ -103,7 +103,7 @@
   template <typename Number>
   failure operator()(Number* slot) const {
     if (!value.is_number_integer()) return Fail(settings_fault::kWrongType);
-    // Above what int64_t holds nlohmann would wrap to a negative number.
+    // nlohmann would wrap values above the int64_t range to negative numbers.
     const bool huge =
         value.is_number_unsigned() && value.get<uint64_t>() > std::numeric_limits<int64_t>::max();
     if (huge || !InRange(value.get<int64_t>())) return Fail(settings_fault::kOutOfRange);
@@ -114,7 +114,7 @@
   bool InRange(int64_t number) const { return number >= info.lowest && number <= info.highest; }
 };
 
-// Walks one file and remembers which settings it gave.
+// Reads one file and records which settings it contains.
 class settings_reader {
  public:
   failure ReadObject(const json& object, const std::string& prefix) {
@@ -126,9 +126,9 @@
 
   failure CheckRequired() const {
     for (const setting_info& info : AllSettings()) {
-      if (!info.required || given_.contains(std::string(info.path))) continue;
+      if (!info.required || seen_.contains(std::string(info.path))) continue;
       return settings_error{settings_fault::kMissingField, std::string(info.path), "",
-                            WantOf(info)};
+                            ExpectedText(info)};
     }
     return std::nullopt;
   }
@@ -138,7 +138,7 @@
  private:
   failure ReadField(const std::string& path, const json& value) {
     if (const setting_info* info = FindSetting(path)) {
-      given_.insert(path);
+      seen_.insert(path);
       return std::visit(value_reader{*info, value}, info->slot(result_));
     }
     if (!IsSection(path)) {
@@ -152,10 +152,10 @@
   }
 
   settings result_;
-  std::set<std::string> given_;
+  std::set<std::string> seen_;
 };
 
-failure Contradicts(std::string path, std::string value, std::string want) {
+failure Contradiction(std::string path, std::string value, std::string want) {
   return settings_error{settings_fault::kContradiction, std::move(path), std::move(value),
                         std::move(want)};
 }
@@ -165,37 +165,37 @@
   if (std::find(domains.begin(), domains.end(), s.failure_domain) != domains.end()) {
     return std::nullopt;
   }
-  return Contradicts("failure_domain", s.failure_domain, "one of failure_domains");
+  return Contradiction("failure_domain", s.failure_domain, "one of failure_domains");
 }
 
 failure CheckTls(const settings& s) {
   const bool certificate = !s.listen.tls_certificate_file.empty();
   const bool key = !s.listen.tls_key_file.empty();
   if (certificate == key) return std::nullopt;
-  return Contradicts("listen.tls_key_file", s.listen.tls_key_file,
-                     "set together with listen.tls_certificate_file, or neither");
+  return Contradiction("listen.tls_key_file", s.listen.tls_key_file,
+                       "set together with listen.tls_certificate_file, or neither");
 }
 
-// With a heartbeat as long as the lease a member would lapse between two of them; with a window
-// shorter than a deadline a request that is asked for again could start twice; with a sync that
-// may be held as long as the lease every quiet endpoint would kill its tasks.
+// With a heartbeat as long as the lease, a member would expire between two heartbeats; with a
+// window shorter than a deadline, a retried request could start twice; with a sync held as long as
+// the lease, every idle endpoint would kill its tasks.
 failure CheckTiming(const settings& s) {
   const auto& t = s.timing;
   if (t.heartbeat >= t.member_lease) {
-    return Contradicts("timing.heartbeat", DurationText(t.heartbeat),
-                       "less than timing.member_lease");
+    return Contradiction("timing.heartbeat", DurationText(t.heartbeat),
+                         "less than timing.member_lease");
   }
   if (t.sync_wait >= t.task_lease) {
-    return Contradicts("timing.sync_wait", DurationText(t.sync_wait),
-                       "less than timing.task_lease");
+    return Contradiction("timing.sync_wait", DurationText(t.sync_wait),
+                         "less than timing.task_lease");
   }
   if (t.default_deadline > t.max_deadline) {
-    return Contradicts("timing.default_deadline", DurationText(t.default_deadline),
-                       "at most timing.max_deadline");
+    return Contradiction("timing.default_deadline", DurationText(t.default_deadline),
+                         "at most timing.max_deadline");
   }
   if (t.identity_window <= t.max_deadline) {
-    return Contradicts("timing.identity_window", DurationText(t.identity_window),
-                       "more than timing.max_deadline");
+    return Contradiction("timing.identity_window", DurationText(t.identity_window),
+                         "more than timing.max_deadline");
   }
   return std::nullopt;
 }
@@ -210,8 +210,8 @@
         settings_error{settings_fault::kNotJson, "", "", "one JSON object, comments allowed"});
   }
   if (!duplicates.Found().empty()) {
-    return leaf::new_error(
-        settings_error{settings_fault::kDuplicateField, duplicates.Found(), "", "one of them"});
+    return leaf::new_error(settings_error{settings_fault::kDuplicateField, duplicates.Found(), "",
+                                          "a single occurrence"});
   }
   settings_reader reader;
   if (failure error = reader.ReadObject(root, "")) return leaf::new_error(*error);
--- a/src/process/settings_error.cc
+++ b/src/process/settings_error.cc
@@ -10,11 +10,11 @@
 constexpr int kFirstExitCode = 10;
 
 // In the order of the enumeration.
-constexpr std::array<std::string_view, kSettingsFaults> kFaultWords = {
+constexpr std::array<std::string_view, kSettingsFaults> kFaultTexts = {
     "the settings file cannot be read",
-    "not JSON with comments",
+    "not valid JSON (comments allowed)",
     "unknown setting",
-    "required setting is missing",
+    "required setting missing",
     "wrong type",
     "wrong or missing unit",
     "out of range",
@@ -25,14 +25,14 @@
 
 int ExitCode(settings_fault fault) { return kFirstExitCode + static_cast<int>(fault); }
 
-std::string_view ToText(settings_fault fault) { return kFaultWords[static_cast<size_t>(fault)]; }
+std::string_view ToText(settings_fault fault) { return kFaultTexts[static_cast<size_t>(fault)]; }
 
 std::string ToText(const settings_error& error) {
   std::string out = error.path.empty() ? "settings" : error.path;
   out += ": ";
   out += ToText(error.fault);
   if (!error.value.empty()) out += ": " + error.value;
-  if (!error.want.empty()) out += "; wanted: " + error.want;
+  if (!error.want.empty()) out += "; expected: " + error.want;
   return out;
 }
 
@@ -40,7 +40,7 @@
   std::ifstream in(file, std::ios::binary);
   std::ostringstream text;
   if (in) text << in.rdbuf();
-  // Opening a folder succeeds; only the read fails.
+  // Opening a directory succeeds; only the read fails.
   if (!in || !text) {
     return leaf::new_error(
         settings_error{settings_fault::kMissingFile, "", file, "a readable file"});
--- a/src/process/timeline_merge.cc
+++ b/src/process/timeline_merge.cc
@@ -24,9 +24,9 @@
   return found != object.end() && found->is_number_integer() ? found->get<int64_t>() : 0;
 }
 
-merged_event EventFrom(const json& value, size_t process, microseconds wall_less_mono) {
+merged_event EventFrom(const json& value, size_t process, microseconds mono_to_wall) {
   merged_event event;
-  event.wall = wall_less_mono + microseconds(NumberOf(value, "mono_us"));
+  event.wall = mono_to_wall + microseconds(NumberOf(value, "mono_us"));
   event.process = process;
   event.seq = static_cast<uint64_t>(NumberOf(value, "seq"));
   event.code = static_cast<uint32_t>(NumberOf(value, "code"));
@@ -39,7 +39,7 @@
   return event;
 }
 
-// "b" and "e" begin and end a span of a request; "i" is an instant.
+// Chrome trace phase: "b" and "e" begin and end the span of a request, "i" is an instant.
 const char* PhaseOf(const merged_event& event) {
   if (event.id.empty()) return "i";
   if (event.code == static_cast<uint32_t>(event_code::kRequestReceived)) return "b";
@@ -60,7 +60,7 @@
                   {"subject", event.subject},
                   {"detail", event.detail},
                   {"id", event.id}}}};
-  // A span's beginning and end are matched by category, identity and name.
+  // Viewers match the begin and end of a span by category, id and name.
   const bool is_end_point = phase == "b" || phase == "e";
   trace["name"] = is_end_point ? "request" : event.name;
   if (phase == "i") {
@@ -72,7 +72,7 @@
   return trace;
 }
 
-std::string Line(const merged_event& event, const timeline_process& process) {
+std::string FormatEvent(const merged_event& event, const timeline_process& process) {
   const std::string time = absl::FormatTime(
       "%Y-%m-%d %H:%M:%E6S", absl::FromUnixMicros(event.wall.count()), absl::UTCTimeZone());
   std::string line = absl::StrCat(time, " ", process.name, " (", process.failure_domain, ") ",
@@ -125,7 +125,7 @@
 std::string ToText(const merged_timeline& timeline) {
   std::string text;
   for (const merged_event& event : timeline.events) {
-    absl::StrAppend(&text, Line(event, timeline.processes[event.process]), "\n");
+    absl::StrAppend(&text, FormatEvent(event, timeline.processes[event.process]), "\n");
   }
   return text;
 }
