--- a/bench/baselines.h
+++ b/bench/baselines.h
@@ -74,7 +74,7 @@
       const bool late = next.request.deadline != monotonic_time{} && next.request.deadline <= now;
       if (late) {
         Give(command_kind::kRefuse, next, 0, out);
-        out.back().reason = refusal_reason::kDeadline;
+        out.back().reason = rejection_reason::kDeadline;
       } else {
         endpoint_index endpoint = 0;
         if (!chooser_.Choose(floor_, next.request.each, endpoint)) return;
--- a/bench/caller.cc
+++ b/bench/caller.cc
@@ -44,12 +44,13 @@
   if (!kind && refused && !error.empty()) {
     // Turned away before it became a request; a caller takes that, too, as "did not run".
     record.outcome = outcome_kind::kRefused;
-    record.reason = ParseRefusalReason(error).value_or(refusal_reason::kNone);
+    record.reason = ParseRejectionReason(error).value_or(rejection_reason::kNone);
     return true;
   }
   if (!kind) return false;
   record.outcome = *kind;
-  record.reason = ParseRefusalReason(TextOf(read, "reason", "")).value_or(refusal_reason::kNone);
+  record.reason =
+      ParseRejectionReason(TextOf(read, "reason", "")).value_or(rejection_reason::kNone);
   record.retry_after = MillisecondsOf(read, "retry_after_ms", milliseconds{0});
   record.answer = TextOf(read, "answer", "");
   record.id = TextOf(read, "id", "");
--- a/bench/checker.cc
+++ b/bench/checker.cc
@@ -225,7 +225,7 @@
   }
   for (const call_record* call : all.calls) {
     if (!call->is_cancel || !call->has_answer || call->outcome != outcome_kind::kRefused) continue;
-    if (call->reason != refusal_reason::kCancelled) continue;
+    if (call->reason != rejection_reason::kCancelled) continue;
     Count(promise::kNotRun);
     if (all.runs.empty()) continue;
     Broken(promise::kNotRun, work, all.runs.front()->start,
--- a/bench/contract_maker.cc
+++ b/bench/contract_maker.cc
@@ -8,8 +8,8 @@
 namespace catkinford {
 namespace {
 
-constexpr double kWholeFloor = 100.0;    // per cent
-constexpr uint32_t kQueueLimit = 20000;  // waiting tasks of a team in a shard
+constexpr double kMaxTotalShare = 100.0;  // per cent
+constexpr uint32_t kQueueLimit = 20000;   // waiting tasks of a team in a shard
 
 }  // namespace
 
@@ -20,7 +20,7 @@
     new_key key = MakeKey("first", false);
     team_contract team;
     team.name = absl::StrCat("team-", i);
-    team.share = kWholeFloor / static_cast<double>(teams);
+    team.share = kMaxTotalShare / static_cast<double>(teams);
     team.limit = limit;
     team.limit.slots = 0;
     team.running_limit = running;
--- a/bench/history.h
+++ b/bench/history.h
@@ -38,7 +38,7 @@
   bool surely_not_sent = false;  // no connection
   int status = 0;                // of HTTP
   outcome_kind outcome = outcome_kind::kUnknown;
-  refusal_reason reason = refusal_reason::kNone;
+  rejection_reason reason = rejection_reason::kNone;
   std::chrono::milliseconds retry_after{0};  // when to come back, as the entry said
   std::string answer;
   std::string id;  // as the entry named it in its answer
--- a/bench/overload.cc
+++ b/bench/overload.cc
@@ -134,7 +134,7 @@
 std::string EndOf(const call_record& record) {
   if (!record.has_answer) return "no_answer";
   std::string end(ToText(record.outcome));
-  if (record.reason != refusal_reason::kNone) {
+  if (record.reason != rejection_reason::kNone) {
     absl::StrAppend(&end, ":", std::string(ToText(record.reason)));
   }
   return end;
@@ -160,7 +160,7 @@
       ++completed;
       waits[record.team].push_back(MillisecondsIn(took - record.run_time));
     } else if (record.outcome == outcome_kind::kRefused) {
-      const bool expired = record.reason == refusal_reason::kDeadline;
+      const bool expired = record.reason == rejection_reason::kDeadline;
       (expired ? late : refused).push_back(MillisecondsIn(took));
     }
   }
--- a/bench/shares.cc
+++ b/bench/shares.cc
@@ -247,7 +247,7 @@
   };
   std::map<std::string, shed_span> teams;
   for (const call_record& record : records) {
-    if (!record.has_answer || record.reason != refusal_reason::kShed) continue;
+    if (!record.has_answer || record.reason != rejection_reason::kShed) continue;
     const double at = std::chrono::duration<double>(record.answered - begun).count();
     shed_span& span = teams[record.team];
     span.first = span.count == 0 ? at : std::min(span.first, at);
@@ -325,7 +325,7 @@
   std::map<std::string, int> ends;
   for (const call_record& record : load.Records()) {
     std::string kind(record.has_answer ? ToText(record.outcome) : "no_answer");
-    if (record.reason != refusal_reason::kNone) {
+    if (record.reason != rejection_reason::kNone) {
       absl::StrAppend(&kind, ":", std::string(ToText(record.reason)));
     }
     ++ends[kind];
--- a/bench/site_load.cc
+++ b/bench/site_load.cc
@@ -90,17 +90,17 @@
     : options_(options), queues_(std::move(queues)), random_(options.seed) {
   results_.resize(queues_.size());
   scheduler_ = std::make_unique<job_scheduler>(scheduler_options{}, 1, Mono());
-  std::vector<queue_terms> terms;
+  std::vector<queue_config> terms;
   for (const site_queue& queue : queues_) {
-    queue_terms out;
+    queue_config out;
     out.name = queue.name;
     out.jobs = {"service", queue.priority, 3, queue.stretch, queue.target, true};
     out.advice = queue.advice;
     terms.push_back(out);
   }
-  scheduler_->SetVersion(
-      std::make_shared<const site_version>(1, std::move(terms), std::vector<workspace_terms>{},
-                                           std::vector<service_terms>{}, caller_limits{}));
+  scheduler_->SetVersion(std::make_shared<const site_configuration>(
+      1, std::move(terms), std::vector<workspace_config>{}, std::vector<service_config>{},
+      caller_limits{}));
   std::vector<std::string> entries;
   for (uint32_t i = 0; i < options_.entries; ++i) entries.push_back(absl::StrCat("entry-", i));
   spread_.SetEntries(entries);
@@ -180,7 +180,7 @@
   double work = 0;
   milliseconds chain{0};
   for (uint32_t i = 0; i < steps; ++i) {
-    step_terms step;
+    step_spec step;
     const double median = terms.width / std::exp(terms.width_spread * terms.width_spread / 2);
     step.count = static_cast<uint32_t>(
         std::clamp(random_.LogNormal(median, terms.width_spread), 1.0, terms.width * 6));
@@ -248,7 +248,7 @@
   At(now_ + kLink, [this, order] {
     live_instance& instance = instances_[order.to.instance];
     const live_job& job = jobs_[order.key.job];
-    const step_terms& terms = scheduler_->Find(order.key.job)->job.steps[order.key.step];
+    const step_spec& terms = scheduler_->Find(order.key.job)->job.steps[order.key.step];
     live_run run;
     run.key = order.key;
     run.run = order.run;
--- a/bench/site_load.h
+++ b/bench/site_load.h
@@ -35,7 +35,7 @@
   double stretch = 2;
   std::chrono::milliseconds target{0};
   double allowed = 1;  // share of instances that the policy allows
-  advice_cost advice;
+  advice_timing advice;
   uint32_t at_start = 0;  // jobs there from the beginning
   double worth = 1;       // of a job in time; one that is late, up to three times its objective
   double late_worth = 0.2;
--- a/src/process/config_keeper.cc
+++ b/src/process/config_keeper.cc
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-config_keeper::config_keeper(store_adapter& store, milliseconds key_grace, history_bounds bounds,
+config_keeper::config_keeper(store_adapter& store, milliseconds key_grace, history_limits bounds,
                              poster post, on_version changed)
     : store_(store),
       post_(std::move(post)),
@@ -149,8 +149,9 @@
       return;
     }
     const config_signature signature = SignatureOf(order_.Text());
-    past_version newest{order_.Version(), 0, order_.Text().size(), signature.wall, signature.by,
-                        signature.what};
+    past_version newest{order_.Version(),     0,
+                        order_.Text().size(), signature.changed_at,
+                        signature.by,         signature.summary};
     history_.List([newest = std::move(newest), done = std::move(done)](
                       std::optional<config_history> history, monotonic_time at) {
       if (!history) {
--- a/src/process/config_keeper.h
+++ b/src/process/config_keeper.h
@@ -15,7 +15,7 @@
 #include "connection/store_adapter.h"
 #include "process/history_keeper.h"
 #include "version/config_signature.h"
-#include "version/version_order.h"
+#include "version/config_version_tracker.h"
 
 namespace catkinford {
 
@@ -38,7 +38,7 @@
   // A new version is in force here.
   using on_version = std::function<void(version_origin, monotonic_time)>;
 
-  config_keeper(store_adapter& store, std::chrono::milliseconds key_grace, history_bounds bounds,
+  config_keeper(store_adapter& store, std::chrono::milliseconds key_grace, history_limits bounds,
                 poster post, on_version changed);
 
   // `is_watcher`: this entry holds the watch of its failure domain.
@@ -49,8 +49,8 @@
   void Change(uint64_t expect, const std::string& text, const config_signature& signature,
               std::function<void(change_result, monotonic_time)> done);
 
-  const version_order& Order() const { return order_; }
-  version_order& Order() { return order_; }
+  const config_version_tracker& Order() const { return order_; }
+  config_version_tracker& Order() { return order_; }
   // What is kept and what is in force, oldest first, as the store has it now; absent: no answer.
   void History(std::function<void(std::optional<std::vector<past_version>>, monotonic_time)> done);
   // The text of a version that is in force or kept.
@@ -75,7 +75,7 @@
   store_adapter& store_;
   poster post_;
   on_version changed_;
-  version_order order_;
+  config_version_tracker order_;
   history_keeper history_;
   std::set<std::string> own_writes_;  // of changes that are under way here
   bool reading_ = false;
--- a/src/process/decision_admission.cc
+++ b/src/process/decision_admission.cc
@@ -41,7 +41,7 @@
   if (!floor_known) taken_unchecked = true;
   const uint32_t together = request.kind == workload_kind::kGang ? request.tasks : 1;
   if (floor_known && !floor.CanEverHold(request.each, together)) {
-    return admission{false, refusal_reason::kNeverFits, milliseconds{0},
+    return admission{false, rejection_reason::kNeverFits, milliseconds{0},
                      floor.WhyNever(request.each)};
   }
   const team_record& team = teams[request.team];
@@ -51,12 +51,12 @@
       (request.each.cpu_milli > limit.cpu_milli || request.each.memory_mb > limit.memory_mb ||
        request.each.accelerators > limit.accelerators || together > team.terms.running_limit);
   if (over) {
-    return admission{false, refusal_reason::kOverLimit, milliseconds{0},
+    return admission{false, rejection_reason::kOverLimit, milliseconds{0},
                      "larger than the team's upper limit"};
   }
   const lane& l = lanes.At({ClassOf(request), request.team});
   if (team.queued_tasks + uint64_t{request.tasks} > team.terms.queue_limit) {
-    return admission{false, refusal_reason::kQueueFull,
+    return admission{false, rejection_reason::kQueueFull,
                      RetryAfter(l.meter.TimeToDrain(std::max(1U, l.tasks / 4), now), Random()),
                      absl::StrCat(team.queued_tasks, " tasks of the team wait already")};
   }
@@ -91,7 +91,7 @@
   const std::chrono::nanoseconds budget = newcomer ? short_wait : PartOf(left, kWaitPart);
   if (wait <= budget) return std::nullopt;
   const monotonic_time back = l.refused.Join(request.id, now + (wait - budget), *one, now);
-  return admission{false, refusal_reason::kShed, std::chrono::ceil<milliseconds>(back - now),
+  return admission{false, rejection_reason::kShed, std::chrono::ceil<milliseconds>(back - now),
                    "would start too late for its deadline"};
 }
 
--- a/src/process/decision_core.h
+++ b/src/process/decision_core.h
@@ -70,7 +70,7 @@
   resources amount;
   bool checkpoint = false;
   stop_reason why = stop_reason::kCancelled;
-  refusal_reason reason = refusal_reason::kNone;  // of kRefuse; of kEnded, what ended it early
+  rejection_reason reason = rejection_reason::kNone;  // of kRefuse; of kEnded, what ended it early
   std::chrono::milliseconds retry_after{0};
   std::string detail;
   job_end end = job_end::kDone;
@@ -97,7 +97,7 @@
 
 struct admission {
   bool queued = false;
-  refusal_reason reason = refusal_reason::kNone;
+  rejection_reason reason = rejection_reason::kNone;
   std::chrono::milliseconds retry_after{0};
   std::string detail;  // e.g. which resource, and the largest endpoint that exists
 };
--- a/src/process/decision_impl.h
+++ b/src/process/decision_impl.h
@@ -122,7 +122,7 @@
   void StopOverdue(job_handle job, monotonic_time now);
   void Regroup(job_handle job, monotonic_time now);
   void BackOff(job_handle job, monotonic_time now);
-  void EndIfOver(job_handle job, refusal_reason reason, std::string detail = {});
+  void EndIfOver(job_handle job, rejection_reason reason, std::string detail = {});
   void TeamChanged(team_index team);
 
   // A round.
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -170,13 +170,13 @@
   --job.unproved_starts;
   job.avoid = endpoint;
   if (job.cancelled) {
-    EndIfOver(handle, refusal_reason::kCancelled);
+    EndIfOver(handle, rejection_reason::kCancelled);
     return;
   }
   if (++job.failures_in_a_row > kStartsBeforeBackoff) BackOff(handle, now);
   if (job.request.kind == workload_kind::kGang) Regroup(handle, now);
   if (job.may_have_run) {
-    EndIfOver(handle, refusal_reason::kNone);
+    EndIfOver(handle, rejection_reason::kNone);
     return;
   }
   WaitAgain(handle, index);
@@ -308,7 +308,7 @@
     StopAll(handle, stop_reason::kCancelled, false);
   }
   if (is_gang && job.live == 0) Enqueue(handle, true);
-  EndIfOver(handle, refusal_reason::kCancelled);
+  EndIfOver(handle, rejection_reason::kCancelled);
 }
 
 // A job that was not started whole by its deadline. What had been started and was lost may have
@@ -320,11 +320,12 @@
   if (single && job.unproved_starts > 0) job.may_have_run = true;
   job.failed += job.waiting;
   DropWaiting(handle);
-  EndIfOver(handle, refusal_reason::kDeadline);
+  EndIfOver(handle, rejection_reason::kDeadline);
 }
 
 // Tells the end of a job of which nothing runs or waits, and forgets it.
-void decision_core::impl::EndIfOver(job_handle handle, refusal_reason reason, std::string detail) {
+void decision_core::impl::EndIfOver(job_handle handle, rejection_reason reason,
+                                    std::string detail) {
   job_record& job = jobs[handle];
   if (job.waiting > 0 || job.live > 0) return;
   command c;
@@ -333,13 +334,13 @@
     c.kind = command_kind::kRefuse;
     c.reason = reason;
     c.detail = std::move(detail);
-    if (reason == refusal_reason::kDeadline) {
+    if (reason == rejection_reason::kDeadline) {
       const lane& l = lanes.At({ClassOf(job.request), job.request.team});
       c.retry_after = RetryAfter(l.meter.TimeToDrain(std::max(1U, l.tasks), last_decide), Random());
     }
   } else {
     c.kind = command_kind::kEnded;
-    if (reason == refusal_reason::kDeadline) c.reason = reason;
+    if (reason == rejection_reason::kDeadline) c.reason = reason;
     c.end = EndOf(job);
     c.tasks_done = job.done;
     c.tasks_failed = job.failed;
--- a/src/process/decision_rounds.cc
+++ b/src/process/decision_rounds.cc
@@ -106,7 +106,7 @@
     cancelled.pop_front();
     if (!jobs.Holds(mark.subject, mark.generation)) continue;
     StopAll(mark.subject, stop_reason::kCancelled, false);
-    EndIfOver(mark.subject, refusal_reason::kCancelled);
+    EndIfOver(mark.subject, rejection_reason::kCancelled);
   }
 }
 
@@ -122,7 +122,7 @@
     if (floor.CanEverHold(job.request.each, whole ? job.waiting : 1)) return;
     job.failed += job.waiting;
     DropWaiting(handle);
-    EndIfOver(handle, refusal_reason::kNeverFits, floor.WhyNever(job.request.each));
+    EndIfOver(handle, rejection_reason::kNeverFits, floor.WhyNever(job.request.each));
   });
 }
 
--- a/src/process/entry_client.cc
+++ b/src/process/entry_client.cc
@@ -15,7 +15,7 @@
   if (result.code != kUnavailable) return false;
   const auto body = nlohmann::json::parse(result.body, nullptr, false);
   if (!body.is_object()) return false;
-  const std::string word(ToText(refusal_reason::kShuttingDown));
+  const std::string word(ToText(rejection_reason::kShuttingDown));
   return body.value("reason", nlohmann::json()) == word ||
          body.value("error", nlohmann::json()) == word;
 }
--- a/src/process/history_keeper.cc
+++ b/src/process/history_keeper.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-history_keeper::history_keeper(store_adapter& store, history_bounds bounds, poster post)
+history_keeper::history_keeper(store_adapter& store, history_limits bounds, poster post)
     : store_(store), bounds_(bounds), post_(std::move(post)) {}
 
 void history_keeper::Keep(uint64_t version, const std::string& text, on_kept done) {
@@ -38,7 +38,7 @@
   const config_signature signature = SignatureOf(text);
   auto keep = std::make_shared<open_keep>();
   under_way_ = keep;
-  keep->past = {version, 0, text.size(), signature.wall, signature.by, signature.what};
+  keep->past = {version, 0, text.size(), signature.changed_at, signature.by, signature.summary};
   keep->text = text;
   keep->done.push_back(std::move(done));
   keep->tries = kKeepTries;
@@ -82,7 +82,7 @@
     End(keep, keep_end::kKept, now);
   } else if (keep->history.IsSuperseded(keep->past.version)) {
     OnSuperseded(keep, now);
-  } else if (keep->past.stored == 0) {
+  } else if (keep->past.text_revision == 0) {
     PutText(keep);
   } else {
     DeleteDropped(keep);
@@ -97,7 +97,7 @@
        [this, keep](const store_reply& reply, monotonic_time now) {
          if (reply.status == store_status::kDone || reply.status == store_status::kConflict) {
            keep->is_new = reply.status == store_status::kDone;
-           keep->past.stored = keep->is_new ? reply.revision : RevisionOf(reply);
+           keep->past.text_revision = keep->is_new ? reply.revision : RevisionOf(reply);
            DeleteDropped(keep);
          } else if (reply.status == store_status::kUnknown && --keep->tries > 0) {
            PutText(keep);
@@ -116,11 +116,11 @@
     return;
   }
   const past_version& oldest = keep->history.Dropped().front();
-  Swap(TextKey(oldest.version), oldest.stored, std::nullopt,
+  Swap(TextKey(oldest.version), oldest.text_revision, std::nullopt,
        [this, keep, version = oldest.version](const store_reply& reply, monotonic_time) {
          // A conflict: it is gone already.
          if (reply.status == store_status::kDone || reply.status == store_status::kConflict) {
-           keep->history.Forget(version);
+           keep->history.RemoveDropped(version);
            DeleteDropped(keep);
          } else {
            PutHistory(keep);  // it stays listed as dropped, for the next change
@@ -132,7 +132,7 @@
 // deleted in the meantime; no list names it, so nothing else would ever delete it.
 void history_keeper::OnSuperseded(const keep_state& keep, monotonic_time now) {
   if (keep->is_new) {
-    Swap(TextKey(keep->past.version), keep->past.stored, std::nullopt,
+    Swap(TextKey(keep->past.version), keep->past.text_revision, std::nullopt,
          [](const store_reply&, monotonic_time) {});
   }
   End(keep, keep_end::kSuperseded, now);
--- a/src/process/history_keeper.h
+++ b/src/process/history_keeper.h
@@ -36,7 +36,7 @@
   // kDone with the text, kAbsent when it is not kept, else kUnavailable.
   using on_text = std::function<void(store_status, std::string, monotonic_time)>;
 
-  history_keeper(store_adapter& store, history_bounds bounds, poster post);
+  history_keeper(store_adapter& store, history_limits bounds, poster post);
 
   // All results come on the core thread.
   void Keep(uint64_t version, const std::string& text, on_kept done);
@@ -70,7 +70,7 @@
   void OnHistoryReply(const keep_state& keep, const store_reply& reply, monotonic_time now);
 
   store_adapter& store_;
-  history_bounds bounds_;
+  history_limits bounds_;
   poster post_;
   keep_state under_way_;
   uint64_t writes_ = 0;  // names each write
--- a/src/process/job_commands.cc
+++ b/src/process/job_commands.cc
@@ -18,7 +18,7 @@
 constexpr milliseconds kWaitAtEntry{10000};
 
 exit_code CodeOf(const json& outcome) {
-  if (TextField(outcome, "reason") == ToText(refusal_reason::kUnknownKey)) {
+  if (TextField(outcome, "reason") == ToText(rejection_reason::kUnknownKey)) {
     return exit_code::kUnauthorized;
   }
   const std::optional<outcome_kind> kind = ParseOutcomeKind(TextField(outcome, "outcome"));
--- a/src/process/message.cc
+++ b/src/process/message.cc
@@ -56,7 +56,7 @@
   result.id = ReadId(from, "id");
   result.kind = ParseOutcomeKind(Read<std::string>(from, "kind")).value_or(outcome_kind::kUnknown);
   result.reason =
-      ParseRefusalReason(Read<std::string>(from, "reason")).value_or(refusal_reason::kNone);
+      ParseRejectionReason(Read<std::string>(from, "reason")).value_or(rejection_reason::kNone);
   result.retry_after = ReadMs(from, "retry");
   result.answer = Read<std::string>(from, "answer");
   result.detail = Read<std::string>(from, "detail");
@@ -371,20 +371,25 @@
 }
 
 json EncodeBody(const config_step_message& message) {
-  const version_step& step = message.step;
-  return {{"type", "config_step"},    {"version", step.version},     {"base", step.base},
-          {"at", step.change.at},     {"cut", step.change.cut},      {"insert", step.change.insert},
-          {"tail", step.change.tail}, {"digest", step.change.digest}};
+  const version_delta& step = message.step;
+  return {{"type", "config_step"},
+          {"version", step.version},
+          {"base", step.base},
+          {"at", step.change.at},
+          {"cut", step.change.removed_bytes},
+          {"insert", step.change.inserted},
+          {"tail", step.change.signature},
+          {"digest", step.change.digest}};
 }
 
 config_step_message DecodeStep(const json& from) {
-  version_step step;
+  version_delta step;
   step.version = Read<uint64_t>(from, "version");
   step.base = Read<uint64_t>(from, "base");
   step.change.at = Read<uint64_t>(from, "at");
-  step.change.cut = Read<uint64_t>(from, "cut");
-  step.change.insert = Read<std::string>(from, "insert");
-  step.change.tail = Read<std::string>(from, "tail");
+  step.change.removed_bytes = Read<uint64_t>(from, "cut");
+  step.change.inserted = Read<std::string>(from, "insert");
+  step.change.signature = Read<std::string>(from, "tail");
   step.change.digest = Read<std::string>(from, "digest");
   return {std::move(step)};
 }
--- a/src/process/message.h
+++ b/src/process/message.h
@@ -15,7 +15,7 @@
 #include "request/job_part.h"
 #include "request/job_request.h"
 #include "request/outcome.h"
-#include "version/version_order.h"
+#include "version/config_version_tracker.h"
 
 namespace catkinford {
 
@@ -155,7 +155,7 @@
 
 // The same for a peer that has the version before.
 struct config_step_message {
-  version_step step;
+  version_delta step;
 };
 
 // To an owner that looks lapsed, before its shard is taken over.
--- a/src/process/metrics.cc
+++ b/src/process/metrics.cc
@@ -146,7 +146,7 @@
                        .Register(registry_);
   for (size_t reason = 0; reason < kRefusalReasons; ++reason) {
     refusals_[reason] =
-        &refusals.Add({{"reason", std::string(ToText(static_cast<refusal_reason>(reason)))}});
+        &refusals.Add({{"reason", std::string(ToText(static_cast<rejection_reason>(reason)))}});
   }
 }
 
--- a/src/process/node.cc
+++ b/src/process/node.cc
@@ -119,7 +119,7 @@
       ownership_(OwnershipOptions(config_, incarnation_)),
       versions_(
           store_, config_.isolation.key_grace,
-          history_bounds{config_.bounds.history_versions, config_.bounds.history_bytes},
+          history_limits{config_.bounds.history_versions, config_.bounds.history_bytes},
           [this](core_task task) { Post(std::move(task)); },
           [this](version_origin origin, monotonic_time now) { OnVersion(origin, now); }),
       grants_(store_, [this](core_task task) { Post(std::move(task)); }),
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -165,7 +165,7 @@
 
   // node_config.cc: versions and their spread.
   void OnVersion(version_origin origin, monotonic_time now);
-  void OnStep(const version_step& step, monotonic_time now);
+  void OnStep(const version_delta& step, monotonic_time now);
   // Sends a peer that has `known` what is in force here.
   void SendVersion(const member& to, uint64_t known, monotonic_time now);
   void HelpLagging(const member& other, monotonic_time now);
--- a/src/process/node_calls.cc
+++ b/src/process/node_calls.cc
@@ -93,7 +93,8 @@
   if (!holder || holder->is_operator) {
     table_actions refused;
     for (size_t slot = 0; slot < call.jobs.size(); ++slot) {
-      table_.Settle(token, slot, RefusedOutcome({}, refusal_reason::kUnknownKey, {}, ""), refused);
+      table_.Settle(token, slot, RejectedOutcome({}, rejection_reason::kUnknownKey, {}, ""),
+                    refused);
     }
     TakeTable(std::move(refused), now);
     return;
@@ -111,22 +112,23 @@
   entry.first_ask = spec.first_ask;
   place.id = entry.keyed ? DeriveRequestId(holder.team, spec.idempotency_key) : NewRequestId();
   table_actions actions;
-  const auto refuse = [&](refusal_reason reason, milliseconds retry, std::string detail) {
-    table_.Settle(token, slot, RefusedOutcome(place.id, reason, retry, std::move(detail)), actions);
+  const auto refuse = [&](rejection_reason reason, milliseconds retry, std::string detail) {
+    table_.Settle(token, slot, RejectedOutcome(place.id, reason, retry, std::move(detail)),
+                  actions);
     TakeTable(std::move(actions), now);
   };
   const team_contract* team = FindTeam(*versions_.Order().Config(), holder);
   if (team == nullptr || !Holds(team->kinds, spec.kind)) {
-    refuse(refusal_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
+    refuse(rejection_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
     return;
   }
   // A keyed job may already run: its caller gets its outcome from the shard that knows it.
   if (shutting_down_ && !entry.keyed) {
-    refuse(refusal_reason::kShuttingDown, kComeBack, "ask another entry");
+    refuse(rejection_reason::kShuttingDown, kComeBack, "ask another entry");
     return;
   }
   if (table_.Pending() >= config_.bounds.waiting_requests) {
-    refuse(refusal_reason::kQueueFull, kComeBack, "too many requests wait in this entry");
+    refuse(rejection_reason::kQueueFull, kComeBack, "too many requests wait in this entry");
     return;
   }
   const bool waits = spec.kind == workload_kind::kInteractive;
--- a/src/process/node_config.cc
+++ b/src/process/node_config.cc
@@ -62,7 +62,7 @@
 // the others only help who lags. Passed on by each entry that had it from the store as well, a
 // change crossed 16 times where 5 were enough (catkinford-bench spread).
 void node::OnVersion(version_origin origin, monotonic_time now) {
-  const version_order& order = versions_.Order();
+  const config_version_tracker& order = versions_.Order();
   for (auto& [number, held] : shards_) held->SetConfiguration(*order.Config(), now);
   for (const auto& [name, other] : members_.Members()) {
     if (other.word.config_version >= order.Version()) continue;
@@ -76,8 +76,8 @@
 }
 
 // One made from another version than ours is left: our heartbeat shows that we lag.
-void node::OnStep(const version_step& step, monotonic_time now) {
-  const std::optional<std::string> text = versions_.Order().After(step);
+void node::OnStep(const version_delta& step, monotonic_time now) {
+  const std::optional<std::string> text = versions_.Order().TextAfter(step);
   if (text) versions_.Offer(step.version, *text, version_origin::kPeer, now);
 }
 
@@ -86,12 +86,12 @@
 }
 
 void node::SendVersion(const member& to, uint64_t known, monotonic_time now) {
-  const version_order& order = versions_.Order();
+  const config_version_tracker& order = versions_.Order();
   peer_notes& notes = notes_[to.name];
   notes.next_config = now + kConfigResend;
   notes.config_sent = order.Version();
-  if (order.Step() && order.Step()->base == known) {
-    Send(to.name, config_step_message{*order.Step()}, now);
+  if (order.LastDelta() && order.LastDelta()->base == known) {
+    Send(to.name, config_step_message{*order.LastDelta()}, now);
   } else {
     Send(to.name, config_message{order.Version(), order.Text()}, now);
   }
@@ -116,7 +116,7 @@
 void node::Handle(http_server::token token, const std::string& key, const get_config_call& call,
                   monotonic_time now) {
   if (!IsOperator(token, key, now)) return;
-  const version_order& order = versions_.Order();
+  const config_version_tracker& order = versions_.Order();
   if (call.version == 0) {
     front_.Respond(token, ConfigResponse(order.Version(), order.Text()));
     return;
@@ -144,7 +144,7 @@
     front_.Respond(token, ContractResponse(*error));
     return;
   }
-  const version_order& order = versions_.Order();
+  const config_version_tracker& order = versions_.Order();
   std::vector<std::string> warnings =
       WarningTexts(*order.Config(), std::get<configuration>(parsed));
   if (call.dry_run) {
@@ -152,11 +152,11 @@
       front_.Respond(token, ConflictResponse(order.Version(), order.Text()));
       return;
     }
-    const in_force_report report =
-        order.InForce(order.Version(), config_.failure_domain, VersionMembers());
+    const propagation_report report =
+        order.Propagation(order.Version(), config_.failure_domain, VersionMembers());
     front_.Respond(token, {200, Dump({{"version", order.Version()},
                                       {"dry_run", true},
-                                      {"in_force", report.in_force},
+                                      {"in_force", report.in_effect},
                                       {"pending", report.pending},
                                       {"warnings", warnings}})});
     return;
@@ -178,7 +178,7 @@
                       const configuration& next) {
   const config_signature signature{ToHex(NewRequestId()), changes_[change].by,
                                    milliseconds(WallMs()),
-                                   SummaryOf(*versions_.Order().Config(), next)};
+                                   SummarizeChanges(*versions_.Order().Config(), next)};
   versions_.Change(expect, text, signature,
                    [this, change](const change_result& result, monotonic_time at) {
                      OnChanged(change, result, at);
@@ -223,9 +223,10 @@
   for (auto at = changes_.begin(); at != changes_.end();) {
     const open_change& open = at->second;
     bool done = now >= open.give_up;
-    in_force_report report;
+    propagation_report report;
     if (open.version > 0) {
-      report = versions_.Order().InForce(open.version, config_.failure_domain, VersionMembers());
+      report =
+          versions_.Order().Propagation(open.version, config_.failure_domain, VersionMembers());
       done |= report.pending.empty();
     }
     if (!done) {
@@ -234,7 +235,7 @@
     }
     if (open.version > 0) {
       Respond(open, {200, Dump({{"version", open.version},
-                                {"in_force", report.in_force},
+                                {"in_force", report.in_effect},
                                 {"pending", report.pending},
                                 {"warnings", open.warnings}})});
     } else {
@@ -256,9 +257,9 @@
         json list = json::array();
         for (const past_version& past : *versions) {
           list.push_back({{"version", past.version},
-                          {"at_ms", past.wall.count()},
+                          {"at_ms", past.changed_at.count()},
                           {"by", past.by},
-                          {"what", past.what}});
+                          {"what", past.summary}});
         }
         front_.Respond(token, {200, Dump({{"versions", std::move(list)}})});
       });
--- a/src/process/node_drains.cc
+++ b/src/process/node_drains.cc
@@ -88,7 +88,7 @@
 
 void node::MakeEdit(uint64_t change, monotonic_time now) {
   open_change& open = changes_[change];
-  const version_order& order = versions_.Order();
+  const config_version_tracker& order = versions_.Order();
   configuration next = *order.Config();
   if (!open.edit(next)) {
     open.version = order.Version();  // it is so already
--- a/src/process/node_metrics.cc
+++ b/src/process/node_metrics.cc
@@ -41,7 +41,7 @@
     was_ready_ = IsReady();
     if (was_ready_) log_.Emit(event_code::kProcessReady, now, {}, 0, config_.name);
   }
-  const std::optional<refused_version>& refused = versions_.Order().Refused();
+  const std::optional<rejected_version>& refused = versions_.Order().Refused();
   if (refused && refused->version != refused_version_) {
     refused_version_ = refused->version;
     log_.Emit(event_code::kVersionRefused, now, {}, 0, std::to_string(refused->version),
--- a/src/process/node_peers.cc
+++ b/src/process/node_peers.cc
@@ -26,7 +26,7 @@
   FollowMembers(now);
   TakeChanges(now);
   for (const std::string& name : news) OnWord(*members_.Find(name), now);
-  version_order& order = versions_.Order();
+  config_version_tracker& order = versions_.Order();
   if (const auto confirmed = DomainsConfirmed()) order.Confirm(order.Version(), *confirmed);
   if (const member* sender = members_.Find(from)) HelpLagging(*sender, now);
   CheckChanges(now);
--- a/src/process/part_keeper.cc
+++ b/src/process/part_keeper.cc
@@ -12,12 +12,12 @@
 bool IsTurnedAway(const outcome& result) {
   if (result.kind != outcome_kind::kRefused) return false;
   switch (result.reason) {
-    case refusal_reason::kNeverFits:
-    case refusal_reason::kOverLimit:
-    case refusal_reason::kQueueFull:
-    case refusal_reason::kShed:
-    case refusal_reason::kNotDurable:
-    case refusal_reason::kOwnerUnreachable:  // its failure domain was evacuated
+    case rejection_reason::kNeverFits:
+    case rejection_reason::kOverLimit:
+    case rejection_reason::kQueueFull:
+    case rejection_reason::kShed:
+    case rejection_reason::kNotDurable:
+    case rejection_reason::kOwnerUnreachable:  // its failure domain was evacuated
       return true;
     default:
       return false;
--- a/src/process/refusal_memory.cc
+++ b/src/process/refusal_memory.cc
@@ -14,7 +14,7 @@
 std::optional<outcome> refusal_memory::Find(const request_id& id, uint64_t ask) const {
   const auto found = refusals_.find({id, ask});
   if (ask == 0 || found == refusals_.end()) return std::nullopt;
-  return RefusedOutcome(id, found->second.reason, found->second.retry_after, "refused before");
+  return RejectedOutcome(id, found->second.reason, found->second.retry_after, "refused before");
 }
 
 void refusal_memory::Expire(monotonic_time now) {
--- a/src/process/refusal_memory.h
+++ b/src/process/refusal_memory.h
@@ -35,7 +35,7 @@
  private:
   using one_ask = std::pair<request_id, uint64_t>;
   struct refusal {
-    refusal_reason reason = refusal_reason::kNone;
+    rejection_reason reason = rejection_reason::kNone;
     std::chrono::milliseconds retry_after{0};
   };
 
--- a/src/process/request_table.cc
+++ b/src/process/request_table.cc
@@ -14,13 +14,13 @@
 bool MayTryElsewhere(const outcome& result) {
   if (result.kind != outcome_kind::kRefused) return false;
   switch (result.reason) {
-    case refusal_reason::kQueueFull:
-    case refusal_reason::kShed:
-    case refusal_reason::kOverLimit:
-    case refusal_reason::kNeverFits:
-    case refusal_reason::kNotDurable:
-    case refusal_reason::kOwnerUnreachable:
-    case refusal_reason::kShuttingDown:
+    case rejection_reason::kQueueFull:
+    case rejection_reason::kShed:
+    case rejection_reason::kOverLimit:
+    case rejection_reason::kNeverFits:
+    case rejection_reason::kNotDurable:
+    case rejection_reason::kOwnerUnreachable:
+    case rejection_reason::kShuttingDown:
       return true;
     default:
       return false;
@@ -134,8 +134,8 @@
   if (request.entry.keyed && !request.entry.first_ask) {
     return UnknownOutcome(id, "the shard that remembers this key cannot be reached");
   }
-  return RefusedOutcome(id, refusal_reason::kOwnerUnreachable, kComeBack,
-                        "no owner of a suitable shard could be reached");
+  return RejectedOutcome(id, rejection_reason::kOwnerUnreachable, kComeBack,
+                         "no owner of a suitable shard could be reached");
 }
 
 void request_table::OnOutcome(const outcome& result, monotonic_time now, table_actions& out) {
--- a/src/process/scheduling/graph_state.h
+++ b/src/process/scheduling/graph_state.h
@@ -18,7 +18,7 @@
 
 struct fleet_instance;
 struct graph_run;
-struct queue_terms;
+struct queue_config;
 
 // Names one task everywhere: in orders, listings and records.
 struct task_key {
@@ -117,7 +117,7 @@
 struct job_entry {
   graph_job job;
   // As the version in force says, looked up once: each decision needs them many times.
-  const queue_terms* queue = nullptr;
+  const queue_config* queue = nullptr;
   uint32_t service = 0;  // ordinal of the service whose instances run it
   graph_phase phase = graph_phase::kQueued;
   std::map<uint32_t, std::unique_ptr<occurrence_state>> occurrences;  // due and not done
--- a/src/process/scheduling/job_scheduler.cc
+++ b/src/process/scheduling/job_scheduler.cc
@@ -24,7 +24,7 @@
 
 job_scheduler::~job_scheduler() = default;
 
-void job_scheduler::SetVersion(std::shared_ptr<const site_version> version) {
+void job_scheduler::SetVersion(std::shared_ptr<const site_configuration> version) {
   version_ = std::move(version);
   for (auto& [id, entry] : jobs_) LookUpTerms(*entry);
 }
@@ -84,7 +84,7 @@
 
 // What callers are promised follows from how long the work really takes, which shows step by step.
 void job_scheduler::SetObjective(job_entry& entry) {
-  const queue_terms* queue = entry.queue;
+  const queue_config* queue = entry.queue;
   milliseconds advice{0};
   if (queue != nullptr && queue->advice) {
     advice = queue->advice->base +
@@ -98,7 +98,7 @@
         first == nullptr ? entry.job.steps[i].estimate : ExpectedRun(entry, first->steps[i], i);
     takes.push_back(run + advice);
   }
-  const auto chain = static_cast<double>(LongestChain(entry.job.steps, takes).count());
+  const auto chain = static_cast<double>(CriticalPathLength(entry.job.steps, takes).count());
   const milliseconds allowed(static_cast<int64_t>(entry.job.terms.stretch * chain));
   entry.objective = entry.accepted_at + allowed + entry.job.terms.target_latency;
 }
@@ -110,13 +110,13 @@
     const step_progress& step = occurrence.steps[i];
     takes.push_back(step.Done() ? milliseconds{0} : ExpectedRun(entry, step, i));
   }
-  return LongestChain(entry.job.steps, takes);
+  return CriticalPathLength(entry.job.steps, takes);
 }
 
 void job_scheduler::LearnRun(job_entry& entry, step_progress& step, const graph_run& run,
                              monotonic_time now) {
   if (run.inherited || run.resumed || run.pace != 100) return;
-  const step_terms& terms = entry.job.steps[run.key.step];
+  const step_spec& terms = entry.job.steps[run.key.step];
   const auto took = std::max(milliseconds{1}, duration_cast<milliseconds>(now - run.started));
   const auto expected = ExpectedRun(entry, step, run.key.step);
   double& speed = run.instance->speed;
@@ -130,7 +130,7 @@
 // By the time at which the job was accepted, so that the next owner finds the same.
 bool job_scheduler::BeyondShare(const graph_job& job) {
   if (version_ == nullptr || job.workspace.empty()) return false;
-  const workspace_terms* workspace = version_->WorkspaceNamed(job.workspace);
+  const workspace_config* workspace = version_->WorkspaceNamed(job.workspace);
   if (workspace == nullptr || workspace->weight <= 0) return false;
   return arrivals_[job.workspace].Exceeds(workspace->weight, job.accepted);
 }
@@ -307,7 +307,7 @@
       [&](const job_entry* entry) { return entry->job.queue == queue && !entry->started; }));
 }
 
-bool job_scheduler::AnyCouldHold(const std::string& service, const step_terms& step) const {
+bool job_scheduler::AnyCouldHold(const std::string& service, const step_spec& step) const {
   const auto found = largest_seen_.find(service);
   if (found == largest_seen_.end()) return true;
   return std::any_of(found->second.begin(), found->second.end(), [&](const resources& room) {
@@ -319,7 +319,7 @@
 
 bool job_scheduler::Possible(const graph_job& job) const {
   return std::all_of(job.steps.begin(), job.steps.end(),
-                     [&](const step_terms& step) { return AnyCouldHold(job.terms.service, step); });
+                     [&](const step_spec& step) { return AnyCouldHold(job.terms.service, step); });
 }
 
 size_t job_scheduler::RunCount() const {
--- a/src/process/scheduling/job_scheduler.h
+++ b/src/process/scheduling/job_scheduler.h
@@ -27,7 +27,7 @@
 #include "process/scheduling/room_forecast.h"
 #include "process/scheduling/run_times.h"
 #include "process/scheduling/scheduler_messages.h"
-#include "version/site_version.h"
+#include "version/site_configuration.h"
 
 namespace catkinford {
 
@@ -69,7 +69,7 @@
   job_scheduler& operator=(const job_scheduler&) = delete;
 
   // Beliefs.
-  void SetVersion(std::shared_ptr<const site_version> version);
+  void SetVersion(std::shared_ptr<const site_configuration> version);
   // The whole registry. `known_before`: instances that an earlier owner may have used are still to
   // be listed, so tasks of its jobs may run there.
   void OnRegistry(const std::vector<instance_report>& reports, monotonic_time now);
@@ -169,7 +169,7 @@
   const job_terms& TermsOf(const job_entry& entry) const;
   // Could any instance of the service that was ever seen hold a task of the step? True while none
   // is known.
-  bool AnyCouldHold(const std::string& service, const step_terms& step) const;
+  bool AnyCouldHold(const std::string& service, const step_spec& step) const;
   void LookUpTerms(job_entry& entry);
   uint32_t ServiceOrdinal(const std::string& service);
   fleet_instance& MakeInstance(const instance_report& report, monotonic_time now);
@@ -233,7 +233,7 @@
   static bool MayGetWork(const fleet_instance& instance, monotonic_time now);
   bool WithinLimit(const job_entry& entry, const resources& need) const;
   // `expected`: how long a run of the step takes.
-  bool WantsCopy(const task_state_slot& task, const step_terms& terms,
+  bool WantsCopy(const task_state_slot& task, const step_spec& terms,
                  std::chrono::milliseconds expected, monotonic_time now) const;
   std::vector<ready_step> CopySteps(monotonic_time now);
   void PlaceCopies(monotonic_time now);
@@ -292,7 +292,7 @@
   void SpeakFor(const ready_step& ready, advice_round& round,
                 const std::vector<advice_option>& known, uint32_t wanted) const;
   // Adds the instances that are held for the step, if an answer would come when they have room.
-  void AddHeld(const ready_step& ready, const advice_cost& cost, advice_order& order,
+  void AddHeld(const ready_step& ready, const advice_timing& cost, advice_order& order,
                monotonic_time now) const;
   uint32_t MostThere(const ready_step& ready, const fleet_instance& instance,
                      uint32_t wanted) const;
@@ -300,7 +300,7 @@
                                           uint32_t wanted, monotonic_time now) const;
   std::vector<std::string> WorthAsking(const ready_step& ready, const advice_round& round,
                                        const std::vector<advice_option>& known, uint32_t wanted,
-                                       const advice_cost& cost) const;
+                                       const advice_timing& cost) const;
   uint32_t Wanted(const ready_step& ready, monotonic_time now) const;
   std::vector<ready_step> FrontOfLines(const std::vector<ready_step>& ready_steps) const;
   std::vector<ready_step> NextSteps(monotonic_time now);
@@ -314,7 +314,7 @@
   scheduler_options options_;
   uint64_t epoch_;
   monotonic_time took_over_;
-  std::shared_ptr<const site_version> version_;
+  std::shared_ptr<const site_configuration> version_;
   absl::flat_hash_map<std::string, std::unique_ptr<job_entry>> jobs_;
   // Ordered, so that equal choices fall the same way in every process.
   std::map<std::string, std::unique_ptr<fleet_instance>> instances_;
--- a/src/process/scheduling/scheduler_advice.cc
+++ b/src/process/scheduling/scheduler_advice.cc
@@ -34,7 +34,7 @@
   return tasks;
 }
 
-resources RoomOf(const step_terms& terms) {
+resources RoomOf(const step_spec& terms) {
   resources room = terms.need;
   if (terms.fills) room.cpu_milli = 0;
   return room;
@@ -51,7 +51,7 @@
 // Tasks of the step that need an instance: those that wait, or copies of those that are overdue.
 uint32_t job_scheduler::Wanted(const ready_step& ready, monotonic_time now) const {
   const step_progress& step = ready.occurrence->steps[ready.index];
-  const step_terms& terms = ready.entry->job.steps[ready.index];
+  const step_spec& terms = ready.entry->job.steps[ready.index];
   if (step.waiting > 0 || !terms.speculative) return step.waiting;
   const milliseconds expected = ExpectedRun(*ready.entry, step, ready.index);
   return static_cast<uint32_t>(std::count_if(
@@ -78,7 +78,7 @@
 // How many tasks of the step the instance may hold beside those that are there.
 uint32_t job_scheduler::MostThere(const ready_step& ready, const fleet_instance& instance,
                                   uint32_t wanted) const {
-  const uint32_t limit = ready.entry->job.steps[ready.index].most_per_instance;
+  const uint32_t limit = ready.entry->job.steps[ready.index].max_per_instance;
   if (limit == 0) return wanted;
   const step_progress& step = ready.occurrence->steps[ready.index];
   const auto placed = step.placed.find(&instance);
@@ -118,7 +118,7 @@
                                                     const advice_round& round,
                                                     const std::vector<advice_option>& known,
                                                     uint32_t wanted,
-                                                    const advice_cost& cost) const {
+                                                    const advice_timing& cost) const {
   std::vector<std::string> out;
   uint32_t found = 0;
   size_t spare = kSpareInstances;
@@ -153,7 +153,7 @@
 
 // A ticket that is asked for only when the room is there comes too late: another's work takes it
 // meanwhile.
-void job_scheduler::AddHeld(const ready_step& ready, const advice_cost& cost, advice_order& order,
+void job_scheduler::AddHeld(const ready_step& ready, const advice_timing& cost, advice_order& order,
                             monotonic_time now) const {
   const step_progress& step = ready.occurrence->steps[ready.index];
   if (step.held_in != round_) return;
@@ -175,12 +175,12 @@
 void job_scheduler::PlanStepAdvice(const ready_step& ready, advice_round& round,
                                    scheduler_orders& orders, monotonic_time now) {
   step_progress& step = ready.occurrence->steps[ready.index];
-  const step_terms& terms = ready.entry->job.steps[ready.index];
+  const step_spec& terms = ready.entry->job.steps[ready.index];
   if (!WithinLimit(*ready.entry, terms.need)) return;
   const uint32_t wanted = Wanted(ready, now);
   const std::vector<advice_option> known = KnownOptions(ready, round, wanted, now);
-  const queue_terms* queue = ready.entry->queue;
-  const advice_cost cost = queue != nullptr && queue->advice ? *queue->advice : advice_cost{};
+  const queue_config* queue = ready.entry->queue;
+  const advice_timing cost = queue != nullptr && queue->advice ? *queue->advice : advice_timing{};
   advice_order order;
   if (!step.advice.in_flight && now >= step.advice.next_ask) {
     order.instances = WorthAsking(ready, round, known, wanted, cost);
@@ -228,7 +228,7 @@
   std::vector<ready_step> out;
   for (job_entry* entry : active_) {
     if (!TermsOf(*entry).needs_advice || entry->job.steps.size() < 2) continue;
-    const queue_terms* queue = entry->queue;
+    const queue_config* queue = entry->queue;
     if (queue == nullptr || !queue->advice) continue;
     const auto all = static_cast<int64_t>(std::min(instances_.size(), kMostInOneAsk));
     const milliseconds ahead = queue->advice->base +
@@ -275,7 +275,7 @@
   std::vector<size_t> taken(services_.size() + 1);
   for (const ready_step& ready : ready_steps) {
     const job_entry& entry = *ready.entry;
-    const step_terms& terms = entry.job.steps[ready.index];
+    const step_spec& terms = entry.job.steps[ready.index];
     if (ready.occurrence->steps[ready.index].waiting == 0) continue;
     if (!TermsOf(entry).needs_advice || taken[entry.service] >= kStepsInLine) continue;
     if (!WithinLimit(entry, terms.need) || !AnyCouldHold(TermsOf(entry).service, terms)) continue;
@@ -293,7 +293,7 @@
   for (const ready_step& copies : CopySteps(now)) steps.push_back(copies);
   for (const ready_step& ready : steps) {
     if (!TermsOf(*ready.entry).needs_advice) continue;
-    const step_terms& terms = ready.entry->job.steps[ready.index];
+    const step_spec& terms = ready.entry->job.steps[ready.index];
     if (!inheritance_settled_ && MustWaitForInheritance(*ready.entry, terms.need)) continue;
     PlanStepAdvice(ready, round, orders, now);
   }
@@ -313,7 +313,7 @@
     return;
   }
   step->advice.refused_asks = 0;
-  const queue_terms* queue = entry.queue;
+  const queue_config* queue = entry.queue;
   milliseconds valid = answer.valid;
   if (valid.count() == 0) {
     valid = queue != nullptr && queue->advice ? queue->advice->valid : kDefaultValid;
--- a/src/process/scheduling/scheduler_holds.cc
+++ b/src/process/scheduling/scheduler_holds.cc
@@ -40,7 +40,7 @@
                                                          monotonic_time now) const {
   if (run.stopping != stop_cause::kNone) return now + kStopTakes;
   if (run.job == nullptr) return std::nullopt;
-  const step_terms& terms = run.job->job.steps[run.key.step];
+  const step_spec& terms = run.job->job.steps[run.key.step];
   const step_progress* step = run.job->Find(run.key);
   if (terms.long_running || step == nullptr) return std::nullopt;
   const milliseconds takes = ExpectedRun(*run.job, *step, run.key.step);
@@ -76,7 +76,7 @@
 monotonic_time job_scheduler::TicketBy(const ready_step& ready, uint32_t instance,
                                        monotonic_time now) const {
   const advice_verdict* verdict = ready.occurrence->steps[ready.index].advice.Of(instance);
-  const queue_terms* queue = ready.entry->queue;
+  const queue_config* queue = ready.entry->queue;
   if (verdict != nullptr && verdict->expires > now + kTicketMargin) return now;
   if (queue == nullptr || !queue->advice) return now;
   return now + queue->advice->base + duration_cast<milliseconds>(queue->advice->per_instance);
@@ -84,7 +84,7 @@
 
 void job_scheduler::HoldRoom(const ready_step& ready, monotonic_time now) {
   step_progress& step = ready.occurrence->steps[ready.index];
-  const step_terms& terms = ready.entry->job.steps[ready.index];
+  const step_spec& terms = ready.entry->job.steps[ready.index];
   if (step.waiting == 0 || terms.fills || terms.long_running) return;
   if (holding_steps_[ready.entry->service] >= kStepsThatHold) return;
   if (!WithinLimit(*ready.entry, terms.need)) return;
--- a/src/process/scheduling/scheduler_instances.cc
+++ b/src/process/scheduling/scheduler_instances.cc
@@ -247,7 +247,7 @@
   if (instance.clock_at == monotonic_time{}) return;
   for (const auto& run : instance.runs) {
     if (run->job == nullptr || run->stopping != stop_cause::kNone) continue;
-    const step_terms& terms = run->job->job.steps[run->key.step];
+    const step_spec& terms = run->job->job.steps[run->key.step];
     if (terms.long_running) {
       AskStop(*run, stop_cause::kEvacuated, now);
       continue;
--- a/src/process/scheduling/scheduler_pace.cc
+++ b/src/process/scheduling/scheduler_pace.cc
@@ -30,7 +30,7 @@
     if (!run->serves || run->job == nullptr) continue;
     serves = true;
     const double target =
-        static_cast<double>(run->job->job.steps[run->key.step].tail_target.count());
+        static_cast<double>(run->job->job.steps[run->key.step].tail_latency_target.count());
     worst = std::max(worst, static_cast<double>(run->load) / target);
   }
   if (!fills) return;
--- a/src/process/scheduling/scheduler_placing.cc
+++ b/src/process/scheduling/scheduler_placing.cc
@@ -43,7 +43,7 @@
 
 bool job_scheduler::WithinLimit(const job_entry& entry, const resources& need) const {
   if (version_ == nullptr || entry.job.workspace.empty()) return true;
-  const workspace_terms* workspace = version_->WorkspaceNamed(entry.job.workspace);
+  const workspace_config* workspace = version_->WorkspaceNamed(entry.job.workspace);
   if (workspace == nullptr) return true;
   const auto found = running_of_workspace_.find(entry.job.workspace);
   resources with = need;
@@ -101,7 +101,7 @@
 }
 
 bool job_scheduler::HasLabel(const fleet_instance& instance, const ready_step& ready) {
-  const step_terms& step = ready.entry->job.steps[ready.index];
+  const step_spec& step = ready.entry->job.steps[ready.index];
   if (step.required_label.empty()) return true;
   const auto& labels = instance.report.labels;
   return std::find(labels.begin(), labels.end(), step.required_label) != labels.end();
@@ -109,7 +109,7 @@
 
 fleet_instance* job_scheduler::Choose(const ready_step& ready, const task_state_slot& task,
                                       monotonic_time now, const std::string* rack) {
-  const step_terms& terms = ready.entry->job.steps[ready.index];
+  const step_spec& terms = ready.entry->job.steps[ready.index];
   const step_progress& step = ready.occurrence->steps[ready.index];
   const bool advised = TermsOf(*ready.entry).needs_advice;
   resources room = terms.need;
@@ -124,7 +124,7 @@
     if (!DelaysNobody(instance, room, until)) return;
     const auto placed = step.placed.find(&instance);
     const uint32_t here = placed == step.placed.end() ? 0 : placed->second;
-    if (terms.most_per_instance > 0 && here >= terms.most_per_instance) return;
+    if (terms.max_per_instance > 0 && here >= terms.max_per_instance) return;
     double score = FullnessWith(instance, room);
     // Lasting tasks are spread, so that one loss takes few of them.
     if (terms.long_running) score = -score - here;
@@ -150,7 +150,7 @@
 }
 
 void job_scheduler::PlaceStep(const ready_step& ready, monotonic_time now) {
-  const step_terms& terms = ready.entry->job.steps[ready.index];
+  const step_spec& terms = ready.entry->job.steps[ready.index];
   step_progress& step = ready.occurrence->steps[ready.index];
   for (uint32_t i = 0; i < step.tasks.size() && step.waiting > 0; ++i) {
     if (!MayPlanMore()) return;
@@ -164,7 +164,7 @@
 }
 
 void job_scheduler::PlaceGang(const ready_step& ready, monotonic_time now) {
-  const step_terms& terms = ready.entry->job.steps[ready.index];
+  const step_spec& terms = ready.entry->job.steps[ready.index];
   step_progress& step = ready.occurrence->steps[ready.index];
   // All members wait, or an earlier run of the gang is still being taken apart.
   if (step.waiting != step.tasks.size()) return;
@@ -219,7 +219,7 @@
 
 // A speculative task gets a copy where its run is overdue or its instance does not answer: a slow
 // or lost instance is noticed by the clock long before its lease is over.
-bool job_scheduler::WantsCopy(const task_state_slot& task, const step_terms& terms,
+bool job_scheduler::WantsCopy(const task_state_slot& task, const step_spec& terms,
                               milliseconds expected, monotonic_time now) const {
   if (!terms.speculative || terms.gang || terms.long_running) return false;
   if (task.phase != slot_phase::kActive || task.run == nullptr || task.copy != nullptr)
@@ -233,7 +233,7 @@
 
 void job_scheduler::PlaceCopies(monotonic_time now) {
   for (const ready_step& ready : CopySteps(now)) {
-    const step_terms& terms = ready.entry->job.steps[ready.index];
+    const step_spec& terms = ready.entry->job.steps[ready.index];
     step_progress& step = ready.occurrence->steps[ready.index];
     const milliseconds expected = ExpectedRun(*ready.entry, step, ready.index);
     for (uint32_t i = 0; i < step.tasks.size(); ++i) {
@@ -252,7 +252,7 @@
   for (job_entry* entry : active_) {
     for (auto& [number, occurrence] : entry->occurrences) {
       for (uint32_t i = 0; i < occurrence->steps.size(); ++i) {
-        const step_terms& terms = entry->job.steps[i];
+        const step_spec& terms = entry->job.steps[i];
         const step_progress& step = occurrence->steps[i];
         if (!terms.speculative || step.active == 0 || step.waiting > 0) continue;
         const milliseconds expected = ExpectedRun(*entry, step, i);
@@ -300,7 +300,7 @@
   BeginHolds();
   for (const ready_step& ready : steps) {
     if (!MayPlanMore()) break;
-    const step_terms& terms = ready.entry->job.steps[ready.index];
+    const step_spec& terms = ready.entry->job.steps[ready.index];
     if (!inheritance_settled_ && MustWaitForInheritance(*ready.entry, terms.need)) continue;
     if (terms.gang) {
       PlaceGang(ready, now);
--- a/src/process/scheduling/scheduler_runs.cc
+++ b/src/process/scheduling/scheduler_runs.cc
@@ -91,9 +91,9 @@
   run.number = number;
   run.instance = &instance;
   if (job == nullptr || key.step >= job->job.steps.size()) return run;
-  const step_terms& terms = job->job.steps[key.step];
+  const step_spec& terms = job->job.steps[key.step];
   run.fills = terms.fills;
-  run.serves = terms.tail_target.count() > 0;
+  run.serves = terms.tail_latency_target.count() > 0;
   run.room = terms.need;
   if (terms.fills) run.room.cpu_milli = 0;
   if (terms.fills) ++instance.filling;
@@ -187,7 +187,7 @@
                                  fleet_instance& at, monotonic_time now) {
   step_progress* step = entry.Find(key);
   if (step == nullptr) return;
-  const step_terms& terms = entry.job.steps[key.step];
+  const step_spec& terms = entry.job.steps[key.step];
   task_state_slot& task = step->tasks[key.index];
   if (task.phase == slot_phase::kDone) return;
   std::vector<uint32_t>& failed = terms.gang ? step->gang_failed_runs : task.failed_runs;
--- a/src/process/shard.cc
+++ b/src/process/shard.cc
@@ -90,7 +90,7 @@
       TakeMore(id, *job, std::move(place));
     }
     job->spec.send = std::max(job->spec.send, send);
-    if (job->ended && !job->end_untold) {
+    if (job->ended && !job->end_unreported) {
       Reply(entry, *job, *job->ended);
       return;
     }
@@ -119,7 +119,7 @@
     return;
   }
   if (closed_) {
-    TurnAway(entry, place, refusal_reason::kShuttingDown, "its owner is being stopped", now);
+    TurnAway(entry, place, rejection_reason::kShuttingDown, "its owner is being stopped", now);
     return;
   }
   job_state& job = Admit(entry, std::move(place), now);
@@ -131,9 +131,9 @@
   Submit(id, job, now);
 }
 
-void shard::TurnAway(const std::string& entry, const place_message& place, refusal_reason reason,
+void shard::TurnAway(const std::string& entry, const place_message& place, rejection_reason reason,
                      std::string detail, monotonic_time now) {
-  outcome refused = RefusedOutcome(place.id, reason, kAskAgain, std::move(detail));
+  outcome refused = RejectedOutcome(place.id, reason, kAskAgain, std::move(detail));
   refusals_.Add(place.id, place.ask, refused, now);
   if (!IsDurable(place.kind)) identities_.Finish(place.id, refused, now);
   actions_.push_back(answer_action{entry, std::move(refused)});
@@ -172,7 +172,7 @@
           answer_action{entry, UnknownOutcome(place.id, "it may have run where it is lost")});
       return true;
     case identity_verdict::kFull:
-      TurnAway(entry, place, refusal_reason::kQueueFull, "no room to remember it", now);
+      TurnAway(entry, place, rejection_reason::kQueueFull, "no room to remember it", now);
       return true;
   }
   const std::optional<known_identity> known = identities_.Find(place.id);
@@ -222,8 +222,9 @@
 
 void shard::Submit(const request_id& id, job_state& job, monotonic_time now) {
   const bool is_spread = !job.spec.parts.empty();
-  const admission admitted = is_spread ? core_.SubmitPart(RequestOf(job, now), WaitingOf(job), now)
-                                       : core_.Submit(RequestOf(job, now), now);
+  const admission admitted = is_spread
+                                 ? core_.SubmitPart(RequestOf(job, now), WaitingTasks(job), now)
+                                 : core_.Submit(RequestOf(job, now), now);
   if (!admitted.queued) {
     Refuse(id, admitted.reason, admitted.retry_after, admitted.detail, now);
     return;
@@ -256,7 +257,7 @@
     return;
   }
   if (!durable) {
-    Refuse(id, refusal_reason::kNotDurable, kAskAgain, "the store did not take the record", now);
+    Refuse(id, rejection_reason::kNotDurable, kAskAgain, "the store did not take the record", now);
     return;
   }
   job->durable = true;
@@ -275,7 +276,7 @@
     return;
   }
   job->spec.send = std::max(job->spec.send, what.send);
-  if (job->ended && !job->end_untold) {
+  if (job->ended && !job->end_unreported) {
     job->cancelled = true;  // a part that was turned away does not come again either
     Reply(entry, *job, *job->ended);
     return;
@@ -303,7 +304,7 @@
     answer.home = job->spec.home;
     answer.parts = job->spec.parts;
     answer.progress = ProgressOf(*job);
-    if (!job->end_untold) answer.ended = job->ended;
+    if (!job->end_unreported) answer.ended = job->ended;
     answer.waits_for = core_.WaitsFor(query.id);
     if (!job->accepted && answer.waits_for.empty() && !job->ended) answer.waits_for = "its record";
   }
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -266,12 +266,12 @@
   void TaskEnded(const task_id& id, task_result result, const std::string& answer,
                  std::chrono::milliseconds ran, monotonic_time now);
   void StartDidNotTake(const task_id& id, bool endpoint_fault, monotonic_time now);
-  void Refuse(const request_id& id, refusal_reason reason, std::chrono::milliseconds retry_after,
+  void Refuse(const request_id& id, rejection_reason reason, std::chrono::milliseconds retry_after,
               std::string detail, monotonic_time now);
   void End(const request_id& id, job_state& job, outcome result, monotonic_time now);
   void EndIfOver(const request_id& id, job_state& job, monotonic_time now);
   void Answer(const job_state& job, const outcome& result);
-  void TurnAway(const std::string& entry, const place_message& place, refusal_reason reason,
+  void TurnAway(const std::string& entry, const place_message& place, rejection_reason reason,
                 std::string detail, monotonic_time now);
   void Reply(const std::string& entry, const job_state& job, const outcome& result);
   // shard_parts.cc: jobs that are spread over shards.
--- a/src/process/shard_endpoints.cc
+++ b/src/process/shard_endpoints.cc
@@ -198,7 +198,7 @@
     const job_state* job = Find(status.id.job);
     // A task that has moved to another shard while its failure domain was lost runs there now.
     const bool moved = job != nullptr && status.id.index < job->tasks.size() &&
-                       job->tasks[status.id.index].phase == task_phase::kElsewhere;
+                       job->tasks[status.id.index].phase == task_phase::kRemote;
     if (moved) {
       if (!status.finished) strays.ids.push_back(status.id);
       continue;
@@ -249,7 +249,7 @@
   const bool is_later = id.attempt > task.attempt;
   const bool is_present = id.attempt == task.attempt && task.phase != task_phase::kWaiting;
   if (!is_later && !is_present) return;
-  if (is_present && IsOver(task.phase)) return;
+  if (is_present && IsFinished(task.phase)) return;
   if (is_later) {
     running_task adopted{id, teams_.IndexOf(status.team), status.kind, status.amount, index};
     core_.Adopt(adopted, now);
@@ -274,13 +274,13 @@
   for (const auto& [id, job] : jobs_) {
     for (uint32_t i = 0; i < job.tasks.size(); ++i) {
       const task_progress& task = job.tasks[i];
-      if (task.endpoint != index || !IsUnderWay(task.phase)) continue;
+      if (task.endpoint != index || !IsInFlight(task.phase)) continue;
       const task_id at{id, i, task.attempt};
       if (!listed.contains(at)) missing.emplace_back(at, task.phase);
     }
   }
   for (const auto& [id, phase] : missing) {
-    if (phase == task_phase::kMaybe && !restarted) {
+    if (phase == task_phase::kStartUnconfirmed && !restarted) {
       StartDidNotTake(id, false, now);
     } else if (restarted || phase != task_phase::kSent) {
       LoseTask(id, now);
@@ -293,7 +293,7 @@
   for (const auto& [id, job] : jobs_) {
     for (uint32_t i = 0; i < job.tasks.size(); ++i) {
       const task_progress& task = job.tasks[i];
-      const bool is_there = task.endpoint == index && IsUnderWay(task.phase);
+      const bool is_there = task.endpoint == index && IsInFlight(task.phase);
       if (is_there) tasks.push_back({id, i, task.attempt});
     }
   }
@@ -372,7 +372,7 @@
     task_progress* task = FindTask(sent_task.id, job);
     if (decided.contains(sent_task.id) || task == nullptr) continue;
     if (task->phase != task_phase::kSent) continue;
-    task->phase = task_phase::kMaybe;
+    task->phase = task_phase::kStartUnconfirmed;
     unsure.push_back(sent_task.id);
   }
   if (!unsure.empty()) SettleUnsure(index, token, unsure, now);
--- a/src/process/shard_evacuate.cc
+++ b/src/process/shard_evacuate.cc
@@ -27,7 +27,7 @@
   std::vector<request_id> waiting;
   for (const auto& [id, job] : jobs_) {
     const bool open = job.durable && !job.ended && !job.cancelled;
-    if (open && !WaitingOf(job).empty()) waiting.push_back(id);
+    if (open && !WaitingTasks(job).empty()) waiting.push_back(id);
   }
   evacuated_.left = 0;
   for (const request_id& id : waiting) {
@@ -37,7 +37,7 @@
       ++evacuated_.given_back;
       job.ever_ran = true;
       End(id, job,
-          RefusedOutcome(id, refusal_reason::kOwnerUnreachable, {}, "its domain was evacuated"),
+          RejectedOutcome(id, rejection_reason::kOwnerUnreachable, {}, "its domain was evacuated"),
           now);
     } else if (!job.spec.repeatable) {
       ++evacuated_.unknown;
@@ -52,7 +52,7 @@
 // Not before it is recorded: when the domain comes back, its owner reads here that these tasks are
 // not its own any more.
 bool shard::MoveTasks(const request_id& id, job_state& job, const task_split& split) {
-  const std::vector<uint32_t> tasks = WaitingOf(job);
+  const std::vector<uint32_t> tasks = WaitingTasks(job);
   const std::vector<job_part> to = split(job.spec, static_cast<uint32_t>(tasks.size()));
   if (to.empty()) return false;
   std::vector<std::string> where(job.tasks.size(), options_.name);
@@ -63,7 +63,7 @@
   for (const job_part& part : to) {
     for (uint32_t i = 0; i < part.tasks && next < tasks.size(); ++i) {
       where[tasks[next]] = part.shard;
-      job.tasks[tasks[next]].phase = task_phase::kElsewhere;
+      job.tasks[tasks[next]].phase = task_phase::kRemote;
       ++next;
     }
   }
@@ -87,7 +87,7 @@
   asked.spec.send = place.send;
   // Not fresh: the same identity may have run before the domain was lost.
   Reply(entry, asked,
-        surely_new ? RefusedOutcome(place.id, refusal_reason::kOwnerUnreachable, kComeBack, why)
+        surely_new ? RejectedOutcome(place.id, rejection_reason::kOwnerUnreachable, kComeBack, why)
                    : UnknownOutcome(place.id, why));
   return true;
 }
--- a/src/process/shard_parts.cc
+++ b/src/process/shard_parts.cc
@@ -25,7 +25,7 @@
   for (const job_part& part : job.spec.parts) {
     if (part.shard == options_.name) continue;
     for (uint32_t i = part.first; i < part.first + part.tasks && i < job.tasks.size(); ++i) {
-      job.tasks[i].phase = task_phase::kElsewhere;
+      job.tasks[i].phase = task_phase::kRemote;
     }
   }
 }
@@ -37,18 +37,18 @@
   std::vector<std::string> shards;
   for (const job_part& part : job.spec.parts) {
     const bool is_new = std::find(shards.begin(), shards.end(), part.shard) == shards.end();
-    const bool is_open = HasElsewhere(job, part);
+    const bool is_open = HasRemoteTasks(job, part);
     if (is_open && is_new) shards.push_back(part.shard);
   }
   if (shards.empty()) return;
   parts_.Open(id, shards, options_.epoch << kSendBits, now);
-  job.tell_accepted = now + kPartsAnswer;
-  untold_.emplace(job.tell_accepted, id);
+  job.report_accepted_by = now + kPartsAnswer;
+  untold_.emplace(job.report_accepted_by, id);
 }
 
 bool shard::MayTellAccepted(const request_id& id, const job_state& job, monotonic_time now) const {
   if (!job.accepted || !job.durable || job.ended || job.unrecorded_plans > 0) return false;
-  return parts_.Unplaced(id).empty() || now >= job.tell_accepted;
+  return parts_.Unplaced(id).empty() || now >= job.report_accepted_by;
 }
 
 outcome shard::Accepted(const request_id& id) const {
@@ -62,7 +62,7 @@
 
 void shard::TellAccepted(const request_id& id, job_state& job, monotonic_time now) {
   if (!MayTellAccepted(id, job, now)) return;
-  untold_.erase({job.tell_accepted, id});
+  untold_.erase({job.report_accepted_by, id});
   Answer(job, Accepted(id));
 }
 
@@ -95,7 +95,7 @@
   for (const job_part& part : job.spec.parts) {
     if (part.shard != answer.shard) continue;
     for (uint32_t i = part.first; i < part.first + part.tasks && i < job.tasks.size(); ++i) {
-      if (job.tasks[i].phase != task_phase::kElsewhere) continue;
+      if (job.tasks[i].phase != task_phase::kRemote) continue;
       const auto& failed = answer.failed;
       const bool well = std::find(failed.begin(), failed.end(), i) == failed.end();
       job.tasks[i].phase = well ? task_phase::kDone : task_phase::kFailed;
@@ -126,7 +126,7 @@
   for (const job_part& part : job.spec.parts) {
     if (part.shard != options_.name) continue;
     for (uint32_t i = part.first; i < part.first + part.tasks && i < job.tasks.size(); ++i) {
-      if (job.tasks[i].phase != task_phase::kElsewhere) continue;
+      if (job.tasks[i].phase != task_phase::kRemote) continue;
       job.tasks[i].phase = task_phase::kWaiting;
       core_.TakeIn(id, i);
     }
@@ -138,7 +138,7 @@
 // A part that was turned away here and that its home sends again, having recorded in between that
 // it was not here. The memory of the refusal is for placements from before that.
 bool shard::ComesAgain(const job_state& job, const place_message& place) const {
-  return job.ended && !job.end_untold && !job.cancelled && !place.home.empty() &&
+  return job.ended && !job.end_unreported && !job.cancelled && !place.home.empty() &&
          job.spec.home == place.home && place.plan > job.spec.plan &&
          job.ended->kind == outcome_kind::kRefused;
 }
@@ -153,7 +153,7 @@
 // The home has moved further tasks of the job here.
 void shard::TakeMore(const request_id& id, job_state& job, place_message place) {
   const bool grows = std::any_of(place.parts.begin(), place.parts.end(), [&](const job_part& part) {
-    return part.shard == options_.name && HasElsewhere(job, part);
+    return part.shard == options_.name && HasRemoteTasks(job, part);
   });
   if (!grows || job.unrecorded_plans > 0) return;
   job.spec.parts = std::move(place.parts);
@@ -171,7 +171,7 @@
   job.spec.home = what.home;
   job.spec.send = what.send;
   job.cancelled = true;
-  job.ended = RefusedOutcome(what.id, refusal_reason::kCancelled, {}, "");
+  job.ended = RejectedOutcome(what.id, rejection_reason::kCancelled, {}, "");
   job.forget_at = now + kPartMemory;
   ended_.emplace(job.forget_at, what.id);
   Reply(entry, job, *job.ended);
--- a/src/process/shard_restore.cc
+++ b/src/process/shard_restore.cc
@@ -19,7 +19,7 @@
     job.has_spec = true;
     job.durable = true;
     job.accepted = true;
-    job.awaits_lists = true;
+    job.awaits_listings = true;
     job.ever_ran = !from.done.empty() || !from.failed.empty();
     job.fault = std::move(from.fault);
     job.answer = std::move(from.answer);
@@ -45,7 +45,7 @@
   for (const request_id& id : std::exchange(restored_, {})) {
     job_state* job = Find(id);
     if (job == nullptr || job->ended) continue;
-    const std::vector<uint32_t> waiting = WaitingOf(*job);
+    const std::vector<uint32_t> waiting = WaitingTasks(*job);
     // In no list, and one of the lists is not whole: an earlier owner may have started it.
     if (!waiting.empty() && !job->spec.repeatable && !identities_.Certain(now)) {
       End(id, *job, UnknownOutcome(id, "it may have run where it is lost"), now);
@@ -53,7 +53,7 @@
     }
     Track(id, *job);
     core_.Resume(RequestOf(*job, now), waiting, now);
-    job->awaits_lists = false;
+    job->awaits_listings = false;
     if (!job->cancelled) continue;
     // Cancelled before the core knew it: it would run on, and its caller wait for ever.
     core_.Cancel(id, now);
--- a/src/process/shard_tasks.cc
+++ b/src/process/shard_tasks.cc
@@ -71,7 +71,7 @@
   EndIfOver(end.task.job, *job, now);
   if (job->ended || ProgressOf(*job).running > 0 || !parts_.AllOver(end.task.job)) return;
   const bool may_have_run = end.end == job_end::kUnknown;
-  const bool is_late = end.reason == refusal_reason::kDeadline;
+  const bool is_late = end.reason == rejection_reason::kDeadline;
   std::string detail = job->fault.empty() ? end.detail : job->fault;
   if (is_late && detail.empty()) detail = "its deadline passed before all of it had started";
   outcome told = FailedOutcome(end.task.job, detail);
@@ -111,7 +111,7 @@
 void shard::StartDidNotTake(const task_id& id, bool endpoint_fault, monotonic_time now) {
   job_state* job = nullptr;
   task_progress* task = FindTask(id, job);
-  if (task == nullptr || IsOver(task->phase)) return;
+  if (task == nullptr || IsFinished(task->phase)) return;
   task->phase = task_phase::kWaiting;
   core_.StartFailed(id, endpoint_fault, now);
   Note(event_code::kTaskStartFailed, id.job, endpoints_[task->endpoint].address.name);
@@ -122,7 +122,7 @@
                       milliseconds ran, monotonic_time now) {
   job_state* job = nullptr;
   task_progress* task = FindTask(id, job);
-  if (task == nullptr || IsOver(task->phase) || task->phase == task_phase::kWaiting) return;
+  if (task == nullptr || IsFinished(task->phase) || task->phase == task_phase::kWaiting) return;
   if (result == task_result::kLeaseLapsed) {
     LoseTask(id, now);
     return;
@@ -167,7 +167,7 @@
 void shard::LoseTask(const task_id& id, monotonic_time now) {
   job_state* job = nullptr;
   task_progress* task = FindTask(id, job);
-  if (task == nullptr || !IsUnderWay(task->phase)) return;
+  if (task == nullptr || !IsInFlight(task->phase)) return;
   const bool again = job->has_spec && job->spec.repeatable && !job->cancelled && !job->ended;
   if (again) {
     task->phase = task_phase::kWaiting;
@@ -210,20 +210,20 @@
 // run it: its caller had heard "cancelled" or "not run".
 void shard::End(const request_id& id, job_state& job, outcome result, monotonic_time now) {
   if (job.ended) return;
-  const bool never_recorded = result.reason == refusal_reason::kNotDurable;
+  const bool never_recorded = result.reason == rejection_reason::kNotDurable;
   const bool is_durable = IsDurable(job.spec.kind);
   const bool has_record = is_durable && job.has_spec && !never_recorded;
   gangs_.erase(id);
   services_.erase(id);
   deadlines_.erase({job.deadline, id});
-  untold_.erase({job.tell_accepted, id});
+  untold_.erase({job.report_accepted_by, id});
   parts_.Close(id);
-  job.end_untold = has_record && (job.cancelled || result.kind == outcome_kind::kRefused);
+  job.end_unreported = has_record && (job.cancelled || result.kind == outcome_kind::kRefused);
   job.ended = std::move(result);
   if (job.ended->kind == outcome_kind::kRefused) {
     for (const uint64_t ask : job.asks) refusals_.Add(id, ask, *job.ended, now);
   }
-  if (!job.end_untold) {
+  if (!job.end_unreported) {
     Answer(job, *job.ended);
     job.entries.clear();
   }
@@ -238,8 +238,8 @@
 
 void shard::OnEndRecorded(const request_id& id) {
   job_state* job = Find(id);
-  if (job == nullptr || !job->end_untold) return;
-  job->end_untold = false;
+  if (job == nullptr || !job->end_unreported) return;
+  job->end_unreported = false;
   Answer(*job, *job->ended);
   job->entries.clear();
 }
@@ -247,20 +247,20 @@
 void shard::EndIfOver(const request_id& id, job_state& job, monotonic_time now) {
   if (job.ended || !parts_.AllOver(id)) return;
   // It may run where no list has come from yet. Told "cancelled, not run" now, it would run on.
-  if (job.cancelled && job.awaits_lists) return;
+  if (job.cancelled && job.awaits_listings) return;
   // Its tasks may be elsewhere, or on their way: that none waits or runs here says nothing.
   const bool is_service = job.spec.kind == workload_kind::kService;
   const bool is_home = job.spec.home.empty();
-  const bool goes_on = is_service || job.unrecorded_plans > 0 || (is_home && HasElsewhere(job));
+  const bool goes_on = is_service || job.unrecorded_plans > 0 || (is_home && HasRemoteTasks(job));
   if (!job.spec.parts.empty() && !job.cancelled && goes_on) return;
-  if (std::optional<outcome> end = EndOf(job)) End(id, job, *std::move(end), now);
+  if (std::optional<outcome> end = FinalOutcome(job)) End(id, job, *std::move(end), now);
 }
 
-void shard::Refuse(const request_id& id, refusal_reason reason, milliseconds retry_after,
+void shard::Refuse(const request_id& id, rejection_reason reason, milliseconds retry_after,
                    std::string detail, monotonic_time now) {
   job_state* job = Find(id);
   if (job == nullptr || job->ended) return;
-  outcome refused = RefusedOutcome(id, reason, retry_after, std::move(detail));
+  outcome refused = RejectedOutcome(id, reason, retry_after, std::move(detail));
   // The core refuses what it has not started; for a job of which some task ran, "not run" would be
   // untrue of the whole.
   if (job->ever_ran) refused = FailedOutcome(id, "ended early: " + refused.detail);
@@ -294,7 +294,7 @@
     core_.Cancel(id, now);
     const job_progress progress = ProgressOf(*job);
     if (progress.running == 0) {
-      Refuse(id, refusal_reason::kDeadline, kComeBack, "the deadline passed in the queue", now);
+      Refuse(id, rejection_reason::kDeadline, kComeBack, "the deadline passed in the queue", now);
       continue;
     }
     // Its end may already stand at the endpoint and be on its way: "failed" could be untrue.
--- a/src/process/site/caller_front.h
+++ b/src/process/site/caller_front.h
@@ -22,13 +22,13 @@
 #include "process/site/site_records.h"
 #include "process/site/store_health.h"
 #include "process/site/version_plan.h"
-#include "request/packed_text.h"
+#include "request/text_compression.h"
 
 namespace catkinford {
 
 struct front_hooks {
   std::string entry;  // the name of this one
-  std::function<std::shared_ptr<const site_version>()> version;
+  std::function<std::shared_ptr<const site_configuration>()> version;
   std::function<version_trust(monotonic_time now)> trust;
   // From the owner, this entry or another; nothing when it does not answer or does not know.
   std::function<void(const std::string& job, std::function<void(std::optional<graph_phase>)>)>
@@ -65,11 +65,11 @@
     if (now.version == nullptr) {
       return Refuse(now, front_status::kUnavailable, "no_configuration_yet");
     }
-    const queue_terms* queue = now.version->QueueFor(now.request.host, now.request.path);
+    const queue_config* queue = now.version->QueueFor(now.request.host, now.request.path);
     if (queue == nullptr) return RefuseAbsent(now, front_status::kNotFound, "no_such_queue");
     now.queue = queue;
     now.id = now.request.path.substr(queue->prefix.size());
-    const workspace_terms* holder = now.version->HolderOf(now.request.bearer);
+    const workspace_config* holder = now.version->WorkspaceOfKey(now.request.bearer);
     if (!queue->anonymous && holder == nullptr) {
       return RefuseAbsent(now, front_status::kNoKey, "unknown_key");
     }
@@ -90,8 +90,8 @@
     monotonic_time arrived{};
     std::string id;
     std::string workspace;
-    std::shared_ptr<const site_version> version;
-    const queue_terms* queue = nullptr;  // of the version
+    std::shared_ptr<const site_configuration> version;
+    const queue_config* queue = nullptr;  // of the version
   };
   using shared_call = std::shared_ptr<call>;
 
@@ -325,8 +325,8 @@
                                 [&]() -> leaf::result<void> {
                                   BOOST_LEAF_ASSIGN(entry.job, JobFromText(job_text));
                                   if (!absent) {
-                                    const auto text = UnpackText(reply.items.front().value);
-                                    if (!text) return leaf::new_error(durable_fault{});
+                                    const auto text = DecompressText(reply.items.front().value);
+                                    if (!text) return leaf::new_error(record_parse_error{});
                                     ApplyProgress(entry, *text, BootNow());
                                   }
                                   return {};
--- a/src/process/site/peer_words.cc
+++ b/src/process/site/peer_words.cc
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "request/packed_text.h"
+#include "request/text_compression.h"
 
 namespace catkinford {
 namespace {
@@ -35,7 +35,7 @@
 // Lists of instances are long: they travel packed.
 template <typename T, typename Read>
 std::optional<T> ParsePacked(std::string_view bytes, Read read) {
-  const auto text = UnpackText(bytes);
+  const auto text = DecompressText(bytes);
   return text ? Parse<T>(*text, read) : std::nullopt;
 }
 
@@ -148,7 +148,7 @@
                  {"step", order.step},
                  {"instances", order.instances},
                  {"timeout_ms", question.timeout.count()}};
-  return PackText(out.dump());
+  return CompressText(out.dump());
 }
 
 std::optional<peer_question> PeerQuestionFromText(std::string_view text) {
@@ -166,7 +166,7 @@
                  {"overloaded", answer.overloaded},
                  {"allowed", answer.allowed},
                  {"valid_ms", answer.valid.count()}};
-  return PackText(out.dump());
+  return CompressText(out.dump());
 }
 
 std::optional<advice_answer> PeerAdviceFromText(std::string_view text) {
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -29,7 +29,7 @@
 #include "process/site/site_ports.h"
 #include "process/site/site_records.h"
 #include "process/site/site_settings.h"
-#include "request/packed_text.h"
+#include "request/text_compression.h"
 
 namespace catkinford {
 
@@ -72,7 +72,7 @@
         most_starts_(OptionsOf(settings, early).starts_in_flight),
         scheduler_(OptionsOf(settings, early), epoch, BootNow()) {}
 
-  void Start(std::shared_ptr<const site_version> version) {
+  void Start(std::shared_ptr<const site_configuration> version) {
     began_ = BootNow();
     scheduler_.SetVersion(std::move(version));
     LoadInbox("");
@@ -80,7 +80,7 @@
   // Ends it: no more orders. Answers under way are dropped.
   void End() { ended_ = true; }
 
-  void SetVersion(std::shared_ptr<const site_version> version) {
+  void SetVersion(std::shared_ptr<const site_configuration> version) {
     scheduler_.SetVersion(std::move(version));
     Soon();
   }
@@ -219,7 +219,7 @@
   }
 
   std::optional<std::string> Unpacked(const store_item& item) {
-    auto text = UnpackText(item.value);
+    auto text = DecompressText(item.value);
     if (!text) {
       log_.Write(site_event::kRecordUnreadable, BootNow(),
                  absl::StrCat("key=", LogField(item.key)));
@@ -324,7 +324,7 @@
     leaf::try_handle_all(
         [&]() -> leaf::result<void> {
           BOOST_LEAF_AUTO(job, JobFromText(item.value));
-          if (job.id != id) return leaf::new_error(durable_fault{});
+          if (job.id != id) return leaf::new_error(record_parse_error{});
           const auto progress = loaded_progress_.find(id);
           scheduler_.OnJob(std::move(job),
                            progress == loaded_progress_.end() ? std::string() : progress->second,
@@ -554,11 +554,11 @@
     declares_ = declares;
     withdraws_ = withdraws;
     for (const job_progress_write& write : writes) {
-      change.puts.push_back({kProgressPrefix + write.job, PackText(write.text), {}});
+      change.puts.push_back({kProgressPrefix + write.job, CompressText(write.text), {}});
     }
     std::optional<std::vector<instance_report>> fleet;
     if (std::exchange(fleet_unstored_, false)) {
-      change.puts.push_back({kFleetKey, PackText(fleet_text_), {}});
+      change.puts.push_back({kFleetKey, CompressText(fleet_text_), {}});
       fleet = fleet_;
     }
     // Deletes go alone: three keys a job would not leave room for progress.
--- a/src/process/site/site_ports.h
+++ b/src/process/site/site_ports.h
@@ -17,7 +17,7 @@
 #include "process/scheduling/scheduler_messages.h"
 #include "request/step_graph.h"
 #include "request/typed_error.h"
-#include "version/site_version.h"
+#include "version/site_configuration.h"
 
 namespace catkinford {
 
@@ -75,7 +75,7 @@
   { Platform::kMostInOneChange } -> std::convertible_to<size_t>;
   {
     Platform::DecodeVersion(view)
-  } -> std::same_as<leaf::result<std::shared_ptr<const site_version>>>;
+  } -> std::same_as<leaf::result<std::shared_ptr<const site_configuration>>>;
   { Platform::DecodeRegistration(view, view) } -> std::same_as<std::optional<instance_report>>;
   { Platform::DecodeSubmission(text, view) } -> std::same_as<leaf::result<graph_job>>;
   { Platform::EncodePhase(phase) } -> std::same_as<std::string>;
--- a/src/process/site/version_follow.h
+++ b/src/process/site/version_follow.h
@@ -53,7 +53,7 @@
   void Start() { Tick(); }
 
   // Null before the first one was read.
-  const std::shared_ptr<const site_version>& Version() const { return version_; }
+  const std::shared_ptr<const site_configuration>& Version() const { return version_; }
   const std::string& Text() const { return text_; }
   version_trust Trust(monotonic_time now) const { return plan_.Trust(now); }
   // The configuration here was the newest at this time.
@@ -224,7 +224,7 @@
   version_hooks hooks_;
   version_plan plan_;
   std::map<uint64_t, byte_counter> arrived_;  // of the calls under way
-  std::shared_ptr<const site_version> version_;
+  std::shared_ptr<const site_configuration> version_;
   std::string text_;
   bool confirmed_ = false;
 };
--- a/src/request/caller_call.cc
+++ b/src/request/caller_call.cc
@@ -16,10 +16,10 @@
 using std::chrono::milliseconds;
 
 // Bounds on what one job may say; over them the field is refused by name.
-constexpr uint64_t kMostTasks = 10000;
-constexpr uint64_t kMostAmount = 1U << 30;
-constexpr uint64_t kMostMs = 366ULL * 24 * 3600 * 1000;
-constexpr size_t kLongestKey = 256;
+constexpr uint64_t kMaxTasks = 10000;
+constexpr uint64_t kMaxAmount = 1U << 30;
+constexpr uint64_t kMaxDurationMs = 366ULL * 24 * 3600 * 1000;
+constexpr size_t kMaxKeyBytes = 256;
 constexpr std::array<std::string_view, 12> kJobFields = {
     "kind",       "tasks",           "cpu_milli",   "memory_mb",   "accelerators", "urgent",
     "repeatable", "idempotency_key", "deadline_ms", "run_time_ms", "payload",      "wait"};
@@ -30,32 +30,33 @@
  public:
   field_reader(const json& from, std::string prefix) : from_(from), prefix_(std::move(prefix)) {}
 
-  void Fail(const std::string& name, std::string want) {
-    if (!error_) error_ = call_error{422, "bad_field", prefix_ + name, std::move(want)};
+  void Fail(const std::string& name, std::string expected) {
+    if (!error_) error_ = call_error{422, "bad_field", prefix_ + name, std::move(expected)};
   }
-  bool Bool(const std::string& name, bool otherwise) {
+  bool Bool(const std::string& name, bool fallback) {
     const json* field = Field(name);
-    if (field == nullptr) return otherwise;
+    if (field == nullptr) return fallback;
     if (!field->is_boolean()) Fail(name, "true or false");
-    return field->is_boolean() ? field->get<bool>() : otherwise;
+    return field->is_boolean() ? field->get<bool>() : fallback;
   }
-  uint64_t Number(const std::string& name, uint64_t otherwise, uint64_t least, uint64_t most) {
+  uint64_t Number(const std::string& name, uint64_t fallback, uint64_t low, uint64_t high) {
     const json* field = Field(name);
-    if (field == nullptr) return otherwise;
-    const bool good = field->is_number_unsigned() && field->get<uint64_t>() >= least &&
-                      field->get<uint64_t>() <= most;
-    if (!good) Fail(name, absl::StrCat("a whole number from ", least, " to ", most));
-    return good ? field->get<uint64_t>() : otherwise;
+    if (field == nullptr) return fallback;
+    const bool valid = field->is_number_unsigned() && field->get<uint64_t>() >= low &&
+                       field->get<uint64_t>() <= high;
+    if (!valid) Fail(name, absl::StrCat("a whole number from ", low, " to ", high));
+    return valid ? field->get<uint64_t>() : fallback;
   }
   milliseconds Ms(const std::string& name) {
-    return milliseconds(static_cast<int64_t>(Number(name, 0, 1, kMostMs)));
+    return milliseconds(static_cast<int64_t>(Number(name, 0, 1, kMaxDurationMs)));
   }
-  std::string Text(const std::string& name, size_t longest) {
+  std::string Text(const std::string& name, size_t max_bytes) {
     const json* field = Field(name);
     if (field == nullptr) return {};
-    const bool good = field->is_string() && field->get_ref<const std::string&>().size() <= longest;
-    if (!good) Fail(name, absl::StrCat("a text of at most ", longest, " bytes"));
-    return good ? field->get<std::string>() : std::string();
+    const bool valid =
+        field->is_string() && field->get_ref<const std::string&>().size() <= max_bytes;
+    if (!valid) Fail(name, absl::StrCat("a text of at most ", max_bytes, " bytes"));
+    return valid ? field->get<std::string>() : std::string();
   }
   const std::optional<call_error>& Error() const { return error_; }
 
@@ -78,8 +79,7 @@
   return false;
 }
 
-leaf::result<job_spec> ReadJob(const json& from, const std::string& prefix,
-                               size_t longest_payload) {
+leaf::result<job_spec> ReadJob(const json& from, const std::string& prefix, size_t max_payload) {
   if (!from.is_object()) return leaf::new_error(call_error{422, "bad_field", prefix, "an object"});
   field_reader read(from, prefix);
   for (const auto& [name, value] : from.items()) {
@@ -90,24 +90,24 @@
   const std::optional<workload_kind> parsed = ParseWorkloadKind(kind);
   if (!parsed) read.Fail("kind", "interactive, service, batch or gang");
   spec.kind = parsed.value_or(workload_kind::kInteractive);
-  spec.tasks = static_cast<uint32_t>(read.Number("tasks", 1, 1, kMostTasks));
+  spec.tasks = static_cast<uint32_t>(read.Number("tasks", 1, 1, kMaxTasks));
   if (spec.kind == workload_kind::kInteractive && spec.tasks != 1) {
     read.Fail("tasks", "1 for interactive work");
   }
   if (!from.contains("cpu_milli")) read.Fail("cpu_milli", "is needed");
   if (!from.contains("memory_mb")) read.Fail("memory_mb", "is needed");
-  spec.each.cpu_milli = static_cast<uint32_t>(read.Number("cpu_milli", 0, 1, kMostAmount));
-  spec.each.memory_mb = static_cast<uint32_t>(read.Number("memory_mb", 0, 1, kMostAmount));
-  spec.each.accelerators = static_cast<uint32_t>(read.Number("accelerators", 0, 0, kMostAmount));
+  spec.each.cpu_milli = static_cast<uint32_t>(read.Number("cpu_milli", 0, 1, kMaxAmount));
+  spec.each.memory_mb = static_cast<uint32_t>(read.Number("memory_mb", 0, 1, kMaxAmount));
+  spec.each.accelerators = static_cast<uint32_t>(read.Number("accelerators", 0, 0, kMaxAmount));
   spec.each.slots = 1;
   spec.urgent = read.Bool("urgent", false);
   spec.repeatable = read.Bool("repeatable", true);
   spec.wait = read.Bool("wait", false);
   spec.first_ask = read.Bool(std::string(kFirstAskField), false);
-  spec.idempotency_key = read.Text("idempotency_key", kLongestKey);
+  spec.idempotency_key = read.Text("idempotency_key", kMaxKeyBytes);
   spec.deadline = read.Ms("deadline_ms");
   spec.run_time = read.Ms("run_time_ms");
-  spec.payload = read.Text("payload", longest_payload);
+  spec.payload = read.Text("payload", max_payload);
   if (read.Error()) return leaf::new_error(*read.Error());
   return spec;
 }
@@ -180,7 +180,7 @@
   if (job.empty()) return leaf::new_error(call_error{404, "unknown_path", "", path});
   const std::optional<request_id> id = ParseRequestId(job);
   if (!id) return leaf::new_error(call_error{422, "bad_field", "id", "32 hexadecimal digits"});
-  const auto wait = static_cast<int64_t>(std::min(QueryNumber(request, "wait_ms"), kMostMs));
+  const auto wait = static_cast<int64_t>(std::min(QueryNumber(request, "wait_ms"), kMaxDurationMs));
   return caller_call(status_call{*id, milliseconds(wait)});
 }
 
@@ -218,16 +218,16 @@
     case outcome_kind::kRefused:
       break;
   }
-  if (result.reason == refusal_reason::kUnknownKey) return 401;
-  if (result.reason == refusal_reason::kKindNotAllowed) return 403;
-  if (result.reason == refusal_reason::kCancelled) return 409;
-  if (result.reason == refusal_reason::kNeverFits) return 422;
+  if (result.reason == rejection_reason::kUnknownKey) return 401;
+  if (result.reason == rejection_reason::kKindNotAllowed) return 403;
+  if (result.reason == rejection_reason::kCancelled) return 409;
+  if (result.reason == rejection_reason::kNeverFits) return 422;
   return 503;
 }
 
 json ToJson(const outcome& result) {
   json body = {{"id", ToHex(result.id)}, {"outcome", ToText(result.kind)}};
-  if (result.reason != refusal_reason::kNone) body["reason"] = ToText(result.reason);
+  if (result.reason != rejection_reason::kNone) body["reason"] = ToText(result.reason);
   if (result.retry_after.count() > 0) body["retry_after_ms"] = result.retry_after.count();
   if (result.kind == outcome_kind::kCompleted) body["answer"] = result.answer;
   if (!result.detail.empty()) body["detail"] = result.detail;
@@ -275,8 +275,8 @@
   return {200, Dump({{"outcomes", std::move(list)}})};
 }
 
-http_response ErrorResponse(int status, const std::string& word, const std::string& detail) {
-  return ToResponse(call_error{status, word, "", detail});
+http_response ErrorResponse(int status, const std::string& code, const std::string& detail) {
+  return ToResponse(call_error{status, code, "", detail});
 }
 
 }  // namespace catkinford
--- a/src/request/caller_call.h
+++ b/src/request/caller_call.h
@@ -94,7 +94,7 @@
 http_response ToResponse(const outcome& result);
 http_response ToResponse(const std::vector<outcome>& results);
 // `{"error": word, ...}` with a status, for what has no further fields.
-http_response ErrorResponse(int status, const std::string& word, const std::string& detail = {});
+http_response ErrorResponse(int status, const std::string& code, const std::string& detail = {});
 
 }  // namespace catkinford
 
--- a/src/request/job_request.h
+++ b/src/request/job_request.h
@@ -50,9 +50,9 @@
 inline resources operator-(resources a, const resources& b) { return a -= b; }
 
 // Whether `need` goes into `room` in every amount.
-inline bool Fits(const resources& need, const resources& room) {
-  return need.cpu_milli <= room.cpu_milli && need.memory_mb <= room.memory_mb &&
-         need.accelerators <= room.accelerators && need.slots <= room.slots;
+inline bool Fits(const resources& need, const resources& available) {
+  return need.cpu_milli <= available.cpu_milli && need.memory_mb <= available.memory_mb &&
+         need.accelerators <= available.accelerators && need.slots <= available.slots;
 }
 
 // A difference that stops at zero in each amount.
--- a/src/request/job_state.cc
+++ b/src/request/job_state.cc
@@ -12,7 +12,7 @@
         ++progress.waiting;
         break;
       case task_phase::kSent:
-      case task_phase::kMaybe:
+      case task_phase::kStartUnconfirmed:
       case task_phase::kRunning:
         ++progress.running;
         break;
@@ -22,27 +22,26 @@
       case task_phase::kFailed:
         ++progress.failed;
         break;
-      case task_phase::kElsewhere:
+      case task_phase::kRemote:
         break;
     }
   }
   return progress;
 }
 
-bool HasElsewhere(const job_state& job) {
-  return std::any_of(job.tasks.begin(), job.tasks.end(), [](const task_progress& task) {
-    return task.phase == task_phase::kElsewhere;
-  });
+bool HasRemoteTasks(const job_state& job) {
+  return std::any_of(job.tasks.begin(), job.tasks.end(),
+                     [](const task_progress& task) { return task.phase == task_phase::kRemote; });
 }
 
-bool HasElsewhere(const job_state& job, const job_part& part) {
+bool HasRemoteTasks(const job_state& job, const job_part& part) {
   for (uint32_t i = part.first; i < part.first + part.tasks && i < job.tasks.size(); ++i) {
-    if (job.tasks[i].phase == task_phase::kElsewhere) return true;
+    if (job.tasks[i].phase == task_phase::kRemote) return true;
   }
   return false;
 }
 
-std::vector<uint32_t> WaitingOf(const job_state& job) {
+std::vector<uint32_t> WaitingTasks(const job_state& job) {
   std::vector<uint32_t> waiting;
   for (uint32_t i = 0; i < job.tasks.size(); ++i) {
     if (job.tasks[i].phase == task_phase::kWaiting) waiting.push_back(i);
@@ -50,7 +49,7 @@
   return waiting;
 }
 
-std::optional<outcome> EndOf(const job_state& job) {
+std::optional<outcome> FinalOutcome(const job_state& job) {
   const job_progress progress = ProgressOf(job);
   if (progress.running > 0) return std::nullopt;
   if (progress.waiting > 0 && !job.cancelled) return std::nullopt;
@@ -58,14 +57,14 @@
   end.id = job.spec.id;
   if (job.cancelled && !job.ever_ran) {
     end.kind = outcome_kind::kRefused;
-    end.reason = refusal_reason::kCancelled;
+    end.reason = rejection_reason::kCancelled;
     return end;
   }
   // Of a task that was another shard's when the job was cancelled, nobody saw a good end.
-  const bool cut_short = progress.waiting > 0 || (job.cancelled && HasElsewhere(job));
-  const bool whole = progress.failed == 0 && !cut_short;
-  end.kind = whole ? outcome_kind::kCompleted : outcome_kind::kFailed;
-  end.answer = whole ? job.answer : "";
+  const bool cut_short = progress.waiting > 0 || (job.cancelled && HasRemoteTasks(job));
+  const bool completed = progress.failed == 0 && !cut_short;
+  end.kind = completed ? outcome_kind::kCompleted : outcome_kind::kFailed;
+  end.answer = completed ? job.answer : "";
   end.detail = job.cancelled ? "cancelled" : job.fault;
   return end;
 }
--- a/src/request/job_state.h
+++ b/src/request/job_state.h
@@ -15,19 +15,21 @@
 
 enum class task_phase : uint8_t {
   kWaiting,
-  kSent,   // a start is under way
-  kMaybe,  // the reply to its start is lost; the next list of the endpoint decides
+  kSent,              // a start is under way
+  kStartUnconfirmed,  // the reply to its start is lost; the next list of the endpoint decides
   kRunning,
   kDone,
   kFailed,
-  kElsewhere,  // of a spread job: it lives in another shard
+  kRemote,  // of a spread job: it lives in another shard
 };
 
-inline bool IsOver(task_phase phase) {
+inline bool IsFinished(task_phase phase) {
   return phase == task_phase::kDone || phase == task_phase::kFailed;
 }
 // Started, or perhaps started, and not over.
-inline bool IsUnderWay(task_phase phase) { return phase != task_phase::kWaiting && !IsOver(phase); }
+inline bool IsInFlight(task_phase phase) {
+  return phase != task_phase::kWaiting && !IsFinished(phase);
+}
 
 struct task_progress {
   uint32_t attempt = 0;
@@ -41,7 +43,7 @@
   bool durable = false;   // its record is in the store
   bool accepted = false;  // the core has it
   bool cancelled = false;
-  bool awaits_lists = false;  // of an earlier owner: whether it runs is not known yet
+  bool awaits_listings = false;  // of an earlier owner: whether it runs is not known yet
   bool ever_ran = false;
   std::vector<std::string> entries;  // which wait for an outcome
   std::vector<uint64_t> asks;        // that were taken in, to be refused together
@@ -51,21 +53,21 @@
   monotonic_time deadline = monotonic_time::max();
   monotonic_time arrived{};  // until its first start
   // Of a spread job that waits for its parts' records: when its caller is told all the same.
-  monotonic_time tell_accepted = monotonic_time::max();
+  monotonic_time report_accepted_by = monotonic_time::max();
   std::optional<outcome> ended;
   uint32_t unrecorded_plans = 0;  // changes of `spec.parts` that the store does not have yet
   monotonic_time forget_at{};     // once it has ended
-  bool end_untold = false;        // its end is told once the store has it
+  bool end_unreported = false;    // its end is told once the store has it
 };
 
 job_progress ProgressOf(const job_state& job);
 // Whether any task, or any of a part, is another shard's.
-bool HasElsewhere(const job_state& job);
-bool HasElsewhere(const job_state& job, const job_part& part);
+bool HasRemoteTasks(const job_state& job);
+bool HasRemoteTasks(const job_state& job, const job_part& part);
 // Tasks that wait here.
-std::vector<uint32_t> WaitingOf(const job_state& job);
+std::vector<uint32_t> WaitingTasks(const job_state& job);
 // The job's end, once no task waits or runs; a service ends only when it is cancelled.
-std::optional<outcome> EndOf(const job_state& job);
+std::optional<outcome> FinalOutcome(const job_state& job);
 // Kinds whose acceptance means that their record is in the store.
 inline bool IsDurable(workload_kind kind) { return kind != workload_kind::kInteractive; }
 
--- a/src/request/outcome.cc
+++ b/src/request/outcome.cc
@@ -14,7 +14,7 @@
     "shutting_down", "unknown_key", "endpoint_refused"};
 
 // When a caller of an unknown end may ask for it again.
-constexpr std::chrono::milliseconds kAskAgain{1000};
+constexpr std::chrono::milliseconds kUnknownRetryAfter{1000};
 
 // The value whose name is `text`, by its place in `names`.
 template <typename Enum, size_t N>
@@ -29,13 +29,15 @@
 }  // namespace
 
 std::string_view ToText(outcome_kind kind) { return kOutcomeNames[static_cast<size_t>(kind)]; }
-std::string_view ToText(refusal_reason reason) { return kReasonNames[static_cast<size_t>(reason)]; }
+std::string_view ToText(rejection_reason reason) {
+  return kReasonNames[static_cast<size_t>(reason)];
+}
 
 std::optional<outcome_kind> ParseOutcomeKind(std::string_view text) {
   return FindByName<outcome_kind>(kOutcomeNames, text);
 }
-std::optional<refusal_reason> ParseRefusalReason(std::string_view text) {
-  return FindByName<refusal_reason>(kReasonNames, text);
+std::optional<rejection_reason> ParseRejectionReason(std::string_view text) {
+  return FindByName<rejection_reason>(kReasonNames, text);
 }
 
 outcome AcceptedOutcome(const request_id& id) {
@@ -45,8 +47,8 @@
   return result;
 }
 
-outcome RefusedOutcome(const request_id& id, refusal_reason reason,
-                       std::chrono::milliseconds retry_after, std::string detail) {
+outcome RejectedOutcome(const request_id& id, rejection_reason reason,
+                        std::chrono::milliseconds retry_after, std::string detail) {
   outcome result;
   result.id = id;
   result.kind = outcome_kind::kRefused;
@@ -68,7 +70,7 @@
   outcome result;
   result.id = id;
   result.kind = outcome_kind::kUnknown;
-  result.retry_after = kAskAgain;
+  result.retry_after = kUnknownRetryAfter;
   result.detail = std::move(detail);
   return result;
 }
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -20,7 +20,7 @@
   kUnknown,    // may have run
 };
 
-enum class refusal_reason : uint8_t {
+enum class rejection_reason : uint8_t {
   kNone,
   kNeverFits,         // no endpoint can ever hold it
   kOverLimit,         // the team's upper limit leaves no room before the deadline
@@ -38,14 +38,14 @@
 
 // The snake_case word of the protocol for each value.
 std::string_view ToText(outcome_kind kind);
-std::string_view ToText(refusal_reason reason);
+std::string_view ToText(rejection_reason reason);
 std::optional<outcome_kind> ParseOutcomeKind(std::string_view text);
-std::optional<refusal_reason> ParseRefusalReason(std::string_view text);
+std::optional<rejection_reason> ParseRejectionReason(std::string_view text);
 
 struct outcome {
   request_id id;
   outcome_kind kind = outcome_kind::kUnknown;
-  refusal_reason reason = refusal_reason::kNone;
+  rejection_reason reason = rejection_reason::kNone;
   std::chrono::milliseconds retry_after{0};  // for kRefused: when to come back; 0 = never
   std::string answer;                        // for kCompleted: what the endpoint returned
   std::string detail;                        // for people: which resource, which limit, why
@@ -53,8 +53,8 @@
 
 // The usual forms. What was refused comes with the time to come back, zero for never.
 outcome AcceptedOutcome(const request_id& id);
-outcome RefusedOutcome(const request_id& id, refusal_reason reason,
-                       std::chrono::milliseconds retry_after, std::string detail);
+outcome RejectedOutcome(const request_id& id, rejection_reason reason,
+                        std::chrono::milliseconds retry_after, std::string detail);
 outcome FailedOutcome(const request_id& id, std::string detail);
 // May have run; its caller may ask again a little later.
 outcome UnknownOutcome(const request_id& id, std::string detail);
--- a/src/request/step_graph.cc
+++ b/src/request/step_graph.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "request/packed_text.h"
+#include "request/text_compression.h"
 
 namespace catkinford {
 namespace {
@@ -11,7 +11,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-json StepToJson(const step_terms& step) {
+json StepToJson(const step_spec& step) {
   json out;
   out["n"] = step.count;
   out["cpu"] = step.need.cpu_milli;
@@ -27,15 +27,15 @@
   if (step.fills) out["fill"] = true;
   if (!step.required_label.empty()) out["label"] = step.required_label;
   if (!step.data_rack.empty()) out["data"] = step.data_rack;
-  if (step.most_per_instance > 0) out["most"] = step.most_per_instance;
+  if (step.max_per_instance > 0) out["most"] = step.max_per_instance;
   if (!step.image.empty()) out["image"] = step.image;
-  if (step.tail_target.count() > 0) out["tail"] = step.tail_target.count();
-  if (step.may_miss > 0) out["miss"] = step.may_miss;
+  if (step.tail_latency_target.count() > 0) out["tail"] = step.tail_latency_target.count();
+  if (step.max_unavailable > 0) out["miss"] = step.max_unavailable;
   return out;
 }
 
-step_terms StepFromJson(const json& in) {
-  step_terms step;
+step_spec StepFromJson(const json& in) {
+  step_spec step;
   step.count = in.at("n").get<uint32_t>();
   step.need.cpu_milli = in.at("cpu").get<uint32_t>();
   step.need.memory_mb = in.at("mem").get<uint32_t>();
@@ -50,10 +50,10 @@
   step.fills = in.value("fill", false);
   step.required_label = in.value("label", std::string());
   step.data_rack = in.value("data", std::string());
-  step.most_per_instance = in.value("most", uint32_t{0});
+  step.max_per_instance = in.value("most", uint32_t{0});
   step.image = in.value("image", std::string());
-  step.tail_target = milliseconds(in.value("tail", int64_t{0}));
-  step.may_miss = in.value("miss", uint32_t{0});
+  step.tail_latency_target = milliseconds(in.value("tail", int64_t{0}));
+  step.max_unavailable = in.value("miss", uint32_t{0});
   return step;
 }
 
@@ -82,7 +82,7 @@
 int64_t Millis(wall_time time) { return time.time_since_epoch().count(); }
 wall_time FromMillis(int64_t millis) { return wall_time(milliseconds(millis)); }
 
-bool DependsOnEarlier(const std::vector<step_terms>& steps) {
+bool DependsOnEarlier(const std::vector<step_spec>& steps) {
   for (size_t i = 0; i < steps.size(); ++i) {
     for (const uint32_t earlier : steps[i].after) {
       if (earlier >= i) return false;
@@ -127,9 +127,9 @@
   if (job.steps.empty()) return leaf::new_error(graph_fault::kNoSteps);
   if (job.steps.size() > kMaxSteps) return leaf::new_error(graph_fault::kTooManySteps);
   if (job.payload.size() > kMaxPayload) return leaf::new_error(graph_fault::kPayloadTooLong);
-  for (const step_terms& step : job.steps) {
+  for (const step_spec& step : job.steps) {
     if (step.count == 0) return leaf::new_error(graph_fault::kNoTasks);
-    if (step.count > kMaxTasksOfStep) return leaf::new_error(graph_fault::kTooManyTasks);
+    if (step.count > kMaxTasksPerStep) return leaf::new_error(graph_fault::kTooManyTasks);
   }
   if (!DependsOnEarlier(job.steps)) return leaf::new_error(graph_fault::kBadDependency);
   if (job.repeats > kMaxOccurrences || (job.repeats > 1 && job.interval.count() <= 0)) {
@@ -138,14 +138,14 @@
   return {};
 }
 
-milliseconds LongestChain(const std::vector<step_terms>& steps,
-                          std::span<const milliseconds> takes) {
+milliseconds CriticalPathLength(const std::vector<step_spec>& steps,
+                                std::span<const milliseconds> durations) {
   std::vector<milliseconds> ends(steps.size(), milliseconds{0});
   milliseconds longest{0};
   for (size_t i = 0; i < steps.size(); ++i) {
     milliseconds begin{0};
     for (const uint32_t earlier : steps[i].after) begin = std::max(begin, ends[earlier]);
-    ends[i] = begin + takes[i];
+    ends[i] = begin + durations[i];
     longest = std::max(longest, ends[i]);
   }
   return longest;
@@ -166,17 +166,17 @@
     out["repeats"] = job.repeats;
   }
   json steps = json::array();
-  for (const step_terms& step : job.steps) steps.push_back(StepToJson(step));
+  for (const step_spec& step : job.steps) steps.push_back(StepToJson(step));
   out["steps"] = std::move(steps);
   // A payload may hold bytes that are no UTF-8: they must not make the record unwritable.
-  return PackText(out.dump(-1, ' ', false, json::error_handler_t::replace));
+  return CompressText(out.dump(-1, ' ', false, json::error_handler_t::replace));
 }
 
 leaf::result<graph_job> JobFromText(std::string_view bytes) {
-  const auto text = UnpackText(bytes);
-  if (!text) return leaf::new_error(durable_fault{});
+  const auto text = DecompressText(bytes);
+  if (!text) return leaf::new_error(record_parse_error{});
   const json in = json::parse(*text, nullptr, false);
-  if (!in.is_object()) return leaf::new_error(durable_fault{});
+  if (!in.is_object()) return leaf::new_error(record_parse_error{});
   graph_job job;
   try {
     job.id = in.at("id").get<std::string>();
@@ -191,10 +191,10 @@
     job.repeats = in.value("repeats", uint32_t{0});
     for (const json& step : in.at("steps")) job.steps.push_back(StepFromJson(step));
   } catch (const json::exception&) {
-    return leaf::new_error(durable_fault{});
+    return leaf::new_error(record_parse_error{});
   }
-  leaf::result<void> sound = CheckGraph(job);
-  if (!sound) return sound.error();
+  leaf::result<void> valid = CheckGraph(job);
+  if (!valid) return valid.error();
   return job;
 }
 
--- a/src/request/step_graph.h
+++ b/src/request/step_graph.h
@@ -17,23 +17,23 @@
 using wall_time = std::chrono::time_point<std::chrono::system_clock, std::chrono::milliseconds>;
 
 // One step: `count` tasks of the same shape.
-struct step_terms {
+struct step_spec {
   uint32_t count = 1;
   resources need;                         // of one task
   std::chrono::milliseconds estimate{0};  // of one task; often wrong
   std::vector<uint32_t> after;            // earlier steps that must be done first
   bool checkpointing = false;
-  bool gang = false;                         // all tasks run at the same time or none does
-  bool same_rack = false;                    // slower when spread over racks
-  bool speculative = false;                  // copies may run at the same time
-  bool long_running = false;                 // runs until the job is cancelled
-  bool fills = false;                        // its processors are what others leave unused
-  std::string required_label;                // of the instance; empty: any
-  std::string data_rack;                     // slower elsewhere; empty: no matter
-  uint32_t most_per_instance = 0;            // tasks of this step; 0: no limit
-  std::string image;                         // tasks of one image behave alike
-  std::chrono::milliseconds tail_target{0};  // of a serving task's response times; 0: none
-  uint32_t may_miss = 0;                     // tasks that may be away by our own doing
+  bool gang = false;                                 // all tasks run at the same time or none does
+  bool same_rack = false;                            // slower when spread over racks
+  bool speculative = false;                          // copies may run at the same time
+  bool long_running = false;                         // runs until the job is cancelled
+  bool fills = false;                                // its processors are what others leave unused
+  std::string required_label;                        // of the instance; empty: any
+  std::string data_rack;                             // slower elsewhere; empty: no matter
+  uint32_t max_per_instance = 0;                     // tasks of this step; 0: no limit
+  std::string image;                                 // tasks of one image behave alike
+  std::chrono::milliseconds tail_latency_target{0};  // of a serving task's response times; 0: none
+  uint32_t max_unavailable = 0;                      // tasks that may be away by our own doing
 };
 
 // What a queue promises its jobs; copied into each job, which may outlive its queue.
@@ -52,7 +52,7 @@
   std::string workspace;    // empty: the queue takes anonymous jobs
   std::string payload;      // for the instances; not read here
   std::string accepted_by;  // the entry that took it; empty in records of earlier programs
-  std::vector<step_terms> steps;
+  std::vector<step_spec> steps;
   job_terms terms;
   wall_time accepted{};
   wall_time first_run{};                  // of a repeated job
@@ -78,18 +78,18 @@
 constexpr size_t kGraphIdLength = 16;
 constexpr size_t kMaxPayload = 4000;          // bytes; the callers' interface allows no more
 constexpr size_t kMaxSteps = 64;              // keeps a job's progress far below a store value
-constexpr uint32_t kMaxTasksOfStep = 10000;   // the same
+constexpr uint32_t kMaxTasksPerStep = 10000;  // the same
 constexpr uint32_t kMaxOccurrences = 100000;  // the same; occurrences are made when due
 
 bool IsGraphId(std::string_view id);
 leaf::result<void> CheckGraph(const graph_job& job);
 
 // The longest chain through the graph, by how long each step takes.
-std::chrono::milliseconds LongestChain(const std::vector<step_terms>& steps,
-                                       std::span<const std::chrono::milliseconds> takes);
+std::chrono::milliseconds CriticalPathLength(const std::vector<step_spec>& steps,
+                                             std::span<const std::chrono::milliseconds> durations);
 
-// The durable form. Parse: an error of type durable_fault for bytes that name no job.
-struct durable_fault {};
+// The durable form. Parse: an error of type record_parse_error for bytes that name no job.
+struct record_parse_error {};
 std::string JobToText(const graph_job& job);
 leaf::result<graph_job> JobFromText(std::string_view text);
 
--- a/src/request/typed_error.h
+++ b/src/request/typed_error.h
@@ -17,8 +17,8 @@
 std::optional<Error> ErrorOf(Function&& function) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::optional<Error>> {
-        auto ended = std::forward<Function>(function)();
-        if (!ended) return ended.error();
+        auto returned = std::forward<Function>(function)();
+        if (!returned) return returned.error();
         return std::optional<Error>();
       },
       [](const Error& error) { return std::optional<Error>(error); },
--- a/src/version/config_history.cc
+++ b/src/version/config_history.cc
@@ -15,11 +15,11 @@
   json array = json::array();
   for (const past_version& past : list) {
     array.push_back({{"version", past.version},
-                     {"stored", past.stored},
+                     {"stored", past.text_revision},
                      {"bytes", past.bytes},
-                     {"at_ms", past.wall.count()},
+                     {"at_ms", past.changed_at.count()},
                      {"by", past.by},
-                     {"what", past.what}});
+                     {"what", past.summary}});
   }
   return array;
 }
@@ -29,11 +29,11 @@
   for (const json& item : ArrayAt(from, field)) {
     past_version past;
     past.version = NumberAt(item, "version");
-    past.stored = NumberAt(item, "stored");
+    past.text_revision = NumberAt(item, "stored");
     past.bytes = NumberAt(item, "bytes");
-    past.wall = std::chrono::milliseconds(static_cast<int64_t>(NumberAt(item, "at_ms")));
+    past.changed_at = std::chrono::milliseconds(static_cast<int64_t>(NumberAt(item, "at_ms")));
     past.by = TextAt(item, "by");
-    past.what = TextAt(item, "what");
+    past.summary = TextAt(item, "what");
     if (past.version != 0) list.push_back(std::move(past));
   }
   return list;
@@ -52,7 +52,7 @@
   return !versions_.empty() && versions_.back().version > version;
 }
 
-void config_history::Add(past_version past, const history_bounds& bounds) {
+void config_history::Add(past_version past, const history_limits& bounds) {
   versions_.push_back(std::move(past));
   uint64_t bytes =
       std::accumulate(versions_.begin(), versions_.end(), uint64_t{0},
@@ -65,7 +65,7 @@
   }
 }
 
-void config_history::Forget(uint64_t version) {
+void config_history::RemoveDropped(uint64_t version) {
   std::erase_if(dropped_, [version](const past_version& each) { return each.version == version; });
 }
 
@@ -75,10 +75,10 @@
   config_history history;
   history.versions_ = ReadList(body, "versions");
   history.dropped_ = ReadList(body, "dropped");
-  const auto falls = std::adjacent_find(
+  const auto unsorted = std::adjacent_find(
       history.versions_.begin(), history.versions_.end(),
       [](const past_version& a, const past_version& b) { return a.version >= b.version; });
-  if (falls != history.versions_.end()) return std::nullopt;
+  if (unsorted != history.versions_.end()) return std::nullopt;
   return history;
 }
 
--- a/src/version/config_history.h
+++ b/src/version/config_history.h
@@ -15,15 +15,15 @@
 
 struct past_version {
   uint64_t version = 0;
-  uint64_t stored = 0;  // revision of the key that holds its text; deleting it needs this
-  uint64_t bytes = 0;   // of its text
-  std::chrono::milliseconds wall{0};  // since 1970
-  std::string by;                     // name of the operator's key
-  std::string what;                   // what it changed, in short
+  uint64_t text_revision = 0;  // revision of the key that holds its text; deleting it needs this
+  uint64_t bytes = 0;          // of its text
+  std::chrono::milliseconds changed_at{0};  // since 1970
+  std::string by;                           // name of the operator's key
+  std::string summary;                      // what it changed, in short
 };
 
 // How much is kept; the oldest gives way first.
-struct history_bounds {
+struct history_limits {
   size_t versions = 200;
   uint64_t bytes = 16U << 20;
 };
@@ -34,9 +34,9 @@
   // A later version was in force, so this one no longer is.
   bool IsSuperseded(uint64_t version) const;
   // Neither of the two above.
-  void Add(past_version past, const history_bounds& bounds);
+  void Add(past_version past, const history_limits& bounds);
   // The text of a dropped version has been deleted.
-  void Forget(uint64_t version);
+  void RemoveDropped(uint64_t version);
 
   const std::vector<past_version>& Versions() const { return versions_; }  // oldest first
   // Out of the list; their texts may still be in the store.
--- a/src/version/config_signature.h
+++ b/src/version/config_signature.h
@@ -12,8 +12,9 @@
 struct config_signature {
   std::string write_id;  // tells a lost reply's write from another operator's equal text
   std::string by;        // name of the operator's key; never the key
-  std::chrono::milliseconds wall{0};  // since 1970, by the clock of the entry that took the change
-  std::string what;                   // what it changed, in short; one line
+  std::chrono::milliseconds changed_at{
+      0};               // since 1970, by the clock of the entry that took the change
+  std::string summary;  // what it changed, in short; one line
 };
 
 std::string SignConfiguration(std::string_view text, const config_signature& signature);
--- a/src/version/version_order.cc
+++ b/src/version/config_version_tracker.cc
@@ -1,4 +1,4 @@
-#include "version/version_order.h"
+#include "version/config_version_tracker.h"
 
 #include <algorithm>
 #include <map>
@@ -7,22 +7,22 @@
 
 namespace catkinford {
 
-version_order::version_order(std::chrono::milliseconds key_grace)
+config_version_tracker::config_version_tracker(std::chrono::milliseconds key_grace)
     : key_grace_(key_grace),
       config_(std::make_shared<configuration>()),
       ring_(std::make_shared<key_ring>(*config_)) {}
 
-bool version_order::Offer(uint64_t version, std::string text, monotonic_time now) {
+bool config_version_tracker::Offer(uint64_t version, std::string text, monotonic_time now) {
   // A late reply or a peer that lags brings an old version: an operator would see an accepted
   // change disappear. Versions only rise.
   if (version <= version_) return false;
   if (refused_ && refused_->version == version) return false;
   std::variant<configuration, contract_error> parsed = ParseConfiguration(text);
   if (const auto* error = std::get_if<contract_error>(&parsed)) {
-    refused_ = refused_version{version, *error};
+    refused_ = rejected_version{version, *error};
     return false;
   }
-  if (version_ != 0) step_ = version_step{version_, version, StepBetween(text_, text)};
+  if (version_ != 0) last_delta_ = version_delta{version_, version, MakeDelta(text_, text)};
   version_ = version;
   text_ = std::move(text);
   config_ = std::make_shared<configuration>(std::move(std::get<configuration>(parsed)));
@@ -32,22 +32,22 @@
   return true;
 }
 
-void version_order::Confirm(uint64_t version, monotonic_time now) {
+void config_version_tracker::Confirm(uint64_t version, monotonic_time now) {
   if (version_ != 0 && version <= version_) confirmed_ = std::max(confirmed_.value_or(now), now);
 }
 
-std::optional<std::string> version_order::After(const version_step& step) const {
-  if (version_ == 0 || step.base != version_) return std::nullopt;
-  return ApplyStep(text_, step.change);
+std::optional<std::string> config_version_tracker::TextAfter(const version_delta& delta) const {
+  if (version_ == 0 || delta.base != version_) return std::nullopt;
+  return ApplyDelta(text_, delta.change);
 }
 
-void version_order::OnPeerVersion(std::string_view peer, uint64_t version) {
+void config_version_tracker::OnPeerVersion(std::string_view peer, uint64_t version) {
   peers_[std::string(peer)] = version;
 }
 
-void version_order::ForgetPeer(std::string_view peer) { peers_.erase(std::string(peer)); }
+void config_version_tracker::ForgetPeer(std::string_view peer) { peers_.erase(std::string(peer)); }
 
-std::optional<std::string> version_order::NewerPeer() const {
+std::optional<std::string> config_version_tracker::NewerPeer() const {
   const std::string* newest = nullptr;
   uint64_t highest = version_;
   for (const auto& [name, version] : peers_) {
@@ -60,8 +60,9 @@
   return *newest;
 }
 
-in_force_report version_order::InForce(uint64_t version, std::string_view own_domain,
-                                       const std::vector<version_member>& members) const {
+propagation_report config_version_tracker::Propagation(
+    uint64_t version, std::string_view own_domain,
+    const std::vector<version_member>& members) const {
   std::map<std::string, bool> confirmed;
   confirmed[std::string(own_domain)] = version_ >= version;
   for (const version_member& member : members) {
@@ -70,15 +71,15 @@
     const auto [domain, added] = confirmed.try_emplace(member.failure_domain, has_it);
     if (!added) domain->second = domain->second && has_it;
   }
-  in_force_report report;
+  propagation_report report;
   for (const auto& [domain, all] : confirmed) {
-    (all ? report.in_force : report.pending).push_back(domain);
+    (all ? report.in_effect : report.pending).push_back(domain);
   }
   return report;
 }
 
-bool version_order::ConfirmedByAll(const std::vector<std::string>& other_domains,
-                                   const std::vector<version_member>& reachable) const {
+bool config_version_tracker::ConfirmedByAll(const std::vector<std::string>& other_domains,
+                                            const std::vector<version_member>& reachable) const {
   return std::all_of(
       other_domains.begin(), other_domains.end(), [&](const std::string& other_domain) {
         return std::any_of(reachable.begin(), reachable.end(), [&](const version_member& member) {
@@ -89,7 +90,7 @@
       });
 }
 
-bool version_order::KeysTrusted(monotonic_time now) const {
+bool config_version_tracker::KeysTrusted(monotonic_time now) const {
   return confirmed_ && now - *confirmed_ <= key_grace_;
 }
 
--- a/src/version/version_order.h
+++ b/src/version/config_version_tracker.h
@@ -1,7 +1,7 @@
 // The newest configuration that this process has seen, who has confirmed which version, and
 // whether keys may still be trusted. Pure: news and the present time come in.
-#ifndef CATKINFORD_VERSION_VERSION_ORDER_H_
-#define CATKINFORD_VERSION_VERSION_ORDER_H_
+#ifndef CATKINFORD_VERSION_CONFIG_VERSION_TRACKER_H_
+#define CATKINFORD_VERSION_CONFIG_VERSION_TRACKER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +15,7 @@
 #include "request/job_request.h"
 #include "version/contract.h"
 #include "version/key_ring.h"
-#include "version/text_step.h"
+#include "version/text_delta.h"
 
 namespace catkinford {
 
@@ -26,28 +26,28 @@
 };
 
 // Where a version is in force: in a domain whose entries have all confirmed it.
-struct in_force_report {
-  std::vector<std::string> in_force;  // sorted
-  std::vector<std::string> pending;   // sorted
+struct propagation_report {
+  std::vector<std::string> in_effect;  // sorted
+  std::vector<std::string> pending;    // sorted
 };
 
 // A document that was offered and not taken.
-struct refused_version {
+struct rejected_version {
   uint64_t version = 0;
   contract_error error;
 };
 
 // From one version to a later one.
-struct version_step {
+struct version_delta {
   uint64_t base = 0;
   uint64_t version = 0;
-  text_step change;
+  text_delta change;
 };
 
-class version_order {
+class config_version_tracker {
  public:
   // `key_grace`: how long keys are trusted after the last confirmation.
-  explicit version_order(std::chrono::milliseconds key_grace);
+  explicit config_version_tracker(std::chrono::milliseconds key_grace);
 
   // True when `version` is newer and readable; then it is in force here. A version that cannot be
   // read is kept as Refused(), and the old one stays in force.
@@ -55,15 +55,15 @@
   // A store read, or peers of all other failure domains, have said that `version` is the newest.
   void Confirm(uint64_t version, monotonic_time now);
   // What makes the version in force here out of `base`; absent until there was a version before.
-  const std::optional<version_step>& Step() const { return step_; }
+  const std::optional<version_delta>& LastDelta() const { return last_delta_; }
   // The text of the version that `step` makes, if what is in force here is its base.
-  std::optional<std::string> After(const version_step& step) const;
+  std::optional<std::string> TextAfter(const version_delta& delta) const;
 
   uint64_t Version() const { return version_; }
   const std::string& Text() const { return text_; }
   std::shared_ptr<const configuration> Config() const { return config_; }
   std::shared_ptr<const key_ring> Ring() const { return ring_; }
-  const std::optional<refused_version>& Refused() const { return refused_; }
+  const std::optional<rejected_version>& Refused() const { return refused_; }
 
   // What a peer says is in force there. The latest word counts, also a lower one: a process that
   // was replaced under the same name starts with nothing.
@@ -72,8 +72,8 @@
   // The highest version that any peer has; over Version(): ask that peer for it.
   std::optional<std::string> NewerPeer() const;
   // Over `members`, this process not among them, and its own failure domain.
-  in_force_report InForce(uint64_t version, std::string_view own_domain,
-                          const std::vector<version_member>& members) const;
+  propagation_report Propagation(uint64_t version, std::string_view own_domain,
+                                 const std::vector<version_member>& members) const;
 
   // Whether every one of `other_domains` has a member in `reachable` with exactly our version. Only
   // all of them together tell that nothing newer was accepted: two domains that are cut off from
@@ -90,8 +90,8 @@
   std::string text_;
   std::shared_ptr<const configuration> config_;
   std::shared_ptr<const key_ring> ring_;
-  std::optional<refused_version> refused_;
-  std::optional<version_step> step_;
+  std::optional<rejected_version> refused_;
+  std::optional<version_delta> last_delta_;
   std::optional<monotonic_time> confirmed_;
   absl::flat_hash_map<std::string, uint64_t> peers_;
 };
@@ -101,4 +101,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_VERSION_VERSION_ORDER_H_
+#endif  // CATKINFORD_VERSION_CONFIG_VERSION_TRACKER_H_
--- a/src/version/contract.cc
+++ b/src/version/contract.cc
@@ -16,16 +16,16 @@
 using nlohmann::json;
 using nlohmann::ordered_json;
 
-constexpr double kWholeFloor = 100.0;     // per cent
-constexpr double kShareRounding = 1e-6;   // per cent; sums such as 3 x 33.333333
-constexpr double kSmallestShare = 0.001;  // per cent
+constexpr double kMaxTotalShare = 100.0;  // per cent
+constexpr double kShareTolerance = 1e-6;  // per cent; sums such as 3 x 33.333333
+constexpr double kMinShare = 0.001;       // per cent
 constexpr size_t kSaltDigits = 16;
 constexpr size_t kHashDigits = 64;
-constexpr uint32_t kLargestAmount = 4000000000;  // of a limit
-constexpr uint32_t kLargestQueue = 1000000;      // waiting tasks of a team in one shard
-constexpr uint32_t kDefaultQueue = 1000;
+constexpr uint32_t kMaxLimitAmount = 4000000000;  // of a limit
+constexpr uint32_t kMaxQueueLimit = 1000000;      // waiting tasks of a team in one shard
+constexpr uint32_t kDefaultQueueLimit = 1000;
 
-constexpr size_t kLongestEndpointName = 128;
+constexpr size_t kMaxEndpointNameLength = 128;
 
 constexpr std::array<std::string_view, 8> kFaultNames = {
     "not_json",     "unknown_field",  "missing_field", "wrong_type",
@@ -35,7 +35,7 @@
 using name_set = absl::flat_hash_set<std::string>;
 
 bool IsEndpointName(const std::string& name) {
-  return !name.empty() && name.size() <= kLongestEndpointName &&
+  return !name.empty() && name.size() <= kMaxEndpointNameLength &&
          std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < '\x7f'; });
 }
 
@@ -43,7 +43,7 @@
 class configuration_reader {
  public:
   configuration Read(const json& document);
-  const contract_faults& Faults() const { return faults_; }
+  const first_contract_error& Faults() const { return faults_; }
 
  private:
   void ReadWorkspace(const json& value, const std::string& path, workspace_contract& workspace);
@@ -56,7 +56,7 @@
   void CheckUrgentKinds(const team_contract& team, const std::string& path);
   void CheckUnique(name_set& names, const std::string& name, const std::string& path);
 
-  contract_faults faults_;
+  first_contract_error faults_;
   name_set workspace_names_;
   name_set team_names_;
   name_set salts_;
@@ -81,7 +81,7 @@
     key.hash = reader.Hex("hash", kHashDigits);
     key.withdrawn = reader.Flag("withdrawn", false);
     key.is_operator = is_operator;
-    reader.End();
+    reader.RejectUnknownFields();
     CheckUnique(names, key.name, reader.PathOf("name"));
     CheckUnique(salts_, key.salt, reader.PathOf("salt"));
     keys.push_back(std::move(key));
@@ -116,11 +116,11 @@
 void configuration_reader::ReadLimit(const json& value, const std::string& path,
                                      team_contract& team) {
   json_object_reader reader(value, path, faults_);
-  team.limit.cpu_milli = reader.Count("cpu_milli", kLargestAmount, std::nullopt);
-  team.limit.memory_mb = reader.Count("memory_mb", kLargestAmount, std::nullopt);
-  team.limit.accelerators = reader.Count("accelerators", kLargestAmount, 0);
-  team.running_limit = reader.Count("running", kLargestAmount, std::nullopt);
-  reader.End();
+  team.limit.cpu_milli = reader.Count("cpu_milli", kMaxLimitAmount, std::nullopt);
+  team.limit.memory_mb = reader.Count("memory_mb", kMaxLimitAmount, std::nullopt);
+  team.limit.accelerators = reader.Count("accelerators", kMaxLimitAmount, 0);
+  team.running_limit = reader.Count("running", kMaxLimitAmount, std::nullopt);
+  reader.RejectUnknownFields();
 }
 
 // Urgent work of a kind that the team may not submit is a slip of the operator's: said at once,
@@ -139,21 +139,21 @@
   json_object_reader reader(value, path, faults_);
   team.name = reader.Name("name");
   CheckUnique(team_names_, team.name, reader.PathOf("name"));
-  team.share = reader.Number("share", kSmallestShare, kWholeFloor);
+  team.share = reader.Number("share", kMinShare, kMaxTotalShare);
   share_sum_ += team.share;
-  if (share_sum_ > kWholeFloor + kShareRounding) {
+  if (share_sum_ > kMaxTotalShare + kShareTolerance) {
     faults_.Add(contract_fault::kSharesOverWhole, reader.PathOf("share"),
                 absl::StrCat(share_sum_, " together"));
   }
   if (const json* limit = reader.Object("limit"); limit != nullptr) {
     ReadLimit(*limit, reader.PathOf("limit"), team);
   }
-  team.queue_limit = reader.Count("queue_limit", kLargestQueue, kDefaultQueue);
+  team.queue_limit = reader.Count("queue_limit", kMaxQueueLimit, kDefaultQueueLimit);
   team.kinds = ReadKinds(reader.Array("kinds", true), reader.PathOf("kinds"));
   team.urgent_kinds = ReadKinds(reader.Array("urgent_kinds", false), reader.PathOf("urgent_kinds"));
   CheckUrgentKinds(team, reader.PathOf("urgent_kinds"));
   ReadKeys(reader.Array("keys", false), reader.PathOf("keys"), false, team.keys);
-  reader.End();
+  reader.RejectUnknownFields();
 }
 
 void configuration_reader::ReadWorkspace(const json& value, const std::string& path,
@@ -166,7 +166,7 @@
     ReadTeam((*teams)[i], absl::StrCat(reader.PathOf("teams"), "[", i, "]"),
              workspace.teams.emplace_back());
   }
-  reader.End();
+  reader.RejectUnknownFields();
 }
 
 // Names are the platform's, whose rules need not be ours.
@@ -201,7 +201,7 @@
   }
   ReadDrained(reader.Array("drained_endpoints", false), "drained_endpoints",
               config.drained_endpoints);
-  reader.End();
+  reader.RejectUnknownFields();
   return config;
 }
 
@@ -240,7 +240,7 @@
 std::variant<configuration, contract_error> ParseConfiguration(std::string_view text) {
   const json document = json::parse(text, nullptr, false, true);
   if (document.is_discarded()) return contract_error{contract_fault::kNotJson, "", ""};
-  if (std::optional<std::string> repeated = FindRepeatedName(text)) {
+  if (std::optional<std::string> repeated = FindDuplicateName(text)) {
     return contract_error{contract_fault::kDuplicateName, *repeated, ""};
   }
   configuration_reader reader;
--- a/src/version/contract_diff.cc
+++ b/src/version/contract_diff.cc
@@ -13,7 +13,7 @@
 using line_list = std::vector<std::string_view>;
 
 // Over so many pairs of lines the middle is shown as removed and added as a whole.
-constexpr size_t kLargestTable = 16'000'000;
+constexpr size_t kMaxTableCells = 16'000'000;
 
 line_list SplitLines(std::string_view text) {
   line_list lines;
@@ -31,10 +31,10 @@
 }
 
 // Lengths of the longest common subsequences of all tails, row by row.
-class common_table {
+class lcs_table {
  public:
-  common_table(const line_list& before, const line_list& after, size_t begin, size_t before_end,
-               size_t after_end)
+  lcs_table(const line_list& before, const line_list& after, size_t begin, size_t before_end,
+            size_t after_end)
       : width_(after_end - begin + 1), begin_(begin), cells_((before_end - begin + 1) * width_, 0) {
     for (size_t i = before_end; i-- > begin;) {
       for (size_t j = after_end; j-- > begin;) {
@@ -57,8 +57,8 @@
                 size_t after_end, std::vector<diff_line>& out) {
   size_t i = begin;
   size_t j = begin;
-  if ((before_end - begin + 1) * (after_end - begin + 1) <= kLargestTable) {
-    common_table table(before, after, begin, before_end, after_end);
+  if ((before_end - begin + 1) * (after_end - begin + 1) <= kMaxTableCells) {
+    lcs_table table(before, after, begin, before_end, after_end);
     while (i < before_end && j < after_end) {
       if (before[i] == after[j]) {
         out.push_back({' ', std::string(before[i])});
@@ -76,7 +76,7 @@
 }
 
 // Keeps changes and `context` lines around them.
-std::vector<diff_line> Shorten(std::vector<diff_line> lines, size_t context) {
+std::vector<diff_line> TrimContext(std::vector<diff_line> lines, size_t context) {
   std::vector<bool> keep(lines.size(), false);
   for (size_t i = 0; i < lines.size(); ++i) {
     if (lines[i].mark == ' ') continue;
@@ -99,16 +99,17 @@
   size_t begin = 0;
   const size_t shorter = std::min(old_lines.size(), new_lines.size());
   while (begin < shorter && old_lines[begin] == new_lines[begin]) ++begin;
-  size_t tail = 0;
-  while (tail < shorter - begin &&
-         old_lines[old_lines.size() - 1 - tail] == new_lines[new_lines.size() - 1 - tail]) {
-    ++tail;
+  size_t common_tail = 0;
+  while (common_tail < shorter - begin && old_lines[old_lines.size() - 1 - common_tail] ==
+                                              new_lines[new_lines.size() - 1 - common_tail]) {
+    ++common_tail;
   }
   std::vector<diff_line> lines;
   Append(old_lines, 0, begin, ' ', lines);
-  DiffMiddle(old_lines, new_lines, begin, old_lines.size() - tail, new_lines.size() - tail, lines);
-  Append(old_lines, old_lines.size() - tail, old_lines.size(), ' ', lines);
-  return Shorten(std::move(lines), context);
+  DiffMiddle(old_lines, new_lines, begin, old_lines.size() - common_tail,
+             new_lines.size() - common_tail, lines);
+  Append(old_lines, old_lines.size() - common_tail, old_lines.size(), ' ', lines);
+  return TrimContext(std::move(lines), context);
 }
 
 }  // namespace catkinford
--- a/src/version/contract_edit.cc
+++ b/src/version/contract_edit.cc
@@ -110,10 +110,10 @@
   if (keys == nullptr) return edit_fault::kNoSuchTeam;
   key_record* key = FindNamed(*keys, name);
   if (key == nullptr) return edit_fault::kNoSuchKey;
-  const auto in_force = std::count_if(keys->begin(), keys->end(),
-                                      [](const key_record& each) { return !each.withdrawn; });
+  const auto active = std::count_if(keys->begin(), keys->end(),
+                                    [](const key_record& each) { return !each.withdrawn; });
   // Only a hand in the platform's store could grant an operator's key again.
-  if (team.empty() && !key->withdrawn && in_force == 1) return edit_fault::kLastOperatorKey;
+  if (team.empty() && !key->withdrawn && active == 1) return edit_fault::kLastOperatorKey;
   key->withdrawn = true;
   return edit_fault::kNone;
 }
--- a/src/version/contract_edit.h
+++ b/src/version/contract_edit.h
@@ -39,7 +39,7 @@
 edit_fault WithdrawKey(configuration& config, std::string_view team, std::string_view name);
 
 // What `next` changes, in one short line for the list of versions.
-std::string SummaryOf(const configuration& current, const configuration& next);
+std::string SummarizeChanges(const configuration& current, const configuration& next);
 
 // False where it was so already.
 bool DrainEndpoint(configuration& config, const std::string& endpoint);
--- a/src/version/contract_summary.cc
+++ b/src/version/contract_summary.cc
@@ -9,7 +9,7 @@
 namespace catkinford {
 namespace {
 
-constexpr size_t kMostParts = 5;  // the line travels with each version
+constexpr size_t kMaxParts = 5;  // the line travels with each version
 
 template <typename Named>
 const Named* FindNamed(const std::vector<Named>& list, const std::string& name) {
@@ -18,23 +18,23 @@
   return found == list.end() ? nullptr : &*found;
 }
 
-void SumUpKeys(const std::string& of, const std::vector<key_record>& before,
-               const std::vector<key_record>& after, std::vector<std::string>& parts) {
+void SummarizeKeys(const std::string& owner, const std::vector<key_record>& before,
+                   const std::vector<key_record>& after, std::vector<std::string>& parts) {
   for (const key_record& key : after) {
     const key_record* known = FindNamed(before, key.name);
-    const bool was_good = known != nullptr && !known->withdrawn;
-    if (was_good == !key.withdrawn) continue;
+    const bool was_active = known != nullptr && !known->withdrawn;
+    if (was_active == !key.withdrawn) continue;
     parts.push_back(
-        absl::StrCat("key ", key.name, " of ", of, key.withdrawn ? " withdrawn" : " granted"));
+        absl::StrCat("key ", key.name, " of ", owner, key.withdrawn ? " withdrawn" : " granted"));
   }
   for (const key_record& key : before) {
     if (FindNamed(after, key.name) != nullptr) continue;
-    parts.push_back(absl::StrCat("key ", key.name, " of ", of, " removed"));
+    parts.push_back(absl::StrCat("key ", key.name, " of ", owner, " removed"));
   }
 }
 
-void SumUpTeam(const team_contract& before, const team_contract& after,
-               std::vector<std::string>& parts) {
+void SummarizeTeam(const team_contract& before, const team_contract& after,
+                   std::vector<std::string>& parts) {
   std::vector<std::string> fields;
   if (before.share != after.share) fields.emplace_back("share");
   const resources& old_limit = before.limit;
@@ -49,14 +49,14 @@
   if (before.urgent_kinds != after.urgent_kinds) fields.emplace_back("urgent_kinds");
   if (!fields.empty())
     parts.push_back(absl::StrCat(absl::StrJoin(fields, "+"), " of ", after.name));
-  SumUpKeys(after.name, before.keys, after.keys, parts);
+  SummarizeKeys(after.name, before.keys, after.keys, parts);
 }
 
-void SumUpWorkspace(const workspace_contract& before, const workspace_contract& after,
-                    std::vector<std::string>& parts) {
+void SummarizeWorkspace(const workspace_contract& before, const workspace_contract& after,
+                        std::vector<std::string>& parts) {
   for (const team_contract& team : after.teams) {
     if (const team_contract* known = FindNamed(before.teams, team.name)) {
-      SumUpTeam(*known, team, parts);
+      SummarizeTeam(*known, team, parts);
     } else {
       parts.push_back(absl::StrCat("team ", team.name, " added"));
     }
@@ -68,8 +68,8 @@
   }
 }
 
-void SumUpDrains(const std::vector<std::string>& before, const std::vector<std::string>& after,
-                 std::vector<std::string>& parts) {
+void SummarizeDrains(const std::vector<std::string>& before, const std::vector<std::string>& after,
+                     std::vector<std::string>& parts) {
   for (const std::string& name : after) {
     if (std::find(before.begin(), before.end(), name) == before.end()) {
       parts.push_back(absl::StrCat("endpoint ", name, " drained"));
@@ -84,12 +84,12 @@
 
 }  // namespace
 
-std::string SummaryOf(const configuration& current, const configuration& next) {
+std::string SummarizeChanges(const configuration& current, const configuration& next) {
   std::vector<std::string> parts;
-  SumUpKeys("operators", current.operator_keys, next.operator_keys, parts);
+  SummarizeKeys("operators", current.operator_keys, next.operator_keys, parts);
   for (const workspace_contract& workspace : next.workspaces) {
     if (const workspace_contract* known = FindNamed(current.workspaces, workspace.name)) {
-      SumUpWorkspace(*known, workspace, parts);
+      SummarizeWorkspace(*known, workspace, parts);
     } else {
       parts.push_back(absl::StrCat("workspace ", workspace.name, " added"));
     }
@@ -99,8 +99,8 @@
       parts.push_back(absl::StrCat("workspace ", workspace.name, " removed"));
     }
   }
-  SumUpDrains(current.drained_endpoints, next.drained_endpoints, parts);
-  const size_t more = parts.size() > kMostParts ? parts.size() - kMostParts : 0;
+  SummarizeDrains(current.drained_endpoints, next.drained_endpoints, parts);
+  const size_t more = parts.size() > kMaxParts ? parts.size() - kMaxParts : 0;
   parts.resize(parts.size() - more);
   const std::string text = absl::StrJoin(parts, ", ");
   return more == 0 ? text : absl::StrCat(text, " and ", more, " more");
--- a/src/version/contract_warnings.cc
+++ b/src/version/contract_warnings.cc
@@ -31,14 +31,14 @@
   return nullptr;
 }
 
-bool HasKeyInForce(const std::vector<key_record>& keys) {
+bool HasActiveKey(const std::vector<key_record>& keys) {
   return std::any_of(keys.begin(), keys.end(),
                      [](const key_record& key) { return !key.withdrawn; });
 }
 
 // Which amounts of `next` are below those of `before`, in words; empty for none.
-std::string Lowered(const std::vector<named_amount>& before,
-                    const std::vector<named_amount>& next) {
+std::string DescribeLowered(const std::vector<named_amount>& before,
+                            const std::vector<named_amount>& next) {
   std::string text;
   for (size_t i = 0; i < next.size(); ++i) {
     if (next[i].value >= before[i].value) continue;
@@ -48,9 +48,9 @@
   return text;
 }
 
-void WarnOfTeam(const configuration& current, const team_contract& team,
-                std::vector<contract_warning>& warnings) {
-  if (!HasKeyInForce(team.keys)) {
+void AddTeamWarnings(const configuration& current, const team_contract& team,
+                     std::vector<contract_warning>& warnings) {
+  if (!HasActiveKey(team.keys)) {
     warnings.push_back({contract_warning_kind::kTeamWithoutKeys, team.name, ""});
   }
   if (team.kinds.empty()) warnings.push_back({contract_warning_kind::kNoKinds, team.name, ""});
@@ -59,19 +59,19 @@
   }
   const team_contract* before = FindTeam(current, team.name);
   if (before == nullptr) return;
-  std::string lowered = Lowered(AmountsOf(before->limit, before->running_limit),
-                                AmountsOf(team.limit, team.running_limit));
+  std::string lowered = DescribeLowered(AmountsOf(before->limit, before->running_limit),
+                                        AmountsOf(team.limit, team.running_limit));
   if (lowered.empty()) return;
   warnings.push_back({contract_warning_kind::kLimitLowered, team.name, std::move(lowered)});
 }
 
-void WarnOfServices(const configuration& next, const std::vector<service_usage>& services,
-                    std::vector<contract_warning>& warnings) {
+void AddServiceWarnings(const configuration& next, const std::vector<service_usage>& services,
+                        std::vector<contract_warning>& warnings) {
   for (const service_usage& usage : services) {
     const team_contract* team = FindTeam(next, usage.team);
     if (team == nullptr) continue;
-    std::string lowered = Lowered(AmountsOf(usage.amount, usage.running),
-                                  AmountsOf(team->limit, team->running_limit));
+    std::string lowered = DescribeLowered(AmountsOf(usage.amount, usage.running),
+                                          AmountsOf(team->limit, team->running_limit));
     if (lowered.empty()) continue;
     warnings.push_back({contract_warning_kind::kLimitBelowRunning, team->name, std::move(lowered)});
   }
@@ -105,11 +105,11 @@
 std::vector<contract_warning> WarningsOf(const configuration& current, const configuration& next,
                                          const std::vector<service_usage>& services) {
   std::vector<contract_warning> warnings;
-  if (!HasKeyInForce(next.operator_keys)) {
+  if (!HasActiveKey(next.operator_keys)) {
     warnings.push_back({contract_warning_kind::kNoOperatorKey, "", ""});
   }
   for (const workspace_contract& workspace : next.workspaces) {
-    for (const team_contract& team : workspace.teams) WarnOfTeam(current, team, warnings);
+    for (const team_contract& team : workspace.teams) AddTeamWarnings(current, team, warnings);
   }
   for (const workspace_contract& workspace : current.workspaces) {
     for (const team_contract& team : workspace.teams) {
@@ -117,7 +117,7 @@
       warnings.push_back({contract_warning_kind::kTeamRemoved, team.name, ""});
     }
   }
-  WarnOfServices(next, services, warnings);
+  AddServiceWarnings(next, services, warnings);
   return warnings;
 }
 
--- a/src/version/json_reader.h
+++ b/src/version/json_reader.h
@@ -15,7 +15,7 @@
 namespace catkinford {
 
 // The fault that came first; later ones do not replace it.
-class contract_faults {
+class first_contract_error {
  public:
   void Add(contract_fault fault, std::string path, std::string value);
   const std::optional<contract_error>& First() const { return first_; }
@@ -29,7 +29,7 @@
 
 class json_object_reader {
  public:
-  json_object_reader(const nlohmann::json& value, std::string path, contract_faults& faults);
+  json_object_reader(const nlohmann::json& value, std::string path, first_contract_error& faults);
   json_object_reader(const json_object_reader&) = delete;
   json_object_reader& operator=(const json_object_reader&) = delete;
 
@@ -46,20 +46,20 @@
   const nlohmann::json* Array(std::string_view field, bool required);
   const nlohmann::json* Object(std::string_view field);
   // Call last: whatever was not asked for is an error.
-  void End();
+  void RejectUnknownFields();
 
  private:
-  const nlohmann::json* Take(std::string_view field, bool required);
+  const nlohmann::json* FindField(std::string_view field, bool required);
   std::string Text(std::string_view field);
 
   const nlohmann::json& value_;
   std::string path_;
-  contract_faults& faults_;
-  std::vector<std::string> taken_;
+  first_contract_error& faults_;
+  std::vector<std::string> known_fields_;
 };
 
 // Whether a name stands twice in one object, anywhere: the library would quietly keep the last.
-std::optional<std::string> FindRepeatedName(std::string_view text);
+std::optional<std::string> FindDuplicateName(std::string_view text);
 
 }  // namespace catkinford
 
--- a/src/version/key_ring.cc
+++ b/src/version/key_ring.cc
@@ -82,7 +82,7 @@
 }
 
 struct key_ring::impl {
-  struct entry {
+  struct hashed_key {
     digest hash{};
     key_holder holder;
   };
@@ -92,13 +92,13 @@
     const std::optional<uint64_t> salt = ParseSalt(key.salt);
     const std::string bytes = absl::HexStringToBytes(key.hash);
     if (!salt || bytes.size() != kDigestBytes) return;
-    entry& added = entries[*salt];
+    hashed_key& added = keys_by_salt[*salt];
     std::memcpy(added.hash.data(), bytes.data(), kDigestBytes);
     added.holder = holder;
     added.holder.key_name = key.name;
   }
 
-  absl::flat_hash_map<uint64_t, entry> entries;
+  absl::flat_hash_map<uint64_t, hashed_key> keys_by_salt;
 };
 
 key_ring::key_ring(const configuration& config) {
@@ -116,13 +116,13 @@
 std::optional<key_holder> key_ring::Find(std::string_view secret) const {
   const std::optional<uint64_t> salt = SaltOf(secret);
   if (!salt) return std::nullopt;
-  const auto found = impl_->entries.find(*salt);
-  if (found == impl_->entries.end()) return std::nullopt;
+  const auto found = impl_->keys_by_salt.find(*salt);
+  if (found == impl_->keys_by_salt.end()) return std::nullopt;
   const digest hash = HashOf(SaltText(*salt), secret);
   if (gnutls_memcmp(hash.data(), found->second.hash.data(), hash.size()) != 0) return std::nullopt;
   return found->second.holder;
 }
 
-size_t key_ring::Size() const { return impl_->entries.size(); }
+size_t key_ring::Size() const { return impl_->keys_by_salt.size(); }
 
 }  // namespace catkinford
--- a/src/version/site_version.cc
+++ b/src/version/site_configuration.cc
@@ -1,13 +1,13 @@
-#include "version/site_version.h"
+#include "version/site_configuration.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace catkinford {
 
-site_version::site_version(uint64_t number, std::vector<queue_terms> queues,
-                           std::vector<workspace_terms> workspaces,
-                           std::vector<service_terms> services, caller_limits limits)
+site_configuration::site_configuration(uint64_t number, std::vector<queue_config> queues,
+                                       std::vector<workspace_config> workspaces,
+                                       std::vector<service_config> services, caller_limits limits)
     : number_(number),
       queues_(std::move(queues)),
       workspaces_(std::move(workspaces)),
@@ -28,7 +28,8 @@
   }
 }
 
-const queue_terms* site_version::QueueFor(std::string_view host, std::string_view path) const {
+const queue_config* site_configuration::QueueFor(std::string_view host,
+                                                 std::string_view path) const {
   const auto found = by_host_.find(std::string(host));
   if (found == by_host_.end()) return nullptr;
   for (const size_t index : found->second) {
@@ -37,23 +38,23 @@
   return nullptr;
 }
 
-const queue_terms* site_version::QueueNamed(const std::string& name) const {
+const queue_config* site_configuration::QueueNamed(const std::string& name) const {
   const auto found = by_queue_name_.find(name);
   return found == by_queue_name_.end() ? nullptr : &queues_[found->second];
 }
 
-const workspace_terms* site_version::HolderOf(const std::string& key) const {
+const workspace_config* site_configuration::WorkspaceOfKey(const std::string& key) const {
   const auto found = by_key_.find(key);
   return found == by_key_.end() ? nullptr : &workspaces_[found->second];
 }
 
-const workspace_terms* site_version::WorkspaceNamed(const std::string& name) const {
+const workspace_config* site_configuration::WorkspaceNamed(const std::string& name) const {
   const auto found = by_workspace_name_.find(name);
   return found == by_workspace_name_.end() ? nullptr : &workspaces_[found->second];
 }
 
-const service_terms* site_version::ServiceNamed(const std::string& name) const {
-  for (const service_terms& service : services_) {
+const service_config* site_configuration::ServiceNamed(const std::string& name) const {
+  for (const service_config& service : services_) {
     if (service.name == name) return &service;
   }
   return nullptr;
--- a/src/version/site_version.h
+++ b/src/version/site_configuration.h
@@ -1,6 +1,6 @@
 // One version of what the operators want: queues, workspaces with their keys and limits, services.
-#ifndef CATKINFORD_VERSION_SITE_VERSION_H_
-#define CATKINFORD_VERSION_SITE_VERSION_H_
+#ifndef CATKINFORD_VERSION_SITE_CONFIGURATION_H_
+#define CATKINFORD_VERSION_SITE_CONFIGURATION_H_
 
 #include <chrono>
 #include <cstdint>
@@ -16,31 +16,31 @@
 namespace catkinford {
 
 // How long a queue's policy takes to say which instances may run a step.
-struct advice_cost {
+struct advice_timing {
   std::chrono::milliseconds base{0};
   std::chrono::microseconds per_instance{0};
   std::chrono::milliseconds valid{0};  // of a ticket
 };
 
-struct queue_terms {
+struct queue_config {
   std::string name;
   std::string host;
   std::string prefix;  // of the path; the longest that fits names the queue
   bool anonymous = false;
   job_terms jobs;
-  std::optional<advice_cost> advice;
+  std::optional<advice_timing> advice;
 };
 
-struct workspace_terms {
+struct workspace_config {
   std::string name;
   std::vector<std::string> keys;
   double weight = 1;
   resources maximum;  // over all instances; an amount of 0 has no limit
 };
 
-struct service_terms {
+struct service_config {
   std::string name;
-  bool guards_room = false;  // its instances refuse what does not fit
+  bool enforces_capacity = false;  // its instances refuse what does not fit
   bool standby = false;
 };
 
@@ -48,31 +48,31 @@
   size_t body_bytes = size_t{256} << 10;
 };
 
-class site_version {
+class site_configuration {
  public:
-  site_version(uint64_t number, std::vector<queue_terms> queues,
-               std::vector<workspace_terms> workspaces, std::vector<service_terms> services,
-               caller_limits limits);
+  site_configuration(uint64_t number, std::vector<queue_config> queues,
+                     std::vector<workspace_config> workspaces, std::vector<service_config> services,
+                     caller_limits limits);
 
   uint64_t Number() const { return number_; }
-  const std::vector<queue_terms>& Queues() const { return queues_; }
-  const std::vector<workspace_terms>& Workspaces() const { return workspaces_; }
-  const std::vector<service_terms>& Services() const { return services_; }
+  const std::vector<queue_config>& Queues() const { return queues_; }
+  const std::vector<workspace_config>& Workspaces() const { return workspaces_; }
+  const std::vector<service_config>& Services() const { return services_; }
   const caller_limits& Limits() const { return limits_; }
 
   // The queue of the longest prefix that `path` begins with; null: none.
-  const queue_terms* QueueFor(std::string_view host, std::string_view path) const;
-  const queue_terms* QueueNamed(const std::string& name) const;
+  const queue_config* QueueFor(std::string_view host, std::string_view path) const;
+  const queue_config* QueueNamed(const std::string& name) const;
   // The workspace that holds `key`; null: nobody does.
-  const workspace_terms* HolderOf(const std::string& key) const;
-  const workspace_terms* WorkspaceNamed(const std::string& name) const;
-  const service_terms* ServiceNamed(const std::string& name) const;
+  const workspace_config* WorkspaceOfKey(const std::string& key) const;
+  const workspace_config* WorkspaceNamed(const std::string& name) const;
+  const service_config* ServiceNamed(const std::string& name) const;
 
  private:
   uint64_t number_;
-  std::vector<queue_terms> queues_;
-  std::vector<workspace_terms> workspaces_;
-  std::vector<service_terms> services_;
+  std::vector<queue_config> queues_;
+  std::vector<workspace_config> workspaces_;
+  std::vector<service_config> services_;
   caller_limits limits_;
   absl::flat_hash_map<std::string, std::vector<size_t>> by_host_;  // longest prefix first
   absl::flat_hash_map<std::string, size_t> by_queue_name_;
@@ -82,4 +82,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_VERSION_SITE_VERSION_H_
+#endif  // CATKINFORD_VERSION_SITE_CONFIGURATION_H_
--- a/test/checker_test.cc
+++ b/test/checker_test.cc
@@ -49,7 +49,7 @@
     seen_.calls.push_back(call);
     return seen_.calls.back();
   }
-  call_record& AddRefused(const std::string& work, refusal_reason reason, int sent) {
+  call_record& AddRefused(const std::string& work, rejection_reason reason, int sent) {
     call_record& call = AddCall(work, "a", sent, sent + 10);
     call.outcome = outcome_kind::kRefused;
     call.reason = reason;
@@ -227,7 +227,7 @@
 }
 
 TEST_CASE_METHOD(checker_fixture, "checker, told not run and ran, finds it", "[checker]") {
-  AddRefused("w4", refusal_reason::kDeadline, 300);
+  AddRefused("w4", rejection_reason::kDeadline, 300);
   CheckHeld();
   AddRun("w4", "a", "ep-1", "j4/0/0", 5000, 5010);
   CheckBroken(promise::kNotRun);
@@ -237,7 +237,7 @@
   AddCall("w4", "a", 300, 310).outcome = outcome_kind::kAccepted;
   seen_.calls.back().kind = workload_kind::kBatch;
   seen_.calls.back().cancelled = true;
-  AddRefused("w4", refusal_reason::kCancelled, 320).is_cancel = true;
+  AddRefused("w4", rejection_reason::kCancelled, 320).is_cancel = true;
   CheckHeld();
   AddRun("w4", "a", "ep-1", "j4/0/0", 330, 335, "stopped");
   CheckBroken(promise::kNotRun);
--- a/test/config_history_test.cc
+++ b/test/config_history_test.cc
@@ -20,7 +20,7 @@
     return numbers;
   }
 
-  history_bounds bounds_{3, 1000};
+  history_limits bounds_{3, 1000};
   config_history history_;
 };
 
@@ -30,8 +30,8 @@
   for (const uint64_t version : {3, 7, 8, 12}) history_.Add(Past(version), bounds_);
   CHECK(Kept() == std::vector<uint64_t>{7, 8, 12});
   REQUIRE(history_.Dropped().size() == 1);
-  CHECK(history_.Dropped().front().stored == 1003);
-  history_.Forget(3);
+  CHECK(history_.Dropped().front().text_revision == 1003);
+  history_.RemoveDropped(3);
   CHECK(history_.Dropped().empty());
 }
 
@@ -110,14 +110,14 @@
   before.workspaces[0].teams[0].name = "t";
   before.workspaces[0].teams[0].keys = {{"a", "s1", "h1"}};
   configuration after = before;
-  CHECK(SummaryOf(before, after).empty());
+  CHECK(SummarizeChanges(before, after).empty());
   after.workspaces[0].teams[0].share = 9;
   after.workspaces[0].teams[0].running_limit = 9;
   after.workspaces[0].teams[0].keys[0].withdrawn = true;
   after.workspaces[0].teams[0].keys.push_back({"b", "s2", "h2"});
   after.workspaces[1].name = "y";
   after.operator_keys = {{"op", "s3", "h3"}};
-  CHECK(SummaryOf(before, after) ==
+  CHECK(SummarizeChanges(before, after) ==
         "key op of operators granted, share+limit of t, key a of t withdrawn, key b of t granted, "
         "workspace y added and 1 more");
 }
--- a/test/config_keeper_test.cc
+++ b/test/config_keeper_test.cc
@@ -117,7 +117,7 @@
   static std::vector<std::string> Whats(const std::vector<past_version>& list) {
     std::vector<std::string> words;
     words.reserve(list.size());
-    for (const past_version& past : list) words.push_back(past.what);
+    for (const past_version& past : list) words.push_back(past.summary);
     return words;
   }
 
@@ -149,7 +149,7 @@
   http_client http_{0};
   std::string url_;
   std::unique_ptr<store_adapter> adapter_;
-  history_bounds bounds_{200, 16U << 20};
+  history_limits bounds_{200, 16U << 20};
   std::mutex mutex_;
   std::deque<std::function<void(monotonic_time)>> tasks_;
   std::vector<std::unique_ptr<config_keeper>> entries_;
@@ -171,7 +171,7 @@
   CHECK(list[0].by == "night");
   for (size_t i = 0; i < versions.size(); ++i) {
     CHECK(list[i].version == versions[i]);
-    CHECK(TextOf(*second, versions[i]) == Document(list[i].what));
+    CHECK(TextOf(*second, versions[i]) == Document(list[i].summary));
   }
 }
 
@@ -209,7 +209,7 @@
   const bool first_won = results[0].end == change_end::kDone;
   CHECK(results[first_won ? 1 : 0].end == change_end::kConflict);
   CatchUp(*one);
-  const std::string winner = SignatureOf(one->Order().Text()).what;
+  const std::string winner = SignatureOf(one->Order().Text()).summary;
   CHECK(Whats(History(*other)) == std::vector<std::string>{"base", winner});
 }
 
--- a/test/version_order_test.cc
+++ b/test/config_version_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "version/version_order.h"
+#include "version/config_version_tracker.h"
 
 #include <catch2/catch.hpp>
 #include <chrono>
@@ -18,9 +18,9 @@
 
 constexpr milliseconds kGrace{600000};
 
-class version_order_fixture {
+class config_version_tracker_fixture {
  protected:
-  version_order_fixture() {
+  config_version_tracker_fixture() {
     config_.workspaces.push_back({"w", {}});
     team_contract& team = config_.workspaces[0].teams.emplace_back();
     team.name = std::string("t");
@@ -32,54 +32,54 @@
   new_key key_ = MakeKey("desk", false);
   configuration config_;
   monotonic_time now_ = monotonic_time{} + std::chrono::hours{1};
-  version_order order_{kGrace};
+  config_version_tracker tracker_{kGrace};
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(version_order_fixture, "versions, older one offered late, is not taken",
+TEST_CASE_METHOD(config_version_tracker_fixture, "versions, older one offered late, is not taken",
                  "[versions]") {
-  CHECK(order_.Offer(5, Text(), now_));
-  CHECK_FALSE(order_.Offer(4, R"({"workspaces":[]})", now_));
-  CHECK_FALSE(order_.Offer(5, R"({"workspaces":[]})", now_));
-  CHECK(order_.Version() == 5);
-  CHECK(order_.Ring()->Find(key_.secret).has_value());
+  CHECK(tracker_.Offer(5, Text(), now_));
+  CHECK_FALSE(tracker_.Offer(4, R"({"workspaces":[]})", now_));
+  CHECK_FALSE(tracker_.Offer(5, R"({"workspaces":[]})", now_));
+  CHECK(tracker_.Version() == 5);
+  CHECK(tracker_.Ring()->Find(key_.secret).has_value());
 }
 
-TEST_CASE_METHOD(version_order_fixture, "versions, unreadable one, keeps the old one in force",
-                 "[versions]") {
-  CHECK(order_.Offer(5, Text(), now_));
-  CHECK_FALSE(order_.Offer(6, R"({"workspaces":[], "novelty":1})", now_));
-  CHECK(order_.Version() == 5);
-  REQUIRE(order_.Refused().has_value());
-  CHECK(order_.Refused()->version == 6);
-  CHECK(order_.Refused()->error.fault == contract_fault::kUnknownField);
-  CHECK(order_.Offer(7, Text(), now_));
-  CHECK_FALSE(order_.Refused().has_value());
+TEST_CASE_METHOD(config_version_tracker_fixture,
+                 "versions, unreadable one, keeps the old one in force", "[versions]") {
+  CHECK(tracker_.Offer(5, Text(), now_));
+  CHECK_FALSE(tracker_.Offer(6, R"({"workspaces":[], "novelty":1})", now_));
+  CHECK(tracker_.Version() == 5);
+  REQUIRE(tracker_.Refused().has_value());
+  CHECK(tracker_.Refused()->version == 6);
+  CHECK(tracker_.Refused()->error.fault == contract_fault::kUnknownField);
+  CHECK(tracker_.Offer(7, Text(), now_));
+  CHECK_FALSE(tracker_.Refused().has_value());
 }
 
 // A peer says what it changed, and not the whole document. It must give the very text of the
 // version wherever that is applied, and nothing where it does not fit.
-TEST_CASE_METHOD(version_order_fixture, "versions, step from the version in force, gives the next",
-                 "[versions]") {
-  version_order other(kGrace);
+TEST_CASE_METHOD(config_version_tracker_fixture,
+                 "versions, step from the version in force, gives the next", "[versions]") {
+  config_version_tracker other(kGrace);
   const std::string first = SignConfiguration(Text(), {"a1", "night", milliseconds{1}, "x"});
   config_.workspaces[0].teams[0].keys[0].withdrawn = true;
   const std::string second = SignConfiguration(Text(), {"a2", "day", milliseconds{2}, "y"});
-  CHECK(order_.Offer(5, first, now_));
-  CHECK_FALSE(order_.Step().has_value());
+  CHECK(tracker_.Offer(5, first, now_));
+  CHECK_FALSE(tracker_.LastDelta().has_value());
   CHECK(other.Offer(5, first, now_));
-  CHECK(order_.Offer(9, second, now_));
-  REQUIRE(order_.Step().has_value());
-  CHECK(order_.Step()->change.insert.size() < 40);
-  const auto text = other.After(*order_.Step());
+  CHECK(tracker_.Offer(9, second, now_));
+  REQUIRE(tracker_.LastDelta().has_value());
+  CHECK(tracker_.LastDelta()->change.inserted.size() < 40);
+  const auto text = other.TextAfter(*tracker_.LastDelta());
   REQUIRE(text.has_value());
   CHECK(*text == second);
   CHECK(other.Offer(9, *text, now_));
   CHECK_FALSE(other.Ring()->Find(key_.secret).has_value());
   // Already there, or never at its base.
-  CHECK_FALSE(other.After(*order_.Step()).has_value());
-  CHECK_FALSE(version_order(kGrace).After(*order_.Step()).has_value());
+  CHECK_FALSE(other.TextAfter(*tracker_.LastDelta()).has_value());
+  CHECK_FALSE(config_version_tracker(kGrace).TextAfter(*tracker_.LastDelta()).has_value());
 }
 
 TEST_CASE("text steps, between random texts, give the new one or nothing", "[versions]") {
@@ -90,55 +90,55 @@
     const std::string other = *letters;
     const std::string signed_after =
         SignConfiguration(after, {"id", "by", milliseconds{3}, "what"});
-    RC_ASSERT(ApplyStep(before, StepBetween(before, after)) == after);
-    RC_ASSERT(ApplyStep(before, StepBetween(before, signed_after)) == signed_after);
-    const auto wrong = ApplyStep(other, StepBetween(before, after));
+    RC_ASSERT(ApplyDelta(before, MakeDelta(before, after)) == after);
+    RC_ASSERT(ApplyDelta(before, MakeDelta(before, signed_after)) == signed_after);
+    const auto wrong = ApplyDelta(other, MakeDelta(before, after));
     RC_ASSERT(!wrong || *wrong == after);
   }));
 }
 
 // A domain is cut off from everything. A key may have been withdrawn elsewhere without its knowing,
 // so that after the grace nothing new is taken; one word from outside sets that right.
-TEST_CASE_METHOD(version_order_fixture, "versions, no confirmation for the grace, trust no key",
-                 "[versions]") {
-  CHECK_FALSE(order_.KeysTrusted(now_));
-  order_.Offer(5, Text(), now_);
-  CHECK(order_.KeysTrusted(now_ + kGrace));
-  CHECK_FALSE(order_.KeysTrusted(now_ + kGrace + milliseconds{1}));
-  order_.Confirm(5, now_ + kGrace);
-  CHECK(order_.KeysTrusted(now_ + kGrace * 2));
+TEST_CASE_METHOD(config_version_tracker_fixture,
+                 "versions, no confirmation for the grace, trust no key", "[versions]") {
+  CHECK_FALSE(tracker_.KeysTrusted(now_));
+  tracker_.Offer(5, Text(), now_);
+  CHECK(tracker_.KeysTrusted(now_ + kGrace));
+  CHECK_FALSE(tracker_.KeysTrusted(now_ + kGrace + milliseconds{1}));
+  tracker_.Confirm(5, now_ + kGrace);
+  CHECK(tracker_.KeysTrusted(now_ + kGrace * 2));
   // A newer version than ours is no confirmation of ours.
-  order_.Confirm(6, now_ + kGrace * 2);
-  CHECK_FALSE(order_.KeysTrusted(now_ + kGrace * 2 + milliseconds{1}));
+  tracker_.Confirm(6, now_ + kGrace * 2);
+  CHECK_FALSE(tracker_.KeysTrusted(now_ + kGrace * 2 + milliseconds{1}));
 }
 
-TEST_CASE_METHOD(version_order_fixture, "versions, asked where in force, name domains that lack it",
-                 "[versions]") {
-  order_.Offer(5, Text(), now_);
+TEST_CASE_METHOD(config_version_tracker_fixture,
+                 "versions, asked where in force, name domains that lack it", "[versions]") {
+  tracker_.Offer(5, Text(), now_);
   const std::vector<version_member> members = {{"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}};
-  order_.OnPeerVersion("a2", 5);
-  order_.OnPeerVersion("b1", 5);
-  order_.OnPeerVersion("b2", 4);
-  in_force_report report = order_.InForce(5, "a", members);
-  CHECK(report.in_force == std::vector<std::string>{"a"});
+  tracker_.OnPeerVersion("a2", 5);
+  tracker_.OnPeerVersion("b1", 5);
+  tracker_.OnPeerVersion("b2", 4);
+  propagation_report report = tracker_.Propagation(5, "a", members);
+  CHECK(report.in_effect == std::vector<std::string>{"a"});
   CHECK(report.pending == std::vector<std::string>{"b", "c"});
-  order_.OnPeerVersion("b2", 6);
-  report = order_.InForce(5, "a", members);
-  CHECK(report.in_force == std::vector<std::string>{"a", "b"});
-  CHECK(order_.NewerPeer() == std::string("b2"));
+  tracker_.OnPeerVersion("b2", 6);
+  report = tracker_.Propagation(5, "a", members);
+  CHECK(report.in_effect == std::vector<std::string>{"a", "b"});
+  CHECK(tracker_.NewerPeer() == std::string("b2"));
 }
 
 // Two domains are cut off together, from the store and from the third, where a key is withdrawn. If
 // each took the other's word, the key would go on working in both for ever.
-TEST_CASE_METHOD(version_order_fixture, "versions, two domains cut off together, confirm nothing",
-                 "[versions]") {
-  order_.Offer(5, Text(), now_);
-  order_.OnPeerVersion("b1", 5);
-  order_.OnPeerVersion("c1", 5);
-  CHECK(order_.ConfirmedByAll({"b", "c"}, {{"b1", "b"}, {"c1", "c"}}));
-  CHECK_FALSE(order_.ConfirmedByAll({"b", "c"}, {{"b1", "b"}}));
-  order_.OnPeerVersion("c1", 6);
-  CHECK_FALSE(order_.ConfirmedByAll({"b", "c"}, {{"b1", "b"}, {"c1", "c"}}));
+TEST_CASE_METHOD(config_version_tracker_fixture,
+                 "versions, two domains cut off together, confirm nothing", "[versions]") {
+  tracker_.Offer(5, Text(), now_);
+  tracker_.OnPeerVersion("b1", 5);
+  tracker_.OnPeerVersion("c1", 5);
+  CHECK(tracker_.ConfirmedByAll({"b", "c"}, {{"b1", "b"}, {"c1", "c"}}));
+  CHECK_FALSE(tracker_.ConfirmedByAll({"b", "c"}, {{"b1", "b"}}));
+  tracker_.OnPeerVersion("c1", 6);
+  CHECK_FALSE(tracker_.ConfirmedByAll({"b", "c"}, {{"b1", "b"}, {"c1", "c"}}));
 }
 
 TEST_CASE("configuration, signed, tells who changed it and is read as before", "[versions]") {
@@ -147,7 +147,7 @@
   const config_signature signature = SignatureOf(signed_text);
   CHECK(signature.write_id == "7f");
   CHECK(signature.by == "night");
-  CHECK(signature.wall == milliseconds{1234});
+  CHECK(signature.changed_at == milliseconds{1234});
   CHECK(WithoutSignature(signed_text) == text);
   CHECK(SignatureOf(text).write_id.empty());
   CHECK(std::holds_alternative<configuration>(ParseConfiguration(signed_text)));
@@ -166,12 +166,12 @@
     const auto choices =
         *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange<uint32_t>(0, 10000));
     constexpr size_t kEntries = 4;
-    std::vector<version_order> entries(kEntries, version_order(kGrace));
+    std::vector<config_version_tracker> entries(kEntries, config_version_tracker(kGrace));
     std::vector<std::pair<uint64_t, std::string>> sent;
     uint64_t newest = 0;
     const monotonic_time now{};
     for (const uint32_t choice : choices) {
-      version_order& entry = entries[choice / 3 % kEntries];
+      config_version_tracker& entry = entries[choice / 3 % kEntries];
       const uint64_t before = entry.Version();
       if (choice % 3 == 0) {  // an operator's change, seen first by this entry
         newest += 1 + choice % 5;
@@ -188,12 +188,12 @@
       }
     }
     // Once entries can reach each other, each asks the peer that has the newest.
-    for (version_order& entry : entries) {
+    for (config_version_tracker& entry : entries) {
       for (size_t i = 0; i < kEntries; ++i) {
         entry.OnPeerVersion(std::to_string(i), entries[i].Version());
       }
       if (const auto peer = entry.NewerPeer()) {
-        const version_order& source = entries[static_cast<size_t>(std::stoi(*peer))];
+        const config_version_tracker& source = entries[static_cast<size_t>(std::stoi(*peer))];
         entry.Offer(source.Version(), source.Text(), now);
       }
       RC_ASSERT(entry.Version() == newest);
--- a/test/decision_core_test.cc
+++ b/test/decision_core_test.cc
@@ -162,7 +162,7 @@
                  "[decisions]") {
   AddEndpoints(2);
   const admission answer = core_.Submit(Job(1, workload_kind::kBatch, 17000), now_);
-  CHECK(answer.reason == refusal_reason::kNeverFits);
+  CHECK(answer.reason == rejection_reason::kNeverFits);
   CHECK(answer.detail.find("16000") != std::string::npos);
 }
 
@@ -175,7 +175,7 @@
   core_.SetEndpointState(1, endpoint_state::kOpen, now_);
   const auto out = Decide();
   REQUIRE(out.size() == 1);
-  CHECK(out[0].reason == refusal_reason::kNeverFits);
+  CHECK(out[0].reason == rejection_reason::kNeverFits);
 }
 
 // An endpoint dies while a task that may run only once is on it. Placed again it could charge a
@@ -234,7 +234,7 @@
   const auto out = Decide();
   REQUIRE(out.size() == 2);
   CHECK(out[0].kind == command_kind::kStop);
-  CHECK(out[1].reason == refusal_reason::kCancelled);
+  CHECK(out[1].reason == rejection_reason::kCancelled);
   core_.Finished(starts[0].task, task_end::kStopped, milliseconds{5}, now_);
   const auto ended = Decide();
   REQUIRE(ended.size() == 1);
@@ -251,7 +251,7 @@
   const auto out = DecideFor(milliseconds{400});
   REQUIRE(out.size() == 1);
   CHECK(out[0].kind == command_kind::kRefuse);
-  CHECK(out[0].reason == refusal_reason::kDeadline);
+  CHECK(out[0].reason == rejection_reason::kDeadline);
   CHECK(out[0].retry_after > milliseconds{0});
 }
 
@@ -332,7 +332,7 @@
   AddTeam(1, 1.0, 100, 2);
   CHECK(core_.Submit(Job(1, workload_kind::kBatch, 1000, 2, 1), now_).queued);
   const admission full = core_.Submit(Job(2, workload_kind::kBatch, 1000, 1, 1), now_);
-  CHECK(full.reason == refusal_reason::kQueueFull);
+  CHECK(full.reason == rejection_reason::kQueueFull);
   CHECK(full.retry_after > milliseconds{0});
 }
 
@@ -476,7 +476,7 @@
     job_request caller = Job(n, workload_kind::kInteractive, 1000);
     caller.deadline = now_ + seconds{2};
     const admission answer = core_.Submit(caller, now_);
-    if (answer.reason == refusal_reason::kShed) {
+    if (answer.reason == rejection_reason::kShed) {
       ++shed;
       CHECK(answer.retry_after > milliseconds{0});
     }
--- a/test/event_log_test.cc
+++ b/test/event_log_test.cc
@@ -100,7 +100,7 @@
 
 TEST_CASE("metrics, counted, appear in the text with their labels", "[metrics]") {
   metrics all;
-  all.CountOutcome(workload_kind::kGang, {kId, outcome_kind::kRefused, refusal_reason::kShed});
+  all.CountOutcome(workload_kind::kGang, {kId, outcome_kind::kRefused, rejection_reason::kShed});
   all.SetPeerTotals({1, 2, 50, 0});
   all.SetPeerTotals({2, 3, 100, 0});
   all.config_version.Set(12);
--- a/test/full_floor_test.cc
+++ b/test/full_floor_test.cc
@@ -20,21 +20,21 @@
 class two_services_fixture {
  protected:
   two_services_fixture() {
-    std::vector<queue_terms> queues;
+    std::vector<queue_config> queues;
     for (const char* name : {"first", "second"}) {
-      queue_terms queue;
+      queue_config queue;
       queue.name = name;
       queue.jobs.service = name;
       queue.jobs.priority = queues.empty() ? 0 : 1;
       queue.jobs.max_attempts = 2;
       queue.jobs.needs_advice = true;
-      queue.advice = advice_cost{milliseconds{100}, std::chrono::microseconds{1000}, seconds(2)};
+      queue.advice = advice_timing{milliseconds{100}, std::chrono::microseconds{1000}, seconds(2)};
       queues.push_back(queue);
     }
-    std::vector<workspace_terms> workspaces = {{"workspace", {}, 1, {}},
-                                               {"limited", {}, 0, {1000, 0, 0, 0}}};
-    owner.SetVersion(std::make_shared<const site_version>(
-        1, queues, workspaces, std::vector<service_terms>{}, caller_limits{}));
+    std::vector<workspace_config> workspaces = {{"workspace", {}, 1, {}},
+                                                {"limited", {}, 0, {1000, 0, 0, 0}}};
+    owner.SetVersion(std::make_shared<const site_configuration>(
+        1, queues, workspaces, std::vector<service_config>{}, caller_limits{}));
     std::vector<instance_report> reports;
     for (const char* service : {"first", "second"}) {
       for (int i = 0; i < 3; ++i) {
@@ -121,7 +121,7 @@
   scheduling_world world(5);
   world.AddInstance("instance", kSmallInstance);
   world.Run(seconds(1));
-  step_terms lasting = Tasks(1, 4000, milliseconds(300));
+  step_spec lasting = Tasks(1, 4000, milliseconds(300));
   lasting.long_running = true;
   world.Submit(Job(1, {lasting}));
   world.Run(seconds(20));
--- a/test/identity_memory_test.cc
+++ b/test/identity_memory_test.cc
@@ -13,7 +13,7 @@
 class identity_fixture {
  protected:
   outcome Completed(const std::string& answer) const {
-    return {id_, outcome_kind::kCompleted, refusal_reason::kNone, milliseconds{0}, answer, {}};
+    return {id_, outcome_kind::kCompleted, rejection_reason::kNone, milliseconds{0}, answer, {}};
   }
 
   identity_memory memory_{{seconds{30}, 3, 100}};
--- a/test/job_scheduler_test.cc
+++ b/test/job_scheduler_test.cc
@@ -107,7 +107,7 @@
 
 TEST_CASE_METHOD(job_scheduler_fixture, "job scheduler, lasting task that ends, is started again") {
   AddInstances(2);
-  step_terms lasting = Tasks(2, 1000, milliseconds(300));
+  step_spec lasting = Tasks(2, 1000, milliseconds(300));
   lasting.long_running = true;
   world.Run(seconds(1));
   world.Submit(Job(1, {lasting}));
@@ -300,7 +300,7 @@
     return starts.front().key;
   };
 
-  step_terms lasting = Tasks(1, 1000, milliseconds(300));
+  step_spec lasting = Tasks(1, 1000, milliseconds(300));
   lasting.long_running = true;
   graph_job standing = Job(9, {lasting});
   standing.terms.priority = 2;
@@ -469,7 +469,7 @@
   }
 
   void SubmitOne(uint32_t number) {
-    std::vector<step_terms> steps = {
+    std::vector<step_spec> steps = {
         Tasks(Pick(1, 6), Pick(500, 3000), milliseconds(Pick(200, 2500)))};
     if (Pick(0, 1) == 1) {
       steps.push_back(Tasks(Pick(1, 4), Pick(500, 3000), milliseconds(Pick(200, 1500)), {0}));
--- a/test/mutation_test.cc
+++ b/test/mutation_test.cc
@@ -16,7 +16,7 @@
 #include "version/config_signature.h"
 #include "version/contract.h"
 #include "version/grant_ledger.h"
-#include "version/text_step.h"
+#include "version/text_delta.h"
 
 namespace catkinford {
 namespace {
@@ -185,7 +185,7 @@
   beat.words[0].shards.push_back({"otaru/0", 3, 17, {}});
   const usage_message usage{7, 8, true, {{"booking", {1, 2, 3, 4}}}};
   config_step_message step;
-  step.step = {5, 9, StepBetween("{\"a\":1}", "{\"a\":2}")};
+  step.step = {5, 9, MakeDelta("{\"a\":1}", "{\"a\":2}")};
   const std::string batch = EncodeBatch("otaru-1", {place, beat, outcome_message{}, usage, step});
   ledger_value ledger;
   ledger.entries.push_back({"booking", "otaru/0", {{1000, 1000, 0, 0}, 5}});
@@ -198,7 +198,7 @@
       // A step that was damaged on its way must not make a document that nobody wrote.
       const auto* damaged = std::get_if<config_step_message>(&message.body);
       if (damaged == nullptr) continue;
-      const auto text = ApplyStep("{\"a\":1}", damaged->step.change);
+      const auto text = ApplyDelta("{\"a\":1}", damaged->step.change);
       CHECK((!text || *text == "{\"a\":2}"));
     }
     ParseLedger(Damage(ledger_text));
--- a/test/overload_test.cc
+++ b/test/overload_test.cc
@@ -9,7 +9,7 @@
 
 struct overload_fixture {
   void Add(const std::string& work, milliseconds at, milliseconds took, outcome_kind outcome,
-           refusal_reason reason = refusal_reason::kNone) {
+           rejection_reason reason = rejection_reason::kNone) {
     call_record record;
     record.work = work;
     record.team = "team-0";
@@ -32,7 +32,7 @@
                  "overload figures, answers in and after a window, count those in it",
                  "[overload]") {
   Add("a", milliseconds{100}, milliseconds{15}, outcome_kind::kCompleted);
-  Add("b", milliseconds{200}, milliseconds{4}, outcome_kind::kRefused, refusal_reason::kShed);
+  Add("b", milliseconds{200}, milliseconds{4}, outcome_kind::kRefused, rejection_reason::kShed);
   Add("c", milliseconds{900}, milliseconds{200}, outcome_kind::kCompleted);
   const load_answers answers = AnswersIn(records, begin, begin + milliseconds{1000});
   CHECK(answers.sent == 3);
@@ -44,10 +44,10 @@
 
 TEST_CASE_METHOD(overload_fixture,
                  "return figures, callers who come back, tell first returns served", "[overload]") {
-  Add("a", milliseconds{0}, milliseconds{1}, outcome_kind::kRefused, refusal_reason::kShed);
+  Add("a", milliseconds{0}, milliseconds{1}, outcome_kind::kRefused, rejection_reason::kShed);
   Add("a", milliseconds{50}, milliseconds{20}, outcome_kind::kCompleted);
-  Add("b", milliseconds{0}, milliseconds{1}, outcome_kind::kRefused, refusal_reason::kShed);
-  Add("b", milliseconds{50}, milliseconds{1}, outcome_kind::kRefused, refusal_reason::kShed);
+  Add("b", milliseconds{0}, milliseconds{1}, outcome_kind::kRefused, rejection_reason::kShed);
+  Add("b", milliseconds{50}, milliseconds{1}, outcome_kind::kRefused, rejection_reason::kShed);
   Add("b", milliseconds{90}, milliseconds{30}, outcome_kind::kCompleted);
   const return_figures figures = ReturnsOf(records);
   CHECK(figures.requests == 2);
--- a/test/parts_world.cc
+++ b/test/parts_world.cc
@@ -301,7 +301,7 @@
 
 bool parts_world::ToldOver() const {
   return std::any_of(outcomes_.begin(), outcomes_.end(), [](const outcome& one) {
-    return one.kind == outcome_kind::kFailed || one.reason == refusal_reason::kCancelled;
+    return one.kind == outcome_kind::kFailed || one.reason == rejection_reason::kCancelled;
   });
 }
 
--- a/test/platform_codec_test.cc
+++ b/test/platform_codec_test.cc
@@ -20,12 +20,12 @@
 // What the operator, the instances and the callers write on the platform's wire.
 class platform_wire_fixture {
  protected:
-  std::shared_ptr<const site_version> Version(const std::string& text) {
+  std::shared_ptr<const site_configuration> Version(const std::string& text) {
     return leaf::try_handle_all(
-        [&]() -> leaf::result<std::shared_ptr<const site_version>> {
+        [&]() -> leaf::result<std::shared_ptr<const site_configuration>> {
           return platform::DecodeVersion(text);
         },
-        [] { return std::shared_ptr<const site_version>(); });
+        [] { return std::shared_ptr<const site_configuration>(); });
   }
   // Empty: it is sound.
   std::string Refused(const std::string& body) {
@@ -57,14 +57,14 @@
   const auto version = Version(version_text);
   REQUIRE(version != nullptr);
   CHECK(version->Number() == 7);
-  const queue_terms* queue = version->QueueFor("h", "/a/0123");
+  const queue_config* queue = version->QueueFor("h", "/a/0123");
   REQUIRE(queue != nullptr);
   CHECK(queue->name == "r1");
   CHECK(queue->jobs.max_attempts == 3);
   CHECK(queue->jobs.needs_advice);
   CHECK(queue->advice->per_instance == std::chrono::microseconds(320));
-  CHECK(version->HolderOf("k2")->name == "t");
-  CHECK(version->HolderOf("k3") == nullptr);
+  CHECK(version->WorkspaceOfKey("k2")->name == "t");
+  CHECK(version->WorkspaceOfKey("k3") == nullptr);
   CHECK(version->WorkspaceNamed("t")->maximum.cpu_milli == 398965);
   CHECK(version->Limits().body_bytes == 1000);
 }
@@ -121,8 +121,8 @@
       "repeat-count":3,"interval-ms":2000,"first-run-ms":1700000000000})")
               .empty());
   CHECK(last_job.steps[0].data_rack == "r1-3");
-  CHECK(last_job.steps[1].most_per_instance == 2);
-  CHECK(last_job.steps[1].tail_target == milliseconds(40));
+  CHECK(last_job.steps[1].max_per_instance == 2);
+  CHECK(last_job.steps[1].tail_latency_target == milliseconds(40));
   CHECK(last_job.Occurrences() == 3);
 }
 
--- a/test/request_table_test.cc
+++ b/test/request_table_test.cc
@@ -57,7 +57,7 @@
     table_.Tick(now_, out_);
   }
 
-  outcome Outcome(uint64_t number, outcome_kind kind, refusal_reason reason) {
+  outcome Outcome(uint64_t number, outcome_kind kind, rejection_reason reason) {
     outcome result;
     result.id = {number, number};
     result.kind = kind;
@@ -78,9 +78,9 @@
                  "[request_table]") {
   Add(11, Entry(1, false));
   Add(12, Entry(2, false));
-  outcome second = Outcome(2, outcome_kind::kCompleted, refusal_reason::kNone);
+  outcome second = Outcome(2, outcome_kind::kCompleted, rejection_reason::kNone);
   second.answer = "second";
-  outcome first = Outcome(1, outcome_kind::kCompleted, refusal_reason::kNone);
+  outcome first = Outcome(1, outcome_kind::kCompleted, rejection_reason::kNone);
   first.answer = "first";
   table_.OnOutcome(second, now_, out_);
   table_.OnOutcome(first, now_, out_);
@@ -140,7 +140,7 @@
                  "request table, refused as full, goes elsewhere a few times", "[request_table]") {
   Add(11, Entry(1, false));
   for (int i = 0; i < 10 && out_.answers.empty(); ++i) {
-    table_.OnOutcome(Outcome(1, outcome_kind::kRefused, refusal_reason::kQueueFull), now_, out_);
+    table_.OnOutcome(Outcome(1, outcome_kind::kRefused, rejection_reason::kQueueFull), now_, out_);
   }
   CHECK(out_.sends.size() <= 3);
   REQUIRE(out_.answers.size() == 1);
--- a/test/scheduling_jobs.h
+++ b/test/scheduling_jobs.h
@@ -21,9 +21,9 @@
 }
 
 // One step, without the terms that a test sets itself.
-inline step_terms Tasks(uint32_t count, uint32_t cpu_milli, std::chrono::milliseconds estimate,
-                        std::vector<uint32_t> after = {}) {
-  step_terms step;
+inline step_spec Tasks(uint32_t count, uint32_t cpu_milli, std::chrono::milliseconds estimate,
+                       std::vector<uint32_t> after = {}) {
+  step_spec step;
   step.count = count;
   step.need.cpu_milli = cpu_milli;
   step.need.memory_mb = 512;
@@ -32,7 +32,7 @@
   return step;
 }
 
-inline graph_job Job(uint32_t number, std::vector<step_terms> steps) {
+inline graph_job Job(uint32_t number, std::vector<step_spec> steps) {
   graph_job job;
   job.id = JobId(number);
   job.queue = "queue";
--- a/test/scheduling_world.cc
+++ b/test/scheduling_world.cc
@@ -168,7 +168,7 @@
       last = std::max(last, other.began);
     }
   }
-  const step_terms& terms = store_.at(run.key.job).job.steps[run.key.step];
+  const step_spec& terms = store_.at(run.key.job).job.steps[run.key.step];
   if (present < terms.count) {
     if (run.together) return run_end::kBroken;
     return now_ - run.began > kGangLimit ? std::optional(run_end::kAlone) : std::nullopt;
@@ -206,7 +206,7 @@
 void scheduling_world::CheckStart(const live_instance& instance, const start_order& order) {
   for (auto& [id, other] : instances_) Advance(other);
   const graph_job& job = store_.at(order.key.job).job;
-  const step_terms& terms = job.steps[order.key.step];
+  const step_spec& terms = job.steps[order.key.step];
   resources used = terms.need;
   for (const live_run& run : instance.runs) used += run.room;
   const resources& room = instance.report.capacity;
@@ -261,7 +261,7 @@
   instance.lease_until =
       std::max(instance.lease_until, std::min(order.lease_until_ms, clock + kLongestLease));
   CheckStart(instance, order);
-  const step_terms& terms = store_.at(order.key.job).job.steps[order.key.step];
+  const step_spec& terms = store_.at(order.key.job).job.steps[order.key.step];
   const auto duration = durations_.find(order.key.job);
   live_run run;
   run.key = order.key;
@@ -392,12 +392,12 @@
   const uint64_t life = ++owner_life_;
   scheduler_options options;
   owner_ = std::make_unique<job_scheduler>(options, epoch_, Mono());
-  std::vector<workspace_terms> workspaces;
+  std::vector<workspace_config> workspaces;
   workspaces.reserve(maximum_.size());
   for (const auto& [name, maximum] : maximum_) workspaces.push_back({name, {}, 1, maximum});
-  owner_->SetVersion(
-      std::make_shared<const site_version>(1, std::vector<queue_terms>{}, std::move(workspaces),
-                                           std::vector<service_terms>{}, caller_limits{}));
+  owner_->SetVersion(std::make_shared<const site_configuration>(
+      1, std::vector<queue_config>{}, std::move(workspaces), std::vector<service_config>{},
+      caller_limits{}));
   owner_->SetUnrecordedStarts(!recorded_);
   if (recorded_) owner_->SetRecordsComplete();
   owner_->OnInherited(fleet_, Mono());
--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -230,7 +230,7 @@
   part_answer_message refusal;
   refusal.id = id;
   refusal.shard = "otaru/0";
-  refusal.result = RefusedOutcome(id, refusal_reason::kNotDurable, {}, "");
+  refusal.result = RejectedOutcome(id, rejection_reason::kNotDurable, {}, "");
   refusal.send = calls[0].send;
   CHECK(keeper.OnAnswer(refusal) == part_news::kNone);
   refusal.send = calls[1].send;
--- a/test/shard_test.cc
+++ b/test/shard_test.cc
@@ -182,7 +182,7 @@
     Act();
     const auto answers = Taken<answer_action>();
     REQUIRE(answers.size() == 1);
-    CHECK(answers[0].result.reason == refusal_reason::kNotDurable);
+    CHECK(answers[0].result.reason == rejection_reason::kNotDurable);
     CHECK(Taken<start_action>().empty());
   }
 }
@@ -203,7 +203,7 @@
   shard_.OnRecorded({1, 1}, false, now_);
   Act();
   REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>()[0].result.reason == refusal_reason::kNotDurable);
+  CHECK(Taken<answer_action>()[0].result.reason == rejection_reason::kNotDurable);
   now_ += seconds{6};
   Act();
   CHECK(Taken<withdraw_action>().empty());
@@ -247,7 +247,7 @@
   const auto answers = Taken<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.id == request_id{2, 2});
-  CHECK(answers[0].result.reason == refusal_reason::kShuttingDown);
+  CHECK(answers[0].result.reason == rejection_reason::kShuttingDown);
   CHECK(shard_.HasCallers());
 }
 
@@ -328,7 +328,7 @@
   shard_.OnEndRecorded({1, 1});
   Act();
   REQUIRE(Taken<answer_action>().size() == 1);
-  CHECK(Taken<answer_action>().front().result.reason == refusal_reason::kCancelled);
+  CHECK(Taken<answer_action>().front().result.reason == rejection_reason::kCancelled);
 }
 
 // The last task of a job ends, that is recorded, and the owner dies before its caller has heard.
--- a/test/virtual_queue_test.cc
+++ b/test/virtual_queue_test.cc
@@ -104,7 +104,7 @@
     answer = Next();
     refused += answer.queued ? 0 : 1;
   }
-  REQUIRE(answer.reason == refusal_reason::kShed);
+  REQUIRE(answer.reason == rejection_reason::kShed);
   const uint64_t caller = next_ - 1;
   const monotonic_time due = now_ + answer.retry_after;
   while (now_ < due) Next();
