--- a/src/request/caller_call.cc
+++ b/src/request/caller_call.cc
@@ -15,7 +15,7 @@
 using json = nlohmann::json;
 using std::chrono::milliseconds;
 
-// Bounds on what one job may say; over them the field is refused by name.
+// Bounds on the fields of one job; a value above them is rejected with the name of the field.
 constexpr uint64_t kMaxTasks = 10000;
 constexpr uint64_t kMaxAmount = 1U << 30;
 constexpr uint64_t kMaxDurationMs = 366ULL * 24 * 3600 * 1000;
@@ -25,7 +25,7 @@
     "repeatable", "idempotency_key", "deadline_ms", "run_time_ms", "payload",      "wait"};
 constexpr std::string_view kFirstAskField = "first_ask";
 
-// Reads the fields of one object and keeps the first thing that is wrong.
+// Reads the fields of one object and keeps the first error.
 class field_reader {
  public:
   field_reader(const json& from, std::string prefix) : from_(from), prefix_(std::move(prefix)) {}
@@ -147,7 +147,7 @@
   return caller_call(std::move(call));
 }
 
-// The part of `path` between `prefix` and `suffix`, empty when it is not so built.
+// The part of `path` between `prefix` and `suffix`, empty when `path` does not have this form.
 std::string Between(const std::string& path, std::string_view prefix, std::string_view suffix) {
   if (path.size() <= prefix.size() + suffix.size()) return {};
   if (path.compare(0, prefix.size(), prefix) != 0) return {};
--- a/src/request/caller_call.h
+++ b/src/request/caller_call.h
@@ -1,5 +1,5 @@
-// What callers and operators may ask of an entry: read from HTTP into types, strictly, before the
-// core sees any of it. docs/PROTOCOL.md has the calls.
+// The calls of callers and operators: strict parsing from HTTP into types, before they reach the
+// core. docs/PROTOCOL.md specifies the calls.
 #ifndef CATKINFORD_REQUEST_CALLER_CALL_H_
 #define CATKINFORD_REQUEST_CALLER_CALL_H_
 
@@ -18,18 +18,18 @@
 
 namespace catkinford {
 
-// One job as its caller wrote it.
+// One job as submitted by its caller.
 struct job_spec {
   workload_kind kind = workload_kind::kInteractive;
   bool urgent = false;
   bool repeatable = true;
   bool wait = false;
-  bool first_ask = false;  // the caller says that it never sent this idempotency key before
+  bool first_ask = false;  // first use of this idempotency key, as the caller states
   uint32_t tasks = 1;
   resources each;
   std::string idempotency_key;            // empty: none
-  std::chrono::milliseconds deadline{0};  // 0: not said
-  std::chrono::milliseconds run_time{0};  // 0: not said
+  std::chrono::milliseconds deadline{0};  // 0: not given
+  std::chrono::milliseconds run_time{0};  // 0: not given
   std::string payload;
 };
 
@@ -45,7 +45,7 @@
   request_id id;
 };
 struct get_config_call {
-  uint64_t version = 0;  // 0: the one in force
+  uint64_t version = 0;  // 0: the current one
 };
 struct put_config_call {
   uint64_t expect = 0;
@@ -75,25 +75,25 @@
                  config_history_call, drain_call, evacuate_call, members_call, timeline_call,
                  health_call, ready_call, metrics_call>;
 
-// Malformed input; nothing was done.
+// Malformed input; the call had no effect.
 struct call_error {
   int status = 400;
-  std::string error;   // typed word: bad_json, bad_field, unknown_path, wrong_method, too_many
+  std::string error;   // error code: bad_json, bad_field, unknown_path, wrong_method, too_many
   std::string path;    // of the field, "jobs[3].cpu_milli"
-  std::string detail;  // what would be right
+  std::string detail;  // what is expected
 };
 
 struct call_limits {
   size_t batch_jobs = 1000;
 };
 
-// What is malformed ends in a call_error.
+// Error type: call_error, for malformed input.
 leaf::result<caller_call> ReadCall(const http_request& request, const call_limits& limits);
 
 http_response ToResponse(const call_error& error);
 http_response ToResponse(const outcome& result);
 http_response ToResponse(const std::vector<outcome>& results);
-// `{"error": word, ...}` with a status, for what has no further fields.
+// `{"error": code, ...}` with an HTTP status, for errors without further fields.
 http_response ErrorResponse(int status, const std::string& code, const std::string& detail = {});
 
 }  // namespace catkinford
--- a/src/request/identity.cc
+++ b/src/request/identity.cc
@@ -18,7 +18,7 @@
 }  // namespace
 
 request_id DeriveRequestId(std::string_view team, std::string_view idempotency_key) {
-  // The length in front keeps ("ab","c") and ("a","bc") apart.
+  // The length prefix keeps ("ab","c") and ("a","bc") apart.
   const std::string text =
       absl::StrCat(team.size(), ":", std::string(team), std::string(idempotency_key));
   std::array<unsigned char, 32> digest{};
@@ -33,8 +33,8 @@
 
 request_id NewRequestId() {
   request_id id;
-  // Without random numbers two callers could share an identity and one would get the other's
-  // answer; there is nothing better to do than to stop.
+  // Without random numbers two callers could share an identity, and one would get the other's
+  // answer: the process has to stop.
   if (gnutls_rnd(GNUTLS_RND_NONCE, &id, sizeof id) < 0) std::abort();
   return id;
 }
--- a/src/request/identity.h
+++ b/src/request/identity.h
@@ -1,5 +1,5 @@
-// Identities of requests and tasks. An answer belongs to its request by identity and by nothing
-// else: not by connection, order or time of arrival.
+// Identities of requests and tasks. An answer is matched to its request by identity
+// only, not by connection, order or time of arrival.
 #ifndef CATKINFORD_REQUEST_IDENTITY_H_
 #define CATKINFORD_REQUEST_IDENTITY_H_
 
@@ -12,7 +12,7 @@
 
 namespace catkinford {
 
-// 128 bits, the same on every process for the same team and idempotency key.
+// 128 bits, the same in every process for the same team and idempotency key.
 struct request_id {
   uint64_t hi = 0;
   uint64_t lo = 0;
@@ -26,7 +26,7 @@
 };
 
 // One run of one task of a job. `attempt` grows with each placement of the same task, so that a
-// late report about an earlier run is never taken for news of the present one.
+// late report about an earlier run is never mistaken for one about the current run.
 struct task_id {
   request_id job;
   uint32_t index = 0;
@@ -40,8 +40,8 @@
   }
 };
 
-// SHA-256 of the team and the caller's idempotency key, cut to 128 bits: every entry derives the
-// same identity when a caller asks again elsewhere.
+// SHA-256 of the team and the caller's idempotency key, truncated to 128 bits: every entry derives
+// the same identity when a caller retries through another entry.
 request_id DeriveRequestId(std::string_view team, std::string_view idempotency_key);
 
 // From the system's random source, for a caller that sent no idempotency key.
--- a/src/request/job_part.h
+++ b/src/request/job_part.h
@@ -1,4 +1,4 @@
-// Which shard runs which tasks of a job that is spread over several.
+// Which shard runs which tasks of a job that is split over several shards.
 #ifndef CATKINFORD_REQUEST_JOB_PART_H_
 #define CATKINFORD_REQUEST_JOB_PART_H_
 
@@ -7,7 +7,7 @@
 
 namespace catkinford {
 
-// The tasks [first, first + tasks) live in `shard` and nowhere else.
+// The tasks [first, first + tasks) belong to `shard` only.
 struct job_part {
   std::string shard;
   uint32_t first = 0;
--- a/src/request/job_request.h
+++ b/src/request/job_request.h
@@ -1,4 +1,4 @@
-// What a caller asks for, after the entry has checked the key and the contract.
+// A submitted job, after the entry has checked the key and the contract.
 #ifndef CATKINFORD_REQUEST_JOB_REQUEST_H_
 #define CATKINFORD_REQUEST_JOB_REQUEST_H_
 
@@ -16,16 +16,17 @@
 
 enum class workload_kind : uint8_t { kInteractive, kService, kBatch, kGang };
 
-// "interactive", "service", "batch", "gang": the words of the protocol and of contracts.
+// "interactive", "service", "batch", "gang": the names used in the protocol and in contracts.
 std::string_view ToText(workload_kind kind);
 std::optional<workload_kind> ParseWorkloadKind(std::string_view text);
 
-// Amounts of what an endpoint has. Flat and small: the decision core holds one for each task.
+// Amounts of the resources of an endpoint. Flat and small: the decision core holds one per task.
 struct resources {
-  uint32_t cpu_milli = 0;  // thousandths of a processor
+  uint32_t cpu_milli = 0;  // thousandths of a CPU
   uint32_t memory_mb = 0;
   uint32_t accelerators = 0;
-  uint32_t slots = 0;  // one for each running task, on endpoints that count them
+  uint32_t slots =
+      0;  // one for each running task, on endpoints that limit the number of running tasks
 
   bool operator==(const resources&) const = default;
 
@@ -36,7 +37,7 @@
     slots += other.slots;
     return *this;
   }
-  // The caller has checked Fits(): no amount goes below zero.
+  // Requires Fits(other, *this): no amount may go below zero.
   resources& operator-=(const resources& other) {
     cpu_milli -= other.cpu_milli;
     memory_mb -= other.memory_mb;
@@ -49,13 +50,13 @@
 inline resources operator+(resources a, const resources& b) { return a += b; }
 inline resources operator-(resources a, const resources& b) { return a -= b; }
 
-// Whether `need` goes into `room` in every amount.
+// Whether `need` is at most `available` in every amount.
 inline bool Fits(const resources& need, const resources& available) {
   return need.cpu_milli <= available.cpu_milli && need.memory_mb <= available.memory_mb &&
          need.accelerators <= available.accelerators && need.slots <= available.slots;
 }
 
-// A difference that stops at zero in each amount.
+// Difference, saturated at zero in each amount.
 inline resources SubtractOrZero(const resources& a, const resources& b) {
   return {a.cpu_milli - std::min(a.cpu_milli, b.cpu_milli),
           a.memory_mb - std::min(a.memory_mb, b.memory_mb),
@@ -63,7 +64,7 @@
           a.slots - std::min(a.slots, b.slots)};
 }
 
-// Dense number of a team; names are interned by the process and numbers are never used again.
+// Dense number of a team; names are interned by the process and numbers are never reused.
 using team_index = uint32_t;
 
 struct job_request {
@@ -74,9 +75,9 @@
   bool repeatable = true;                          // false: at most one start is ever sent
   uint32_t tasks = 1;                              // service: replicas; gang: all of them at once
   resources each;                                  // of one task
-  std::chrono::milliseconds declared_run_time{0};  // a guess of the team's; 0 = not said
+  std::chrono::milliseconds declared_run_time{0};  // the team's estimate; 0: not given
   monotonic_time submitted{};
-  monotonic_time deadline{};  // a task not started by then is refused as not run
+  monotonic_time deadline{};  // a task not started by then is rejected as not run
 };
 
 }  // namespace catkinford
--- a/src/request/job_state.cc
+++ b/src/request/job_state.cc
@@ -60,7 +60,7 @@
     end.reason = rejection_reason::kCancelled;
     return end;
   }
-  // Of a task that was another shard's when the job was cancelled, nobody saw a good end.
+  // A task that belonged to another shard at the cancellation is not known to have succeeded.
   const bool cut_short = progress.waiting > 0 || (job.cancelled && HasRemoteTasks(job));
   const bool completed = progress.failed == 0 && !cut_short;
   end.kind = completed ? outcome_kind::kCompleted : outcome_kind::kFailed;
--- a/src/request/job_state.h
+++ b/src/request/job_state.h
@@ -1,4 +1,4 @@
-// What the owner of a shard keeps of one job, from its arrival until its identity is forgotten.
+// What the owner of a shard keeps of one job, from its arrival until its identity is evicted.
 #ifndef CATKINFORD_REQUEST_JOB_STATE_H_
 #define CATKINFORD_REQUEST_JOB_STATE_H_
 
@@ -15,18 +15,18 @@
 
 enum class task_phase : uint8_t {
   kWaiting,
-  kSent,              // a start is under way
-  kStartUnconfirmed,  // the reply to its start is lost; the next list of the endpoint decides
+  kSent,              // a start is in flight
+  kStartUnconfirmed,  // the reply to its start was lost; the next listing of the endpoint decides
   kRunning,
   kDone,
   kFailed,
-  kRemote,  // of a spread job: it lives in another shard
+  kRemote,  // of a split job: it belongs to another shard
 };
 
 inline bool IsFinished(task_phase phase) {
   return phase == task_phase::kDone || phase == task_phase::kFailed;
 }
-// Started, or perhaps started, and not over.
+// Started, or possibly started, and not finished.
 inline bool IsInFlight(task_phase phase) {
   return phase != task_phase::kWaiting && !IsFinished(phase);
 }
@@ -39,36 +39,37 @@
 
 struct job_state {
   place_message spec;
-  bool has_spec = false;  // false: known from a list only, its caller has not asked us yet
-  bool durable = false;   // its record is in the store
-  bool accepted = false;  // the core has it
+  bool has_spec =
+      false;  // false: known from a listing only; its caller has not contacted this owner yet
+  bool durable = false;   // its record is stored
+  bool accepted = false;  // the decision core has it
   bool cancelled = false;
-  bool awaits_listings = false;  // of an earlier owner: whether it runs is not known yet
+  bool awaits_listings = false;  // from an earlier owner: whether it runs is not known yet
   bool ever_ran = false;
-  std::vector<std::string> entries;  // which wait for an outcome
-  std::vector<uint64_t> asks;        // that were taken in, to be refused together
+  std::vector<std::string> entries;  // that wait for its outcome
+  std::vector<uint64_t> asks;        // numbers of its submissions, all rejected if the job is
   std::vector<task_progress> tasks;
-  std::string answer;  // of the last task that ended well
+  std::string answer;  // of the last task that succeeded
   std::string fault;   // of the first task that failed
   monotonic_time deadline = monotonic_time::max();
   monotonic_time arrived{};  // until its first start
-  // Of a spread job that waits for its parts' records: when its caller is told all the same.
+  // Of a split job that waits for its parts' records: when its acceptance is reported anyway.
   monotonic_time report_accepted_by = monotonic_time::max();
   std::optional<outcome> ended;
-  uint32_t unrecorded_plans = 0;  // changes of `spec.parts` that the store does not have yet
-  monotonic_time forget_at{};     // once it has ended
-  bool end_unreported = false;    // its end is told once the store has it
+  uint32_t unrecorded_plans = 0;  // changes of `spec.parts` not yet in the store
+  monotonic_time forget_at{};     // once it has finished
+  bool end_unreported = false;    // its outcome is reported once it is stored
 };
 
 job_progress ProgressOf(const job_state& job);
-// Whether any task, or any of a part, is another shard's.
+// Whether any task of the job, or of `part`, belongs to another shard.
 bool HasRemoteTasks(const job_state& job);
 bool HasRemoteTasks(const job_state& job, const job_part& part);
-// Tasks that wait here.
+// Indices of the tasks that wait in this shard.
 std::vector<uint32_t> WaitingTasks(const job_state& job);
-// The job's end, once no task waits or runs; a service ends only when it is cancelled.
+// The outcome, once no task waits or runs; a service ends only when it is cancelled.
 std::optional<outcome> FinalOutcome(const job_state& job);
-// Kinds whose acceptance means that their record is in the store.
+// Kinds that are accepted only once their record is stored.
 inline bool IsDurable(workload_kind kind) { return kind != workload_kind::kInteractive; }
 
 }  // namespace catkinford
--- a/src/request/outcome.cc
+++ b/src/request/outcome.cc
@@ -13,10 +13,10 @@
     "deadline",      "cancelled",   "kind_not_allowed", "owner_unreachable", "not_durable",
     "shutting_down", "unknown_key", "endpoint_refused"};
 
-// When a caller of an unknown end may ask for it again.
+// When a caller may query a request of unknown outcome again.
 constexpr std::chrono::milliseconds kUnknownRetryAfter{1000};
 
-// The value whose name is `text`, by its place in `names`.
+// The value whose name is `text`; `names` is in the order of the enumerators.
 template <typename Enum, size_t N>
 std::optional<Enum> FindByName(const std::array<std::string_view, N>& names,
                                std::string_view text) {
--- a/src/request/outcome.h
+++ b/src/request/outcome.h
@@ -1,4 +1,4 @@
-// The closed set of answers. Nothing else is ever said to a caller about a request.
+// The closed set of answers that a caller can get about a request.
 #ifndef CATKINFORD_REQUEST_OUTCOME_H_
 #define CATKINFORD_REQUEST_OUTCOME_H_
 
@@ -13,30 +13,30 @@
 namespace catkinford {
 
 enum class outcome_kind : uint8_t {
-  kCompleted,  // ran, the answer is whole
+  kCompleted,  // ran, the answer is complete
   kAccepted,   // the job is durable and will run
-  kRefused,    // did not run and will not: proved
+  kRefused,    // provably did not run and never will
   kFailed,     // ran, and failed
   kUnknown,    // may have run
 };
 
 enum class rejection_reason : uint8_t {
   kNone,
-  kNeverFits,         // no endpoint can ever hold it
-  kOverLimit,         // the team's upper limit leaves no room before the deadline
+  kNeverFits,         // larger than any endpoint
+  kOverLimit,         // the team's upper limit leaves no free capacity before the deadline
   kQueueFull,         // the team's bounded queue is full
-  kShed,              // overload: would miss its deadline, or its team is over its share
+  kShed,              // overload: would miss its deadline, or its team exceeds its share
   kDeadline,          // the deadline passed in the queue
   kCancelled,         // cancelled before it started
   kKindNotAllowed,    // the contract does not let the team submit this kind
   kOwnerUnreachable,  // no owner of a suitable shard could be reached; nothing was sent
-  kNotDurable,        // the platform's store did not take the job's record
-  kShuttingDown,      // this entry is leaving; ask another
-  kUnknownKey,        // the key is not, or no longer, good
-  kEndpointRefused,   // the endpoint refused the start
+  kNotDurable,        // the platform's store did not accept the job's record
+  kShuttingDown,      // this entry is shutting down; use another
+  kUnknownKey,        // the key is unknown or withdrawn
+  kEndpointRefused,   // the endpoint rejected the start
 };
 
-// The snake_case word of the protocol for each value.
+// The snake_case name of each value in the protocol.
 std::string_view ToText(outcome_kind kind);
 std::string_view ToText(rejection_reason reason);
 std::optional<outcome_kind> ParseOutcomeKind(std::string_view text);
@@ -46,17 +46,17 @@
   request_id id;
   outcome_kind kind = outcome_kind::kUnknown;
   rejection_reason reason = rejection_reason::kNone;
-  std::chrono::milliseconds retry_after{0};  // for kRefused: when to come back; 0 = never
+  std::chrono::milliseconds retry_after{0};  // for kRefused: when to retry; 0: never
   std::string answer;                        // for kCompleted: what the endpoint returned
-  std::string detail;                        // for people: which resource, which limit, why
+  std::string detail;                        // human-readable: which resource, which limit, why
 };
 
-// The usual forms. What was refused comes with the time to come back, zero for never.
+// `retry_after`: when the caller may retry; zero for never.
 outcome AcceptedOutcome(const request_id& id);
 outcome RejectedOutcome(const request_id& id, rejection_reason reason,
                         std::chrono::milliseconds retry_after, std::string detail);
 outcome FailedOutcome(const request_id& id, std::string detail);
-// May have run; its caller may ask again a little later.
+// May have run; the caller may query it again shortly.
 outcome UnknownOutcome(const request_id& id, std::string detail);
 
 }  // namespace catkinford
--- a/src/request/step_graph.cc
+++ b/src/request/step_graph.cc
@@ -168,7 +168,7 @@
   json steps = json::array();
   for (const step_spec& step : job.steps) steps.push_back(StepToJson(step));
   out["steps"] = std::move(steps);
-  // A payload may hold bytes that are no UTF-8: they must not make the record unwritable.
+  // Invalid UTF-8 in a payload is replaced: it must not make the record unwritable.
   return CompressText(out.dump(-1, ' ', false, json::error_handler_t::replace));
 }
 
--- a/src/request/step_graph.h
+++ b/src/request/step_graph.h
@@ -1,4 +1,4 @@
-// A job as a graph of steps: what a caller asks for, and what of it must outlive every process.
+// A job as a graph of steps, as submitted, and its durable form.
 #ifndef CATKINFORD_REQUEST_STEP_GRAPH_H_
 #define CATKINFORD_REQUEST_STEP_GRAPH_H_
 
@@ -24,24 +24,24 @@
   std::vector<uint32_t> after;            // earlier steps that must be done first
   bool checkpointing = false;
   bool gang = false;                                 // all tasks run at the same time or none does
-  bool same_rack = false;                            // slower when spread over racks
+  bool same_rack = false;                            // slower when placed over several racks
   bool speculative = false;                          // copies may run at the same time
   bool long_running = false;                         // runs until the job is cancelled
-  bool fills = false;                                // its processors are what others leave unused
+  bool fills = false;                                // uses only CPU that other tasks leave idle
   std::string required_label;                        // of the instance; empty: any
-  std::string data_rack;                             // slower elsewhere; empty: no matter
+  std::string data_rack;                             // slower elsewhere; empty: no preference
   uint32_t max_per_instance = 0;                     // tasks of this step; 0: no limit
   std::string image;                                 // tasks of one image behave alike
   std::chrono::milliseconds tail_latency_target{0};  // of a serving task's response times; 0: none
-  uint32_t max_unavailable = 0;                      // tasks that may be away by our own doing
+  uint32_t max_unavailable = 0;  // tasks that the scheduler may make unavailable
 };
 
-// What a queue promises its jobs; copied into each job, which may outlive its queue.
+// Scheduling parameters of a queue's jobs; copied into each job, which may outlive its queue.
 struct job_terms {
-  std::string service;        // whose instances run it
-  int priority = 0;           // 0 goes first
-  uint32_t max_attempts = 1;  // failed runs of one task before the job has failed
-  double stretch = 2;         // objective: this times the longest chain of work ...
+  std::string service;                          // whose instances run it
+  int priority = 0;                             // 0 is the highest
+  uint32_t max_attempts = 1;                    // failed runs of one task before the job has failed
+  double stretch = 2;                           // objective: this times the critical path ...
   std::chrono::milliseconds target_latency{0};  // ... and this
   bool needs_advice = false;  // only instances named by the queue's policy may run it
 };
@@ -50,14 +50,14 @@
   std::string id;           // chosen by the caller: 16 hexadecimal digits
   std::string queue;        // its name
   std::string workspace;    // empty: the queue takes anonymous jobs
-  std::string payload;      // for the instances; not read here
-  std::string accepted_by;  // the entry that took it; empty in records of earlier programs
+  std::string payload;      // opaque; passed to the instances
+  std::string accepted_by;  // the entry that accepted it; empty in records of earlier programs
   std::vector<step_spec> steps;
   job_terms terms;
   wall_time accepted{};
   wall_time first_run{};                  // of a repeated job
   std::chrono::milliseconds interval{0};  // between occurrences
-  uint32_t repeats = 0;                   // 0: runs once, at once
+  uint32_t repeats = 0;                   // 0: runs once, immediately
 
   uint32_t Occurrences() const { return repeats == 0 ? 1 : repeats; }
 };
@@ -76,19 +76,20 @@
 std::string_view ToText(graph_fault fault);
 
 constexpr size_t kGraphIdLength = 16;
-constexpr size_t kMaxPayload = 4000;          // bytes; the callers' interface allows no more
-constexpr size_t kMaxSteps = 64;              // keeps a job's progress far below a store value
+constexpr size_t kMaxPayload = 4000;  // bytes; the limit of the callers' interface
+constexpr size_t kMaxSteps =
+    64;  // keeps a job's progress far below the size limit of a stored value
 constexpr uint32_t kMaxTasksPerStep = 10000;  // the same
 constexpr uint32_t kMaxOccurrences = 100000;  // the same; occurrences are made when due
 
 bool IsGraphId(std::string_view id);
 leaf::result<void> CheckGraph(const graph_job& job);
 
-// The longest chain through the graph, by how long each step takes.
+// Length of the critical path; `durations` holds one value per step.
 std::chrono::milliseconds CriticalPathLength(const std::vector<step_spec>& steps,
                                              std::span<const std::chrono::milliseconds> durations);
 
-// The durable form. Parse: an error of type record_parse_error for bytes that name no job.
+// The durable form. JobFromText fails with record_parse_error for bytes that are no job.
 struct record_parse_error {};
 std::string JobToText(const graph_job& job);
 leaf::result<graph_job> JobFromText(std::string_view text);
--- a/src/request/text_compression.cc
+++ b/src/request/text_compression.cc
@@ -7,9 +7,10 @@
 namespace catkinford {
 namespace {
 
-constexpr char kZlibHeaderByte = 0x78;      // a zlib stream with the usual window begins so
-constexpr size_t kMinCompressedText = 200;  // not worth the time
-constexpr size_t kMaxText = 8 << 20;        // a record is below a store's value of 1 MB, packed
+constexpr char kZlibHeaderByte = 0x78;      // first byte of a zlib stream with the default window
+constexpr size_t kMinCompressedText = 200;  // shorter text is not worth the time
+constexpr size_t kMaxText =
+    8 << 20;  // a compressed record is below the 1 MB limit of a stored value
 constexpr size_t kChunkBytes = 16384;
 
 }  // namespace
--- a/src/request/text_compression.h
+++ b/src/request/text_compression.h
@@ -1,7 +1,7 @@
-// Records as they are kept in the store: deflated where that makes them shorter.
+// Compression of stored records: zlib, where that makes them shorter.
 //
-// A record of progress names the instance of each run, and is written whole at each change;
-// unpacked these writes took half of what an owner's narrow link carries.
+// A progress record names the instance of each run and is rewritten in full at each change;
+// uncompressed these writes took half of the capacity of an owner's narrow link.
 #ifndef CATKINFORD_REQUEST_TEXT_COMPRESSION_H_
 #define CATKINFORD_REQUEST_TEXT_COMPRESSION_H_
 
@@ -12,8 +12,8 @@
 namespace catkinford {
 
 std::string CompressText(std::string_view text);
-// Text that was never packed is given back as it is: no record begins like packed bytes. Nothing:
-// packed bytes that are broken, or that hold more than any record.
+// Text that was never compressed is returned unchanged: no record begins like a zlib stream.
+// Nullopt for compressed bytes that are damaged or that expand to more than any record.
 std::optional<std::string> DecompressText(std::string_view bytes);
 
 }  // namespace catkinford
--- a/src/request/typed_error.h
+++ b/src/request/typed_error.h
@@ -1,6 +1,6 @@
 // Errors by Boost.LEAF: a function that can fail returns leaf::result<T> and reports a struct or an
-// enum of its own; whoever stands at the edge handles it by type. The error's payload is kept only
-// while a handler for its type is in force, so results are looked into inside leaf::try_handle_all.
+// enum of its own, which the outermost caller handles by type. The payload of an error is kept only
+// while a handler for its type is active, so results are examined inside leaf::try_handle_all.
 #ifndef CATKINFORD_REQUEST_TYPED_ERROR_H_
 #define CATKINFORD_REQUEST_TYPED_ERROR_H_
 
@@ -12,7 +12,7 @@
 
 namespace leaf = boost::leaf;
 
-// The error of type `Error` that `function` ends with; nothing when it ends well.
+// The error of type `Error` that `function` fails with; nullopt on success.
 template <typename Error, typename Function>
 std::optional<Error> ErrorOf(Function&& function) {
   return leaf::try_handle_all(
--- a/src/version/config_history.cc
+++ b/src/version/config_history.cc
@@ -46,8 +46,8 @@
                      [version](const past_version& each) { return each.version == version; });
 }
 
-// A writer that was paused comes back with a version that has long been superseded: listed again
-// after it was dropped, it would stand behind later ones and its text never be deleted.
+// A writer that was paused may resume with a version that was superseded and dropped long ago:
+// listed again, it would come after later ones and its text would never be deleted.
 bool config_history::IsSuperseded(uint64_t version) const {
   return !versions_.empty() && versions_.back().version > version;
 }
@@ -57,7 +57,7 @@
   uint64_t bytes =
       std::accumulate(versions_.begin(), versions_.end(), uint64_t{0},
                       [](uint64_t sum, const past_version& each) { return sum + each.bytes; });
-  // The newest stays even when it alone is over the bound: it is the way back from a bad change.
+  // The newest stays even when it alone is over the bound: it is needed to revert a bad change.
   while (versions_.size() > 1 && (versions_.size() > bounds.versions || bytes > bounds.bytes)) {
     bytes -= versions_.front().bytes;
     dropped_.push_back(std::move(versions_.front()));
--- a/src/version/config_history.h
+++ b/src/version/config_history.h
@@ -1,5 +1,5 @@
-// The list of past versions of the configuration, as it is kept in the store beside their texts:
-// which are kept, who made them, and which texts are still to be deleted. Pure.
+// The list of past versions of the configuration, stored beside their texts: which are
+// kept, who made them, and which texts are still to be deleted. No I/O.
 #ifndef CATKINFORD_VERSION_CONFIG_HISTORY_H_
 #define CATKINFORD_VERSION_CONFIG_HISTORY_H_
 
@@ -19,10 +19,10 @@
   uint64_t bytes = 0;          // of its text
   std::chrono::milliseconds changed_at{0};  // since 1970
   std::string by;                           // name of the operator's key
-  std::string summary;                      // what it changed, in short
+  std::string summary;                      // short description of the change
 };
 
-// How much is kept; the oldest gives way first.
+// Limits of the history; the oldest versions are dropped first.
 struct history_limits {
   size_t versions = 200;
   uint64_t bytes = 16U << 20;
@@ -31,15 +31,15 @@
 class config_history {
  public:
   bool Has(uint64_t version) const;
-  // A later version was in force, so this one no longer is.
+  // Whether a later version is listed.
   bool IsSuperseded(uint64_t version) const;
-  // Neither of the two above.
+  // Requires neither Has() nor IsSuperseded().
   void Add(past_version past, const history_limits& bounds);
   // The text of a dropped version has been deleted.
   void RemoveDropped(uint64_t version);
 
   const std::vector<past_version>& Versions() const { return versions_; }  // oldest first
-  // Out of the list; their texts may still be in the store.
+  // No longer listed; their texts may still be in the store.
   const std::vector<past_version>& Dropped() const { return dropped_; }
 
   static std::optional<config_history> Parse(std::string_view text);
--- a/src/version/config_signature.cc
+++ b/src/version/config_signature.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::string_view kSignaturePrefix = "\n// write ";
-constexpr size_t kFields = 3;  // write identity, key's name, time; then what was changed
+constexpr size_t kFields = 3;  // write id, key name, time; the summary follows
 
 }  // namespace
 
--- a/src/version/config_version_tracker.cc
+++ b/src/version/config_version_tracker.cc
@@ -13,8 +13,8 @@
       ring_(std::make_shared<key_ring>(*config_)) {}
 
 bool config_version_tracker::Offer(uint64_t version, std::string text, monotonic_time now) {
-  // A late reply or a peer that lags brings an old version: an operator would see an accepted
-  // change disappear. Versions only rise.
+  // A late reply or a lagging peer may deliver an old version: an accepted change would disappear.
+  // Versions only rise.
   if (version <= version_) return false;
   if (refused_ && refused_->version == version) return false;
   std::variant<configuration, contract_error> parsed = ParseConfiguration(text);
--- a/src/version/contract.cc
+++ b/src/version/contract.cc
@@ -31,7 +31,7 @@
     "not_json",     "unknown_field",  "missing_field", "wrong_type",
     "out_of_range", "duplicate_name", "unknown_kind",  "shares_over_whole"};
 
-// Names that have to be unique, each within its own scope.
+// Names that must be unique within one scope.
 using name_set = absl::flat_hash_set<std::string>;
 
 bool IsEndpointName(const std::string& name) {
@@ -123,8 +123,8 @@
   reader.RejectUnknownFields();
 }
 
-// Urgent work of a kind that the team may not submit is a slip of the operator's: said at once,
-// and not found out on the night when the urgent work is refused.
+// Urgent work of a kind that the team may not submit is an operator's mistake. It is reported when
+// the document is checked, not when the urgent work is rejected.
 void configuration_reader::CheckUrgentKinds(const team_contract& team, const std::string& path) {
   for (size_t i = 0; i < team.urgent_kinds.size(); ++i) {
     const workload_kind kind = team.urgent_kinds[i];
@@ -169,7 +169,7 @@
   reader.RejectUnknownFields();
 }
 
-// Names are the platform's, whose rules need not be ours.
+// Endpoint names come from the platform, whose rules may differ from those of contract names.
 void configuration_reader::ReadDrained(const json* values, const std::string& path,
                                        std::vector<std::string>& names) {
   if (values == nullptr) return;
@@ -259,7 +259,7 @@
   ordered_json document = {{"operator_keys", KeysToJson(config.operator_keys)},
                            {"workspaces", std::move(workspaces)}};
   if (!config.drained_endpoints.empty()) document["drained_endpoints"] = config.drained_endpoints;
-  // One field a line, so that operators can compare versions line by line.
+  // One field per line, so that operators can compare versions line by line.
   return document.dump(1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
--- a/src/version/contract.h
+++ b/src/version/contract.h
@@ -1,4 +1,4 @@
-// The operators' document: contracts, teams, keys. One version of it is in force at a time.
+// The operators' document: contracts, teams, keys. One version of it is in effect at a time.
 #ifndef CATKINFORD_VERSION_CONTRACT_H_
 #define CATKINFORD_VERSION_CONTRACT_H_
 
@@ -13,21 +13,21 @@
 namespace catkinford {
 
 struct key_record {
-  std::string name;  // given by the operator, shown in lists
+  std::string name;  // chosen by the operator, shown in lists
   std::string salt;  // 16 hexadecimal digits, unique over all keys: also finds the record
-  std::string hash;  // hexadecimal SHA-256 of salt and secret; the secret is kept nowhere
+  std::string hash;  // hexadecimal SHA-256 of salt and secret; the secret is not stored
   bool withdrawn = false;
   bool is_operator = false;  // may change the configuration
 };
 
 struct team_contract {
   std::string name;                         // unique over all workspaces
-  double share = 1.0;                       // per cent of the floor when it is full
+  double share = 1.0;                       // per cent of the capacity when the fleet is full
   resources limit;                          // upper limit across the fleet; slots are not limited
   uint32_t running_limit = 0;               // running tasks across the fleet
   uint32_t queue_limit = 1000;              // waiting tasks in one shard
-  std::vector<workload_kind> kinds;         // what it may submit
-  std::vector<workload_kind> urgent_kinds;  // what of it is urgent
+  std::vector<workload_kind> kinds;         // kinds it may submit
+  std::vector<workload_kind> urgent_kinds;  // subset of `kinds` that is urgent
   std::vector<key_record> keys;
 };
 
@@ -39,8 +39,9 @@
 struct configuration {
   std::vector<workspace_contract> workspaces;
   std::vector<key_record> operator_keys;
-  // Get nothing new and are emptied, on an operator's word; sorted. They are in this document
-  // because it is what every entry has to know before it gives work, and what outlives all entries.
+  // Drained by an operator: they get no new tasks and their tasks are moved; sorted. They are in
+  // this document because every entry has to know it before it starts tasks, and it outlives all
+  // entries.
   std::vector<std::string> drained_endpoints;
 };
 
@@ -58,16 +59,16 @@
 struct contract_error {
   contract_fault fault = contract_fault::kNotJson;
   std::string path;   // "workspaces[1].teams[0].share"
-  std::string value;  // what stood there
+  std::string value;  // the value found there
 };
 
-// 1 to 64 of a-z, 0-9, '-', '_' and '.': what workspaces, teams and keys may be called.
+// 1 to 64 of a-z, 0-9, '-', '_' and '.': valid names of workspaces, teams and keys.
 bool IsContractName(std::string_view name);
 
 // Strict: JSON with comments; an unknown or repeated name, a wrong type or a value out of range is
 // an error, and so are shares of over 100 per cent together. docs/CONTRACTS.md is the schema.
 std::variant<configuration, contract_error> ParseConfiguration(std::string_view text);
-// The canonical text: what is kept in the store.
+// The canonical text, as it is stored.
 std::string ToText(const configuration& config);
 std::string_view ToText(contract_fault fault);
 
--- a/src/version/contract_diff.cc
+++ b/src/version/contract_diff.cc
@@ -12,7 +12,7 @@
 
 using line_list = std::vector<std::string_view>;
 
-// Over so many pairs of lines the middle is shown as removed and added as a whole.
+// Above this number of line pairs the middle is shown as fully removed and added.
 constexpr size_t kMaxTableCells = 16'000'000;
 
 line_list SplitLines(std::string_view text) {
@@ -30,7 +30,7 @@
   for (size_t i = from; i < to; ++i) out.push_back({mark, std::string(lines[i])});
 }
 
-// Lengths of the longest common subsequences of all tails, row by row.
+// Lengths of the longest common subsequences of all pairs of suffixes, row by row.
 class lcs_table {
  public:
   lcs_table(const line_list& before, const line_list& after, size_t begin, size_t before_end,
@@ -52,7 +52,7 @@
   std::vector<uint32_t> cells_;
 };
 
-// The part between the common beginning and the common end.
+// The part between the common prefix and the common suffix.
 void DiffMiddle(const line_list& before, const line_list& after, size_t begin, size_t before_end,
                 size_t after_end, std::vector<diff_line>& out) {
   size_t i = begin;
--- a/src/version/contract_edit.cc
+++ b/src/version/contract_edit.cc
@@ -32,7 +32,7 @@
   return found == nullptr ? nullptr : &found->keys;
 }
 
-// All of `known`, then those of `read` that are new; withdrawn in either is withdrawn.
+// All of `known`, then the new ones of `read`; a key withdrawn in either is withdrawn.
 std::vector<key_record> MergeKeys(std::vector<key_record> known,
                                   const std::vector<key_record>& read) {
   for (const key_record& key : read) {
@@ -112,7 +112,7 @@
   if (key == nullptr) return edit_fault::kNoSuchKey;
   const auto active = std::count_if(keys->begin(), keys->end(),
                                     [](const key_record& each) { return !each.withdrawn; });
-  // Only a hand in the platform's store could grant an operator's key again.
+  // Without an operator's key, one could be added only by editing the platform's store by hand.
   if (team.empty() && !key->withdrawn && active == 1) return edit_fault::kLastOperatorKey;
   key->withdrawn = true;
   return edit_fault::kNone;
--- a/src/version/contract_summary.cc
+++ b/src/version/contract_summary.cc
@@ -9,7 +9,7 @@
 namespace catkinford {
 namespace {
 
-constexpr size_t kMaxParts = 5;  // the line travels with each version
+constexpr size_t kMaxParts = 5;  // the line is sent with each version
 
 template <typename Named>
 const Named* FindNamed(const std::vector<Named>& list, const std::string& name) {
--- a/src/version/contract_warnings.cc
+++ b/src/version/contract_warnings.cc
@@ -9,7 +9,7 @@
 namespace catkinford {
 namespace {
 
-// One amount of a limit, by its name in the contract.
+// One amount of a limit and its name in the contract.
 struct named_amount {
   std::string_view name;
   uint64_t value;
@@ -36,7 +36,7 @@
                      [](const key_record& key) { return !key.withdrawn; });
 }
 
-// Which amounts of `next` are below those of `before`, in words; empty for none.
+// Which amounts of `next` are below those of `before`, as text; empty if none.
 std::string DescribeLowered(const std::vector<named_amount>& before,
                             const std::vector<named_amount>& next) {
   std::string text;
@@ -82,7 +82,7 @@
 std::string ToText(const contract_warning& warning) {
   switch (warning.kind) {
     case contract_warning_kind::kNoOperatorKey:
-      return "no operator's key is in force: nobody could change the configuration any more";
+      return "no active operator key: nobody could change the configuration";
     case contract_warning_kind::kTeamWithoutKeys:
       return absl::StrCat("team ", warning.team, " has no key in force");
     case contract_warning_kind::kNothingMayRun:
--- a/src/version/json_reader.cc
+++ b/src/version/json_reader.cc
@@ -32,7 +32,7 @@
 }
 
 std::string Excerpt(const json& value) {
-  // Not written out: writing is recursive, and a million brackets would overflow the stack.
+  // Not serialized: that is recursive, and a million brackets would overflow the stack.
   if (value.is_object()) return "{...}";
   if (value.is_array()) return "[...]";
   return value.dump(-1, ' ', true, json::error_handler_t::replace).substr(0, kMaxExcerptLength);
--- a/src/version/json_reader.h
+++ b/src/version/json_reader.h
@@ -1,5 +1,5 @@
-// Strict reading of one JSON object: each field is asked for by name, and what nobody asked for is
-// an error. The first fault is kept, with its path.
+// Strict reading of one JSON object: each field is read by name, and a field that was not read
+// is an error. The first error is kept, with its path.
 #ifndef CATKINFORD_VERSION_JSON_READER_H_
 #define CATKINFORD_VERSION_JSON_READER_H_
 
@@ -14,7 +14,7 @@
 
 namespace catkinford {
 
-// The fault that came first; later ones do not replace it.
+// Keeps the first error; later ones do not replace it.
 class first_contract_error {
  public:
   void Add(contract_fault fault, std::string path, std::string value);
@@ -24,7 +24,7 @@
   std::optional<contract_error> first_;
 };
 
-// What stood there, cut to a length that fits into an answer.
+// The value as text, truncated to fit into an answer.
 std::string Excerpt(const nlohmann::json& value);
 
 class json_object_reader {
@@ -42,10 +42,10 @@
   double Number(std::string_view field, double low, double high);
   uint32_t Count(std::string_view field, uint32_t high, std::optional<uint32_t> fallback);
   bool Flag(std::string_view field, bool fallback);
-  // The array `field`, or null where it is absent and need not be there.
+  // The array `field`, or null if it is absent and not required.
   const nlohmann::json* Array(std::string_view field, bool required);
   const nlohmann::json* Object(std::string_view field);
-  // Call last: whatever was not asked for is an error.
+  // Call last: a field that was not read is an error.
   void RejectUnknownFields();
 
  private:
@@ -58,7 +58,7 @@
   std::vector<std::string> known_fields_;
 };
 
-// Whether a name stands twice in one object, anywhere: the library would quietly keep the last.
+// A name that occurs twice in one object, at any depth: the library would silently keep the last.
 std::optional<std::string> FindDuplicateName(std::string_view text);
 
 }  // namespace catkinford
--- a/src/version/key_ring.cc
+++ b/src/version/key_ring.cc
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::string_view kPrefix = "ck_";
-constexpr size_t kSecretBytes = 32;  // 64 public bits that find the record, 192 secret ones
+constexpr size_t kSecretBytes = 32;  // 64 public bits that look up the record, 192 secret ones
 constexpr size_t kSecretCharacters = 43;
 constexpr size_t kDigestBytes = 32;
 
@@ -28,7 +28,7 @@
 digest HashOf(std::string_view salt, std::string_view secret) {
   gnutls_hash_hd_t hash = nullptr;
   digest result{};
-  // Without a hash no key can be told from another; nothing can be served.
+  // Without a hash no key can be checked, so no request can be served.
   if (gnutls_hash_init(&hash, GNUTLS_DIG_SHA256) < 0) std::abort();
   gnutls_hash(hash, salt.data(), salt.size());
   gnutls_hash(hash, secret.data(), secret.size());
@@ -50,7 +50,7 @@
 
 std::string SaltText(uint64_t salt) { return absl::StrCat(absl::Hex(salt, absl::kZeroPad16)); }
 
-// The public part of a secret; nothing where it has not the form of one.
+// The public part of a secret; nullopt if it is malformed.
 std::optional<uint64_t> SaltOf(std::string_view secret) {
   if (secret.size() != kPrefix.size() + kSecretCharacters) return std::nullopt;
   if (secret.substr(0, kPrefix.size()) != kPrefix) return std::nullopt;
@@ -66,7 +66,7 @@
 
 new_key MakeKey(std::string_view name, bool is_operator) {
   std::array<char, kSecretBytes> bytes{};
-  // A key that can be guessed is worse than none.
+  // A predictable key is worse than none.
   if (gnutls_rnd(GNUTLS_RND_KEY, bytes.data(), bytes.size()) < 0) std::abort();
   std::string text;
   absl::WebSafeBase64Escape(std::string(bytes.data(), bytes.size()), &text);
--- a/src/version/site_configuration.h
+++ b/src/version/site_configuration.h
@@ -1,4 +1,4 @@
-// One version of what the operators want: queues, workspaces with their keys and limits, services.
+// One version of the site's configuration: queues, workspaces with their keys and limits, services.
 #ifndef CATKINFORD_VERSION_SITE_CONFIGURATION_H_
 #define CATKINFORD_VERSION_SITE_CONFIGURATION_H_
 
@@ -15,7 +15,7 @@
 
 namespace catkinford {
 
-// How long a queue's policy takes to say which instances may run a step.
+// How long a queue's policy takes to state which instances may run a step.
 struct advice_timing {
   std::chrono::milliseconds base{0};
   std::chrono::microseconds per_instance{0};
@@ -25,7 +25,7 @@
 struct queue_config {
   std::string name;
   std::string host;
-  std::string prefix;  // of the path; the longest that fits names the queue
+  std::string prefix;  // of the path; the longest match selects the queue
   bool anonymous = false;
   job_terms jobs;
   std::optional<advice_timing> advice;
@@ -40,7 +40,7 @@
 
 struct service_config {
   std::string name;
-  bool enforces_capacity = false;  // its instances refuse what does not fit
+  bool enforces_capacity = false;  // its instances reject what exceeds their capacity
   bool standby = false;
 };
 
@@ -60,10 +60,10 @@
   const std::vector<service_config>& Services() const { return services_; }
   const caller_limits& Limits() const { return limits_; }
 
-  // The queue of the longest prefix that `path` begins with; null: none.
+  // The queue with the longest prefix of `path`; null if none.
   const queue_config* QueueFor(std::string_view host, std::string_view path) const;
   const queue_config* QueueNamed(const std::string& name) const;
-  // The workspace that holds `key`; null: nobody does.
+  // The workspace that `key` belongs to; null if none.
   const workspace_config* WorkspaceOfKey(const std::string& key) const;
   const workspace_config* WorkspaceNamed(const std::string& name) const;
   const service_config* ServiceNamed(const std::string& name) const;
--- a/src/version/text_delta.h
+++ b/src/version/text_delta.h
@@ -1,5 +1,5 @@
-// What changed from one text of the configuration to the next: one span of the document, and its
-// signature. An operator's change is a few lines of a document of 172 KB at the target size.
+// Difference between two texts of the configuration: one span of the document, and its signature.
+// An operator's change is a few lines of a document of 172 KB at the target size.
 #ifndef CATKINFORD_VERSION_TEXT_DELTA_H_
 #define CATKINFORD_VERSION_TEXT_DELTA_H_
 
@@ -11,16 +11,16 @@
 namespace catkinford {
 
 struct text_delta {
-  uint64_t at = 0;             // where the span begins
-  uint64_t removed_bytes = 0;  // bytes of the old document that it replaces
+  uint64_t at = 0;             // offset of the span, in bytes
+  uint64_t removed_bytes = 0;  // length of the replaced span of the old document
   std::string inserted;        // the new span
   std::string signature;       // the new signature
-  std::string digest;          // of the whole new text
+  std::string digest;          // of the complete new text
 };
 
 text_delta MakeDelta(std::string_view before, std::string_view after);
 
-// Absent when `before` is not the text that the step was made from.
+// Nullopt if `before` is not the text that the delta was made from.
 std::optional<std::string> ApplyDelta(std::string_view before, const text_delta& delta);
 
 }  // namespace catkinford
--- a/test/config_history_test.cc
+++ b/test/config_history_test.cc
@@ -44,8 +44,8 @@
   CHECK(Kept() == std::vector<uint64_t>{5});
 }
 
-// An entry is paused between its write of a version's text and its entry in the list, for so long
-// that the version was dropped. Listed again it would stand as newer than it is.
+// An entry is paused between the writes of a version's text and of the list until the version has
+// been dropped. Guards against listing it again as newer than it is.
 TEST_CASE_METHOD(config_history_fixture, "history, version long superseded, is not listed again",
                  "[history]") {
   for (const uint64_t version : {3, 7, 8, 12}) history_.Add(Past(version), bounds_);
@@ -70,9 +70,9 @@
 }
 
 // An operator restores a version from before a workspace was removed by mistake. A key that was
-// withdrawn in between, or whose team was removed, must not come to life by it: its holder may have
-// left.
-TEST_CASE_METHOD(config_history_fixture, "contract restored, key that does not work, stays so",
+// withdrawn in between, or whose team was removed, must not become active again: its holder may
+// have left.
+TEST_CASE_METHOD(config_history_fixture, "contract restored, inactive key, stays inactive",
                  "[history]") {
   configuration past;
   past.workspaces = {{"w", {}}, {"gone", {}}};
@@ -102,7 +102,7 @@
   CHECK(restored.operator_keys.size() == 1);
 }
 
-TEST_CASE_METHOD(config_history_fixture, "summary, changes of all kinds, are named in short",
+TEST_CASE_METHOD(config_history_fixture, "summary, changes of all kinds, are named briefly",
                  "[history]") {
   configuration before;
   before.workspaces = {{"w", {}}, {"x", {}}};
--- a/test/config_version_tracker_test.cc
+++ b/test/config_version_tracker_test.cc
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(config_version_tracker_fixture, "versions, older one offered late, is not taken",
+TEST_CASE_METHOD(config_version_tracker_fixture, "versions, older one offered late, is ignored",
                  "[versions]") {
   CHECK(tracker_.Offer(5, Text(), now_));
   CHECK_FALSE(tracker_.Offer(4, R"({"workspaces":[]})", now_));
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE_METHOD(config_version_tracker_fixture,
-                 "versions, unreadable one, keeps the old one in force", "[versions]") {
+                 "versions, unreadable one, keeps the old one in effect", "[versions]") {
   CHECK(tracker_.Offer(5, Text(), now_));
   CHECK_FALSE(tracker_.Offer(6, R"({"workspaces":[], "novelty":1})", now_));
   CHECK(tracker_.Version() == 5);
@@ -58,10 +58,10 @@
   CHECK_FALSE(tracker_.Refused().has_value());
 }
 
-// A peer says what it changed, and not the whole document. It must give the very text of the
-// version wherever that is applied, and nothing where it does not fit.
+// A peer sends a delta instead of the complete document. Applied to its base it must give exactly
+// the text of the version, and to any other text nothing.
 TEST_CASE_METHOD(config_version_tracker_fixture,
-                 "versions, step from the version in force, gives the next", "[versions]") {
+                 "versions, delta from the current version, gives the next", "[versions]") {
   config_version_tracker other(kGrace);
   const std::string first = SignConfiguration(Text(), {"a1", "night", milliseconds{1}, "x"});
   config_.workspaces[0].teams[0].keys[0].withdrawn = true;
@@ -77,12 +77,12 @@
   CHECK(*text == second);
   CHECK(other.Offer(9, *text, now_));
   CHECK_FALSE(other.Ring()->Find(key_.secret).has_value());
-  // Already there, or never at its base.
+  // Already applied, or base never seen.
   CHECK_FALSE(other.TextAfter(*tracker_.LastDelta()).has_value());
   CHECK_FALSE(config_version_tracker(kGrace).TextAfter(*tracker_.LastDelta()).has_value());
 }
 
-TEST_CASE("text steps, between random texts, give the new one or nothing", "[versions]") {
+TEST_CASE("text deltas, between random texts, give the new one or nothing", "[versions]") {
   CHECK(Holds({13, 500, 100}, [] {
     const auto letters = rc::gen::container<std::string>(rc::gen::element('a', 'b', '\n'));
     const std::string before = *letters;
@@ -97,8 +97,8 @@
   }));
 }
 
-// A domain is cut off from everything. A key may have been withdrawn elsewhere without its knowing,
-// so that after the grace nothing new is taken; one word from outside sets that right.
+// An isolated domain does not learn that a key was withdrawn elsewhere, so after the grace period
+// it accepts nothing new; one confirmation from outside ends that.
 TEST_CASE_METHOD(config_version_tracker_fixture,
                  "versions, no confirmation for the grace, trust no key", "[versions]") {
   CHECK_FALSE(tracker_.KeysTrusted(now_));
@@ -107,13 +107,13 @@
   CHECK_FALSE(tracker_.KeysTrusted(now_ + kGrace + milliseconds{1}));
   tracker_.Confirm(5, now_ + kGrace);
   CHECK(tracker_.KeysTrusted(now_ + kGrace * 2));
-  // A newer version than ours is no confirmation of ours.
+  // A report of a newer version does not confirm the current one.
   tracker_.Confirm(6, now_ + kGrace * 2);
   CHECK_FALSE(tracker_.KeysTrusted(now_ + kGrace * 2 + milliseconds{1}));
 }
 
 TEST_CASE_METHOD(config_version_tracker_fixture,
-                 "versions, asked where in force, name domains that lack it", "[versions]") {
+                 "versions, propagation, names domains that lack one", "[versions]") {
   tracker_.Offer(5, Text(), now_);
   const std::vector<version_member> members = {{"a2", "a"}, {"b1", "b"}, {"b2", "b"}, {"c1", "c"}};
   tracker_.OnPeerVersion("a2", 5);
@@ -128,10 +128,10 @@
   CHECK(tracker_.NewerPeer() == std::string("b2"));
 }
 
-// Two domains are cut off together, from the store and from the third, where a key is withdrawn. If
-// each took the other's word, the key would go on working in both for ever.
+// Two domains are isolated together from the store and from the third, where a key is withdrawn. If
+// each confirmed the other's version, the key would keep working in both for ever.
 TEST_CASE_METHOD(config_version_tracker_fixture,
-                 "versions, two domains cut off together, confirm nothing", "[versions]") {
+                 "versions, two domains isolated together, confirm nothing", "[versions]") {
   tracker_.Offer(5, Text(), now_);
   tracker_.OnPeerVersion("b1", 5);
   tracker_.OnPeerVersion("c1", 5);
@@ -141,7 +141,7 @@
   CHECK_FALSE(tracker_.ConfirmedByAll({"b", "c"}, {{"b1", "b"}, {"c1", "c"}}));
 }
 
-TEST_CASE("configuration, signed, tells who changed it and is read as before", "[versions]") {
+TEST_CASE("configuration, signed, names its author and parses as before", "[versions]") {
   const std::string text = R"({"workspaces":[]})";
   const std::string signed_text = SignConfiguration(text, {"7f", "night", milliseconds{1234}});
   const config_signature signature = SignatureOf(signed_text);
@@ -160,8 +160,8 @@
 }
 
 // Documents reach the entries by watches, by peers and by late replies, in any order and more than
-// once. A change that was accepted must end up everywhere and never disappear anywhere.
-TEST_CASE("versions, random spread between entries, only rise and end up the same", "[versions]") {
+// once. A change that was accepted must reach every entry and never disappear from one.
+TEST_CASE("versions, random propagation between entries, only rise and converge", "[versions]") {
   CHECK(Holds({11, 300, 200}, [] {
     const auto choices =
         *rc::gen::container<std::vector<uint32_t>>(rc::gen::inRange<uint32_t>(0, 10000));
@@ -178,7 +178,7 @@
         sent.emplace_back(
             newest, R"({"workspaces":[{"name":"v)" + std::to_string(newest) + R"(","teams":[]}]})");
         entry.Offer(newest, sent.back().second, now);
-      } else if (!sent.empty()) {  // some document, late or doubled
+      } else if (!sent.empty()) {  // some document, late or duplicated
         const auto& [version, text] = sent[choice / 12 % sent.size()];
         entry.Offer(version, text, now);
       }
@@ -187,7 +187,7 @@
         RC_ASSERT(entry.Config()->workspaces[0].name == absl::StrCat("v", entry.Version()));
       }
     }
-    // Once entries can reach each other, each asks the peer that has the newest.
+    // Once entries can reach each other, each fetches the newest version from a peer.
     for (config_version_tracker& entry : entries) {
       for (size_t i = 0; i < kEntries; ++i) {
         entry.OnPeerVersion(std::to_string(i), entries[i].Version());
--- a/test/contract_test.cc
+++ b/test/contract_test.cc
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(contract_fixture, "contract, well formed, is read whole", "[contract]") {
+TEST_CASE_METHOD(contract_fixture, "contract, well formed, is read completely", "[contract]") {
   const configuration config = Good();
   REQUIRE(config.workspaces.size() == 1);
   REQUIRE(config.workspaces[0].teams.size() == 2);
@@ -79,7 +79,7 @@
   const auto& config = std::get<configuration>(read);
   CHECK(config.drained_endpoints == std::vector<std::string>{"Ep-1", "ep-2"});
   CHECK(ToText(std::get<configuration>(ParseConfiguration(ToText(config)))) == ToText(config));
-  // A file from before the drain does not undo it, and neither does a way back.
+  // A file from before the drain does not undo it, and neither does a restored version.
   CHECK(MergeContracts(config, Good()).drained_endpoints == config.drained_endpoints);
   CHECK(RestoreContracts(config, Good()).drained_endpoints == config.drained_endpoints);
   CheckFault("\"workspaces\"", R"("drained_endpoints": ["a", "a"], "workspaces")",
@@ -90,9 +90,9 @@
              contract_fault::kWrongType, "drained_endpoints[0]");
 }
 
-// An operator mistypes one field. Without a typed fault and its path the change would either be
-// taken in part, or the operator would have to find the slip by eye in a document of 170 teams.
-TEST_CASE_METHOD(contract_fixture, "contract, one slip, is refused with the path of the field",
+// An operator mistypes one field. Without a typed error and its path the change would be applied in
+// part, or the operator would have to find the mistake by eye in a document of 170 teams.
+TEST_CASE_METHOD(contract_fixture, "contract, one mistake, is rejected with the path of the field",
                  "[contract]") {
   const std::string first = "workspaces[0].teams[0]";
   CheckFault("\"share\": 60", "\"shares\": 60", contract_fault::kMissingField, first + ".share");
@@ -137,7 +137,7 @@
   configuration config_;
 };
 
-TEST_CASE_METHOD(key_ring_fixture, "key ring, good key, names its holder", "[keys]") {
+TEST_CASE_METHOD(key_ring_fixture, "key ring, valid key, returns its holder", "[keys]") {
   const key_ring ring(config_);
   REQUIRE(desk_.secret.size() == 46);
   const auto holder = ring.Find(desk_.secret);
--- a/test/mutation_test.cc
+++ b/test/mutation_test.cc
@@ -1,5 +1,5 @@
-// Texts that operators and callers send, damaged at random: whatever comes, the readers answer with
-// a value or a typed fault. The seed is fixed, so a text that fails here fails again.
+// Texts that operators and callers send, randomly damaged: for any input the parsers return a value
+// or a typed error. The seed is fixed, so a failure is reproducible.
 #include <array>
 #include <catch2/catch.hpp>
 #include <cstdint>
@@ -26,7 +26,7 @@
 
 class mutation_fixture {
  protected:
-  // Between one and eight damages: a byte changed, cut out or doubled, or a piece of JSON put in.
+  // One to eight mutations: bytes changed, removed or duplicated, or a piece of JSON inserted.
   std::string Damage(std::string text) {
     static constexpr std::array<const char*, 10> kPieces = {
         "{", "}", "[", "\"", "null", "-1", "1e999", "\\ud800", "18446744073709551616", "\xff"};
@@ -54,9 +54,9 @@
 
 }  // namespace
 
-// A half-written or damaged settings file must stop the start with a fault that an operator can
-// read, and a file that is taken must hold only values that the table allows.
-TEST_CASE_METHOD(mutation_fixture, "settings, damaged at random, are refused or within the table",
+// A half-written or damaged settings file must stop the start with an error that an operator can
+// read, and an accepted file must hold only values that the table allows.
+TEST_CASE_METHOD(mutation_fixture, "settings, damaged at random, are rejected or within the table",
                  "[mutation]") {
   const std::string whole =
       R"({"name":"e1","failure_domain":"a","failure_domains":["a","b"],"listen":{"caller_port":1,)"
@@ -83,10 +83,10 @@
   CHECK(taken > 1);
 }
 
-// What is taken as a contract must print and read back as the same; else two entries would hold
-// different terms for one version.
-TEST_CASE_METHOD(mutation_fixture, "contract, damaged at random, is refused or reads back the same",
-                 "[mutation]") {
+// An accepted contract must survive printing and parsing; otherwise two entries would hold
+// different contracts for one version.
+TEST_CASE_METHOD(mutation_fixture,
+                 "contract, damaged at random, is rejected or reads back the same", "[mutation]") {
   configuration config;
   team_contract team;
   team.name = "booking";
@@ -110,9 +110,9 @@
   CHECK(taken > 0);
 }
 
-// A caller's broken body must be answered with a 4xx and a typed word, and what is taken must ask
-// for something: a negative size read as a huge one would wait for ever.
-TEST_CASE_METHOD(mutation_fixture, "caller's bodies, damaged at random, are refused or make sense",
+// A caller's malformed body must be answered with a 4xx and an error code, and an accepted one must
+// be sensible: a negative size read as a huge one would wait for ever.
+TEST_CASE_METHOD(mutation_fixture, "caller's bodies, damaged at random, are rejected or valid",
                  "[mutation]") {
   http_request request;
   request.method = "POST";
@@ -144,10 +144,10 @@
   CHECK(taken > 0);
 }
 
-// The list of past versions lies in the store, where a hand can damage it. What is read of it must
-// still rise, or a diff would show a change backwards; and the document's signature is only a
-// comment, which may say anything.
-TEST_CASE_METHOD(mutation_fixture, "history and signature, damaged at random, rise or are refused",
+// The stored list of past versions can be damaged by manual edits. Versions read from it must still
+// rise, or a diff would show a change backwards; and the document's signature is only a comment,
+// which may contain anything.
+TEST_CASE_METHOD(mutation_fixture, "history and signature, damaged at random, rise or are rejected",
                  "[mutation]") {
   config_history history;
   for (const uint64_t version : {3, 7, 9, 12}) {
@@ -172,9 +172,9 @@
   CHECK(taken > 0);
 }
 
-// Two versions of the program run side by side while a fleet is rolled; a batch that one of them
-// cannot read must cost nothing but that batch.
-TEST_CASE_METHOD(mutation_fixture, "peers' batches and ledgers, damaged at random, end nothing",
+// Two versions of the program run side by side during a rolling upgrade; a batch that one of them
+// cannot parse must cause the loss of that batch only.
+TEST_CASE_METHOD(mutation_fixture, "peers' batches and ledgers, damaged at random, crash nothing",
                  "[mutation]") {
   place_message place;
   place.shard = "otaru/0";
@@ -195,7 +195,7 @@
   for (int i = 0; i < kRounds; ++i) {
     for (const peer_message& message : DecodeBatch(Damage(batch))) {
       ++read;
-      // A step that was damaged on its way must not make a document that nobody wrote.
+      // A step that was damaged on its way must not produce a document that nobody wrote.
       const auto* damaged = std::get_if<config_step_message>(&message.body);
       if (damaged == nullptr) continue;
       const auto text = ApplyDelta("{\"a\":1}", damaged->step.change);
--- a/test/text_compression_test.cc
+++ b/test/text_compression_test.cc
@@ -14,8 +14,8 @@
   return out + "]}]}]}";
 }
 
-// Guards against records that fill an owner's narrow link.
-TEST_CASE("packed text, progress of a wide job, is half as long and comes back whole") {
+// Guards against records that saturate an owner's narrow link.
+TEST_CASE("text compression, progress of a wide job, halves its length and restores it") {
   const std::string text = ProgressLikeText();
   const std::string packed = CompressText(text);
   CHECK(packed.size() * 2 < text.size());
@@ -23,7 +23,7 @@
 }
 
 // Guards against records of an earlier program that a new one can't read.
-TEST_CASE("packed text, text that was never packed, is given back") {
+TEST_CASE("text compression, uncompressed text, is returned unchanged") {
   for (const std::string text : {"", "{}", R"({"id":"x"})"}) {
     CHECK(CompressText(text) == text);
     CHECK(DecompressText(text) == text);
@@ -31,8 +31,8 @@
   CHECK(DecompressText(ProgressLikeText()) == ProgressLikeText());
 }
 
-// Guards against a record that was cut or changed and is taken for another one.
-TEST_CASE("packed text, broken bytes, are none") {
+// Guards against a truncated or changed record that is mistaken for another one.
+TEST_CASE("text compression, damaged bytes, are rejected") {
   const std::string packed = CompressText(ProgressLikeText());
   CHECK_FALSE(DecompressText(packed.substr(0, packed.size() / 2)));
   std::string changed = packed;
@@ -41,8 +41,8 @@
   CHECK_FALSE(DecompressText("xyz"));
 }
 
-// Guards against a few bytes that unpack to all of the memory.
-TEST_CASE("packed text, more than any record, is not unpacked") {
+// Guards against a few bytes that expand until memory is exhausted.
+TEST_CASE("text compression, more than any record, is rejected") {
   CHECK_FALSE(DecompressText(CompressText(std::string(64 << 20, ' '))));
 }
 
