--- a/test/config_history_test.cc
+++ b/test/config_history_test.cc
@@ -14,7 +14,7 @@
   static past_version Past(uint64_t version, uint64_t bytes = 100) {
     return {version, version + 1000, bytes, std::chrono::milliseconds{5}, "night", "what"};
   }
-  std::vector<uint64_t> Kept() const {
+  std::vector<uint64_t> ListedVersions() const {
     std::vector<uint64_t> numbers;
     for (const past_version& past : history_.Versions()) numbers.push_back(past.version);
     return numbers;
@@ -28,7 +28,7 @@
 
 TEST_CASE_METHOD(config_history_fixture, "history, over its count, drops the oldest", "[history]") {
   for (const uint64_t version : {3, 7, 8, 12}) history_.Add(Past(version), bounds_);
-  CHECK(Kept() == std::vector<uint64_t>{7, 8, 12});
+  CHECK(ListedVersions() == std::vector<uint64_t>{7, 8, 12});
   REQUIRE(history_.Dropped().size() == 1);
   CHECK(history_.Dropped().front().text_revision == 1003);
   history_.RemoveDropped(3);
@@ -39,9 +39,9 @@
                  "[history]") {
   history_.Add(Past(3, 600), bounds_);
   history_.Add(Past(4, 500), bounds_);
-  CHECK(Kept() == std::vector<uint64_t>{4});
+  CHECK(ListedVersions() == std::vector<uint64_t>{4});
   history_.Add(Past(5, 5000), bounds_);
-  CHECK(Kept() == std::vector<uint64_t>{5});
+  CHECK(ListedVersions() == std::vector<uint64_t>{5});
 }
 
 // An entry is paused between the writes of a version's text and of the list until the version has
--- a/test/contract_test.cc
+++ b/test/contract_test.cc
@@ -12,7 +12,7 @@
 namespace catkinford {
 namespace {
 
-constexpr const char* kGood = R"({
+constexpr const char* kValidDocument = R"({
   // Two teams of one workspace.
   "workspaces": [{"name": "showrooms", "teams": [
     {"name": "booking", "share": 60, "kinds": ["interactive", "service"],
@@ -27,7 +27,7 @@
   // The document with `from` replaced by `to` gives this fault at this path.
   static void CheckFault(const std::string& from, const std::string& to, contract_fault fault,
                          const std::string& path) {
-    std::string text = kGood;
+    std::string text = kValidDocument;
     const size_t place = text.find(from);
     REQUIRE(place != std::string::npos);
     text.replace(place, from.size(), to);
@@ -39,13 +39,15 @@
     CHECK(error.path == path);
   }
 
-  static configuration Good() { return std::get<configuration>(ParseConfiguration(kGood)); }
+  static configuration ValidConfiguration() {
+    return std::get<configuration>(ParseConfiguration(kValidDocument));
+  }
 };
 
 }  // namespace
 
 TEST_CASE_METHOD(contract_fixture, "contract, well formed, is read completely", "[contract]") {
-  const configuration config = Good();
+  const configuration config = ValidConfiguration();
   REQUIRE(config.workspaces.size() == 1);
   REQUIRE(config.workspaces[0].teams.size() == 2);
   const team_contract& booking = config.workspaces[0].teams[0];
@@ -59,7 +61,7 @@
 
 TEST_CASE_METHOD(contract_fixture, "contract, written and read again, is the same text",
                  "[contract]") {
-  configuration config = Good();
+  configuration config = ValidConfiguration();
   config.operator_keys.push_back(MakeKey("night-shift", true).record);
   config.workspaces[0].teams[0].keys.push_back(MakeKey("desk", false).record);
   config.workspaces[0].teams[0].keys[0].withdrawn = true;
@@ -72,7 +74,7 @@
 TEST_CASE_METHOD(contract_fixture, "contract, drained endpoints, are read, kept and checked",
                  "[contract]") {
   const std::string list = R"("drained_endpoints": ["ep-2", "Ep-1"], "workspaces")";
-  std::string text = kGood;
+  std::string text = kValidDocument;
   text.replace(text.find("\"workspaces\""), 12, list);
   const auto read = ParseConfiguration(text);
   REQUIRE(std::holds_alternative<configuration>(read));
@@ -80,8 +82,9 @@
   CHECK(config.drained_endpoints == std::vector<std::string>{"Ep-1", "ep-2"});
   CHECK(ToText(std::get<configuration>(ParseConfiguration(ToText(config)))) == ToText(config));
   // A file from before the drain does not undo it, and neither does a restored version.
-  CHECK(MergeContracts(config, Good()).drained_endpoints == config.drained_endpoints);
-  CHECK(RestoreContracts(config, Good()).drained_endpoints == config.drained_endpoints);
+  CHECK(MergeContracts(config, ValidConfiguration()).drained_endpoints == config.drained_endpoints);
+  CHECK(RestoreContracts(config, ValidConfiguration()).drained_endpoints ==
+        config.drained_endpoints);
   CheckFault("\"workspaces\"", R"("drained_endpoints": ["a", "a"], "workspaces")",
              contract_fault::kDuplicateName, "drained_endpoints[1]");
   CheckFault("\"workspaces\"", R"("drained_endpoints": ["a b"], "workspaces")",
@@ -128,44 +131,44 @@
   key_ring_fixture() {
     config_.workspaces.push_back({"showrooms", {}});
     config_.workspaces[0].teams.emplace_back().name = "booking";
-    config_.workspaces[0].teams[0].keys.push_back(desk_.record);
-    config_.operator_keys.push_back(night_.record);
+    config_.workspaces[0].teams[0].keys.push_back(team_key_.record);
+    config_.operator_keys.push_back(operator_key_.record);
   }
 
-  new_key desk_ = MakeKey("desk", false);
-  new_key night_ = MakeKey("night", true);
+  new_key team_key_ = MakeKey("desk", false);
+  new_key operator_key_ = MakeKey("night", true);
   configuration config_;
 };
 
 TEST_CASE_METHOD(key_ring_fixture, "key ring, valid key, returns its holder", "[keys]") {
   const key_ring ring(config_);
-  REQUIRE(desk_.secret.size() == 46);
-  const auto holder = ring.Find(desk_.secret);
+  REQUIRE(team_key_.secret.size() == 46);
+  const auto holder = ring.Find(team_key_.secret);
   REQUIRE(holder.has_value());
   CHECK(holder->team == "booking");
   CHECK(holder->workspace == "showrooms");
   CHECK_FALSE(holder->is_operator);
-  REQUIRE(ring.Find(night_.secret).has_value());
-  CHECK(ring.Find(night_.secret)->is_operator);
+  REQUIRE(ring.Find(operator_key_.secret).has_value());
+  CHECK(ring.Find(operator_key_.secret)->is_operator);
 }
 
 TEST_CASE_METHOD(key_ring_fixture, "key ring, any changed character, finds nobody", "[keys]") {
   const key_ring ring(config_);
-  for (size_t i = 0; i < desk_.secret.size(); ++i) {
-    std::string changed = desk_.secret;
+  for (size_t i = 0; i < team_key_.secret.size(); ++i) {
+    std::string changed = team_key_.secret;
     changed[i] = changed[i] == 'A' ? 'B' : 'A';
     CHECK_FALSE(ring.Find(changed).has_value());
   }
   CHECK_FALSE(ring.Find("").has_value());
-  CHECK_FALSE(ring.Find(desk_.secret + "A").has_value());
-  CHECK_FALSE(ring.Find(desk_.record.hash).has_value());
+  CHECK_FALSE(ring.Find(team_key_.secret + "A").has_value());
+  CHECK_FALSE(ring.Find(team_key_.record.hash).has_value());
   CHECK_FALSE(ring.Find(MakeKey("other", false).secret).has_value());
 }
 
 TEST_CASE_METHOD(key_ring_fixture, "key ring, withdrawn key, finds nobody", "[keys]") {
   config_.workspaces[0].teams[0].keys[0].withdrawn = true;
-  CHECK_FALSE(key_ring(config_).Find(desk_.secret).has_value());
-  CHECK(key_ring(config_).Find(night_.secret).has_value());
+  CHECK_FALSE(key_ring(config_).Find(team_key_.secret).has_value());
+  CHECK(key_ring(config_).Find(operator_key_.secret).has_value());
 }
 
 }  // namespace catkinford
--- a/test/mutation_test.cc
+++ b/test/mutation_test.cc
@@ -27,10 +27,10 @@
 class mutation_fixture {
  protected:
   // One to eight mutations: bytes changed, removed or duplicated, or a piece of JSON inserted.
-  std::string Damage(std::string text) {
-    static constexpr std::array<const char*, 10> kPieces = {
+  std::string Mutate(std::string text) {
+    static constexpr std::array<const char*, 10> kFragments = {
         "{", "}", "[", "\"", "null", "-1", "1e999", "\\ud800", "18446744073709551616", "\xff"};
-    for (uint64_t left = 1 + random_() % 8; left > 0 && !text.empty(); --left) {
+    for (uint64_t remaining = 1 + random_() % 8; remaining > 0 && !text.empty(); --remaining) {
       const size_t at = random_() % text.size();
       switch (random_() % 4) {
         case 0:
@@ -43,7 +43,7 @@
           text.insert(at, text.substr(at, random_() % 16));
           break;
         default:
-          text.insert(at, kPieces[random_() % kPieces.size()]);
+          text.insert(at, kFragments[random_() % kFragments.size()]);
       }
     }
     return text;
@@ -58,29 +58,29 @@
 // read, and an accepted file must hold only values that the table allows.
 TEST_CASE_METHOD(mutation_fixture, "settings, damaged at random, are rejected or within the table",
                  "[mutation]") {
-  const std::string whole =
+  const std::string original =
       R"({"name":"e1","failure_domain":"a","failure_domains":["a","b"],"listen":{"caller_port":1,)"
       R"("peer_port":2},"platform":{"store_url":"http://127.0.0.1:1","instances_url":)"
       R"("http://127.0.0.1:2"},"timing":{"heartbeat":"250ms"},"shards":{"per_domain":3}})";
-  int taken = 0;
-  const auto check = [&taken](const settings& read) {
-    ++taken;
+  int accepted = 0;
+  const auto check = [&accepted](const settings& read) {
+    ++accepted;
     CHECK(read.shards.per_domain >= 1);
     CHECK(read.timing.heartbeat < read.timing.member_lease);
     CHECK(HasForm(text_form::kName, read.name));
     CHECK(HasForm(text_form::kUrl, read.platform.store_url));
   };
   const auto read = [&check](const std::string& text) -> leaf::result<void> {
-    BOOST_LEAF_AUTO(taken_settings, ParseSettings(text));
-    check(taken_settings);
+    BOOST_LEAF_AUTO(accepted_settings, ParseSettings(text));
+    check(accepted_settings);
     return {};
   };
-  REQUIRE_FALSE(ErrorOf<settings_error>([&] { return read(whole); }));
+  REQUIRE_FALSE(ErrorOf<settings_error>([&] { return read(original); }));
   for (int i = 0; i < kRounds; ++i) {
-    const auto error = ErrorOf<settings_error>([&] { return read(Damage(whole)); });
+    const auto error = ErrorOf<settings_error>([&] { return read(Mutate(original)); });
     if (error) CHECK(!ToText(*error).empty());
   }
-  CHECK(taken > 1);
+  CHECK(accepted > 1);
 }
 
 // An accepted contract must survive printing and parsing; otherwise two entries would hold
@@ -95,19 +95,19 @@
   team.kinds = {workload_kind::kInteractive};
   config.workspaces.push_back({"showrooms", {team}});
   config.drained_endpoints = {"ep-1", "ep-2"};
-  const std::string whole = ToText(config);
-  int taken = 0;
+  const std::string original = ToText(config);
+  int accepted = 0;
   for (int i = 0; i < kRounds; ++i) {
-    const auto result = ParseConfiguration(Damage(whole));
+    const auto result = ParseConfiguration(Mutate(original));
     const auto* read = std::get_if<configuration>(&result);
     if (read == nullptr) continue;
-    ++taken;
+    ++accepted;
     const std::string text = ToText(*read);
     const auto again = ParseConfiguration(text);
     REQUIRE(std::holds_alternative<configuration>(again));
     CHECK(ToText(std::get<configuration>(again)) == text);
   }
-  CHECK(taken > 0);
+  CHECK(accepted > 0);
 }
 
 // A caller's malformed body must be answered with a 4xx and an error code, and an accepted one must
@@ -118,12 +118,12 @@
   request.method = "POST";
   const std::string job =
       R"({"kind":"batch","tasks":3,"cpu_milli":1000,"memory_mb":256,"deadline_ms":5000,"payload":"x"})";
-  int taken = 0;
+  int accepted = 0;
   const auto read = [&]() -> leaf::result<void> {
     BOOST_LEAF_AUTO(call, ReadCall(request, {}));
     const auto* submit = std::get_if<submit_call>(&call);
     REQUIRE(submit != nullptr);
-    ++taken;
+    ++accepted;
     for (const job_spec& spec : submit->jobs) {
       CHECK(spec.tasks > 0);
       CHECK(spec.deadline.count() >= 0);
@@ -134,14 +134,14 @@
   for (int i = 0; i < kRounds; ++i) {
     const bool is_batch = i % 2 == 1;
     request.path = is_batch ? "/v1/batch" : "/v1/jobs";
-    request.body = Damage(is_batch ? absl::StrCat(R"({"jobs":[)", job, ",", job, "]}") : job);
+    request.body = Mutate(is_batch ? absl::StrCat(R"({"jobs":[)", job, ",", job, "]}") : job);
     const auto error = ErrorOf<call_error>(read);
     if (!error) continue;
     CHECK(error->status >= 400);
     CHECK(error->status < 500);
     CHECK(!error->error.empty());
   }
-  CHECK(taken > 0);
+  CHECK(accepted > 0);
 }
 
 // The stored list of past versions can be damaged by manual edits. Versions read from it must still
@@ -153,23 +153,23 @@
   for (const uint64_t version : {3, 7, 9, 12}) {
     history.Add({version, version, 100, std::chrono::milliseconds{5}, "night", "x"}, {3, 1000});
   }
-  const std::string whole = history.ToText();
+  const std::string original = history.ToText();
   const std::string signed_text = SignConfiguration("{}", {"id", "by", {}, "what"});
-  int taken = 0;
+  int accepted = 0;
   for (int i = 0; i < kRounds; ++i) {
-    const std::string text = Damage(signed_text);
+    const std::string text = Mutate(signed_text);
     CHECK(WithoutSignature(text).size() <= text.size());
     SignatureOf(text);
-    const auto read = config_history::Parse(Damage(whole));
+    const auto read = config_history::Parse(Mutate(original));
     if (!read) continue;
-    ++taken;
+    ++accepted;
     uint64_t last = 0;
     for (const past_version& past : read->Versions()) {
       CHECK(past.version > last);
       last = past.version;
     }
   }
-  CHECK(taken > 0);
+  CHECK(accepted > 0);
 }
 
 // Two versions of the program run side by side during a rolling upgrade; a batch that one of them
@@ -193,7 +193,7 @@
   REQUIRE(DecodeBatch(batch).size() == 5);
   size_t read = 0;
   for (int i = 0; i < kRounds; ++i) {
-    for (const peer_message& message : DecodeBatch(Damage(batch))) {
+    for (const peer_message& message : DecodeBatch(Mutate(batch))) {
       ++read;
       // A step that was damaged on its way must not produce a document that nobody wrote.
       const auto* damaged = std::get_if<config_step_message>(&message.body);
@@ -201,7 +201,7 @@
       const auto text = ApplyDelta("{\"a\":1}", damaged->step.change);
       CHECK((!text || *text == "{\"a\":2}"));
     }
-    ParseLedger(Damage(ledger_text));
+    ParseLedger(Mutate(ledger_text));
   }
   CHECK(read > 0);
 }
--- a/test/text_compression_test.cc
+++ b/test/text_compression_test.cc
@@ -8,7 +8,7 @@
 namespace catkinford {
 namespace {
 
-std::string ProgressLikeText() {
+std::string ProgressRecord() {
   std::string out = R"({"phase":"running","open":[{"k":0,"steps":[{"done":[],"runs":[)";
   for (int i = 0; i < 40; ++i) absl::StrAppend(&out, "[", i, ",2001,\"i-8e6d0d", i * 37, "\"],");
   return out + "]}]}]}";
@@ -16,7 +16,7 @@
 
 // Guards against records that saturate an owner's narrow link.
 TEST_CASE("text compression, progress of a wide job, halves its length and restores it") {
-  const std::string text = ProgressLikeText();
+  const std::string text = ProgressRecord();
   const std::string packed = CompressText(text);
   CHECK(packed.size() * 2 < text.size());
   CHECK(DecompressText(packed) == text);
@@ -28,12 +28,12 @@
     CHECK(CompressText(text) == text);
     CHECK(DecompressText(text) == text);
   }
-  CHECK(DecompressText(ProgressLikeText()) == ProgressLikeText());
+  CHECK(DecompressText(ProgressRecord()) == ProgressRecord());
 }
 
 // Guards against a truncated or changed record that is mistaken for another one.
 TEST_CASE("text compression, damaged bytes, are rejected") {
-  const std::string packed = CompressText(ProgressLikeText());
+  const std::string packed = CompressText(ProgressRecord());
   CHECK_FALSE(DecompressText(packed.substr(0, packed.size() / 2)));
   std::string changed = packed;
   changed[changed.size() / 2] = static_cast<char>(changed[changed.size() / 2] ^ 0x55);
