--- a/src/request/step_graph.h
+++ b/src/request/step_graph.h
@@ -77,8 +77,7 @@
 
 constexpr size_t kGraphIdLength = 16;
 constexpr size_t kMaxPayload = 4000;  // bytes; the limit of the callers' interface
-constexpr size_t kMaxSteps =
-    64;  // keeps a job's progress far below the size limit of a stored value
+constexpr size_t kMaxSteps = 64;      // keeps progress records far below the store's value limit
 constexpr uint32_t kMaxTasksPerStep = 10000;  // the same
 constexpr uint32_t kMaxOccurrences = 100000;  // the same; occurrences are made when due
 
--- a/src/version/config_history.h
+++ b/src/version/config_history.h
@@ -1,5 +1,5 @@
-// The list of past versions of the configuration, stored beside their texts: which are
-// kept, who made them, and which texts are still to be deleted. No I/O.
+// The list of past versions of the configuration, stored beside their texts: which are kept,
+// who made them, and which texts are still to be deleted. No I/O.
 #ifndef CATKINFORD_VERSION_CONFIG_HISTORY_H_
 #define CATKINFORD_VERSION_CONFIG_HISTORY_H_
 
--- a/src/version/config_version_tracker.h
+++ b/src/version/config_version_tracker.h
@@ -1,6 +1,5 @@
 // The newest configuration that this process has seen, who has confirmed which version, and
-// whether keys may still be trusted. No I/O: updates and the
-// current time are passed in.
+// whether keys may still be trusted. No I/O: updates and the current time are passed in.
 #ifndef CATKINFORD_VERSION_CONFIG_VERSION_TRACKER_H_
 #define CATKINFORD_VERSION_CONFIG_VERSION_TRACKER_H_
 
@@ -71,7 +70,7 @@
   // replaces another under the same name starts without a version.
   void OnPeerVersion(std::string_view peer, uint64_t version);
   void ForgetPeer(std::string_view peer);
-  // The highest version that any peer has; above Version(): it can be fetched from that peer.
+  // The peer with the highest version, if that is above Version(): it can be fetched from there.
   std::optional<std::string> NewerPeer() const;
   // For `members`, which exclude this process, and its own failure domain.
   propagation_report Propagation(uint64_t version, std::string_view own_domain,
@@ -98,8 +97,8 @@
   absl::flat_hash_map<std::string, uint64_t> peers_;
 };
 
-// One entry per failure domain watches the store: the live one with the lowest name. `live` without
-// `own`.
+// One entry per failure domain watches the store: the live one with the lowest name. `live`
+// excludes `own`.
 bool IsWatcher(std::string_view own, const std::vector<std::string>& live);
 
 }  // namespace catkinford
--- a/src/version/contract.h
+++ b/src/version/contract.h
@@ -39,7 +39,7 @@
 struct configuration {
   std::vector<workspace_contract> workspaces;
   std::vector<key_record> operator_keys;
-  // Drained by an operator: they get no new tasks and their tasks are moved; sorted. They are in
+  // Drained by an operator: they get no new tasks and are emptied; sorted. They are in
   // this document because every entry has to know it before it starts tasks, and it outlives all
   // entries.
   std::vector<std::string> drained_endpoints;
--- a/src/version/contract_warnings.cc
+++ b/src/version/contract_warnings.cc
@@ -84,7 +84,7 @@
     case contract_warning_kind::kNoOperatorKey:
       return "no active operator key: nobody could change the configuration";
     case contract_warning_kind::kTeamWithoutKeys:
-      return absl::StrCat("team ", warning.team, " has no key in force");
+      return absl::StrCat("team ", warning.team, " has no active key");
     case contract_warning_kind::kNothingMayRun:
       return absl::StrCat("team ", warning.team, " has a limit of zero: nothing may run");
     case contract_warning_kind::kNoKinds:
--- a/test/mutation_test.cc
+++ b/test/mutation_test.cc
@@ -195,7 +195,7 @@
   for (int i = 0; i < kRounds; ++i) {
     for (const peer_message& message : DecodeBatch(Mutate(batch))) {
       ++read;
-      // A step that was damaged on its way must not produce a document that nobody wrote.
+      // A delta that was damaged in transit must not produce a document that nobody wrote.
       const auto* damaged = std::get_if<config_step_message>(&message.body);
       if (damaged == nullptr) continue;
       const auto text = ApplyDelta("{\"a\":1}", damaged->step.change);
