--- a/src/process/config_history_store.cc
+++ b/src/process/config_history_store.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-config_history_store::config_history_store(store_adapter& store, history_bounds bounds, poster post)
+config_history_store::config_history_store(store_adapter& store, history_limits bounds, poster post)
     : store_(store), bounds_(bounds), post_(std::move(post)) {}
 
 void config_history_store::Save(uint64_t version, const std::string& text, on_saved done) {
@@ -38,7 +38,7 @@
   const config_signature signature = SignatureOf(text);
   auto pending = std::make_shared<pending_save>();
   in_flight_ = pending;
-  pending->past = {version, 0, text.size(), signature.wall, signature.by, signature.what};
+  pending->past = {version, 0, text.size(), signature.changed_at, signature.by, signature.summary};
   pending->text = text;
   pending->done.push_back(std::move(done));
   pending->tries = kSaveAttempts;
@@ -82,7 +82,7 @@
     End(pending, save_outcome::kSaved, now);
   } else if (pending->history.IsSuperseded(pending->past.version)) {
     OnSuperseded(pending, now);
-  } else if (pending->past.stored == 0) {
+  } else if (pending->past.text_revision == 0) {
     PutText(pending);
   } else {
     DeleteDropped(pending);
@@ -97,7 +97,7 @@
        [this, pending](const store_reply& reply, monotonic_time now) {
          if (reply.status == store_status::kDone || reply.status == store_status::kConflict) {
            pending->is_new = reply.status == store_status::kDone;
-           pending->past.stored = pending->is_new ? reply.revision : RevisionOf(reply);
+           pending->past.text_revision = pending->is_new ? reply.revision : RevisionOf(reply);
            DeleteDropped(pending);
          } else if (reply.status == store_status::kUnknown && --pending->tries > 0) {
            PutText(pending);
@@ -116,11 +116,11 @@
     return;
   }
   const past_version& oldest = pending->history.Dropped().front();
-  Swap(TextKey(oldest.version), oldest.stored, std::nullopt,
+  Swap(TextKey(oldest.version), oldest.text_revision, std::nullopt,
        [this, pending, version = oldest.version](const store_reply& reply, monotonic_time) {
          // On a conflict it is already deleted.
          if (reply.status == store_status::kDone || reply.status == store_status::kConflict) {
-           pending->history.Forget(version);
+           pending->history.RemoveDropped(version);
            DeleteDropped(pending);
          } else {
            PutHistory(pending);  // stays listed as dropped until the next change
@@ -132,7 +132,7 @@
 // deleted in the meantime. No list refers to it, so nothing else would ever delete it.
 void config_history_store::OnSuperseded(const save_handle& pending, monotonic_time now) {
   if (pending->is_new) {
-    Swap(TextKey(pending->past.version), pending->past.stored, std::nullopt,
+    Swap(TextKey(pending->past.version), pending->past.text_revision, std::nullopt,
          [](const store_reply&, monotonic_time) {});
   }
   End(pending, save_outcome::kSuperseded, now);
--- a/src/process/config_history_store.h
+++ b/src/process/config_history_store.h
@@ -36,7 +36,7 @@
   // kDone with the text, kAbsent if it is not stored, else kUnavailable.
   using on_text = std::function<void(store_status, std::string, monotonic_time)>;
 
-  config_history_store(store_adapter& store, history_bounds bounds, poster post);
+  config_history_store(store_adapter& store, history_limits bounds, poster post);
 
   // All results are delivered on the core thread.
   void Save(uint64_t version, const std::string& text, on_saved done);
@@ -71,7 +71,7 @@
   void OnHistoryReply(const save_handle& pending, const store_reply& reply, monotonic_time now);
 
   store_adapter& store_;
-  history_bounds bounds_;
+  history_limits bounds_;
   poster post_;
   save_handle in_flight_;
   uint64_t writes_ = 0;  // counter for write ids
--- a/src/process/config_store.h
+++ b/src/process/config_store.h
@@ -15,7 +15,7 @@
 #include "connection/store_adapter.h"
 #include "process/config_history_store.h"
 #include "version/config_signature.h"
-#include "version/version_order.h"
+#include "version/config_version_tracker.h"
 
 namespace catkinford {
 
@@ -38,7 +38,7 @@
   // Called when a new version takes effect here.
   using on_version = std::function<void(version_origin, monotonic_time)>;
 
-  config_store(store_adapter& store, std::chrono::milliseconds key_grace, history_bounds bounds,
+  config_store(store_adapter& store, std::chrono::milliseconds key_grace, history_limits bounds,
                poster post, on_version changed);
 
   // `is_watcher`: this entry runs the watch for its failure domain.
@@ -49,8 +49,8 @@
   void Change(uint64_t expect, const std::string& text, const config_signature& signature,
               std::function<void(change_result, monotonic_time)> done);
 
-  const version_order& Order() const { return order_; }
-  version_order& Order() { return order_; }
+  const config_version_tracker& Order() const { return order_; }
+  config_version_tracker& Order() { return order_; }
   // The stored past versions and the current one, oldest first, as the store has them now; absent
   // if the store did not answer.
   void History(std::function<void(std::optional<std::vector<past_version>>, monotonic_time)> done);
@@ -76,7 +76,7 @@
   store_adapter& store_;
   poster post_;
   on_version changed_;
-  version_order order_;
+  config_version_tracker order_;
   config_history_store history_;
   std::set<std::string> own_writes_;  // write ids of changes in flight here
   bool reading_ = false;
--- a/src/process/decision_admission.cc
+++ b/src/process/decision_admission.cc
@@ -41,7 +41,7 @@
   if (!floor_known) admitted_unchecked = true;
   const uint32_t together = request.kind == workload_kind::kGang ? request.tasks : 1;
   if (floor_known && !endpoints.CanEverHold(request.each, together)) {
-    return admission{false, refusal_reason::kNeverFits, milliseconds{0},
+    return admission{false, rejection_reason::kNeverFits, milliseconds{0},
                      endpoints.ExplainNeverFits(request.each)};
   }
   const team_record& team = teams[request.team];
@@ -51,13 +51,13 @@
       (request.each.cpu_milli > limit.cpu_milli || request.each.memory_mb > limit.memory_mb ||
        request.each.accelerators > limit.accelerators || together > team.terms.running_limit);
   if (over) {
-    return admission{false, refusal_reason::kOverLimit, milliseconds{0},
+    return admission{false, rejection_reason::kOverLimit, milliseconds{0},
                      "exceeds the team's limit"};
   }
   const waiting_queue& queue = queues.At({ClassOf(request), request.team});
   if (team.queued_tasks + uint64_t{request.tasks} > team.terms.queue_limit) {
     return admission{
-        false, refusal_reason::kQueueFull,
+        false, rejection_reason::kQueueFull,
         RetryAfter(queue.drain_rate.TimeToDrain(std::max(1U, queue.tasks / 4), now), Random()),
         absl::StrCat(team.queued_tasks, " tasks of the team are already queued")};
   }
@@ -97,7 +97,7 @@
       needs_short_queue ? short_wait : FractionOf(left, kWaitFraction);
   if (wait <= budget) return std::nullopt;
   const monotonic_time back = queue.rejected.Join(request.id, now + (wait - budget), *one, now);
-  return admission{false, refusal_reason::kShed, std::chrono::ceil<milliseconds>(back - now),
+  return admission{false, rejection_reason::kShed, std::chrono::ceil<milliseconds>(back - now),
                    "would start too late to meet its deadline"};
 }
 
--- a/src/process/decision_core.h
+++ b/src/process/decision_core.h
@@ -71,7 +71,7 @@
   resources amount;
   bool checkpoint = false;
   stop_reason why = stop_reason::kCancelled;
-  refusal_reason reason = refusal_reason::kNone;  // of kRefuse; of kEnded, why it ended early
+  rejection_reason reason = rejection_reason::kNone;  // of kRefuse; of kEnded, why it ended early
   std::chrono::milliseconds retry_after{0};
   std::string detail;
   job_end end = job_end::kDone;
@@ -98,7 +98,7 @@
 
 struct admission {
   bool queued = false;
-  refusal_reason reason = refusal_reason::kNone;
+  rejection_reason reason = rejection_reason::kNone;
   std::chrono::milliseconds retry_after{0};
   std::string detail;  // e.g. the missing resource and the largest existing endpoint
 };
--- a/src/process/decision_jobs.cc
+++ b/src/process/decision_jobs.cc
@@ -172,13 +172,13 @@
   --job.possible_runs;
   job.avoid = endpoint;
   if (job.cancelled) {
-    EndIfOver(handle, refusal_reason::kCancelled);
+    EndIfOver(handle, rejection_reason::kCancelled);
     return;
   }
   if (++job.failures_in_a_row > kStartsBeforeBackoff) BackOff(handle, now);
   if (job.request.kind == workload_kind::kGang) RestartGang(handle, now);
   if (job.may_have_run) {
-    EndIfOver(handle, refusal_reason::kNone);
+    EndIfOver(handle, rejection_reason::kNone);
     return;
   }
   Requeue(handle, index);
@@ -311,7 +311,7 @@
     StopAll(handle, stop_reason::kCancelled, false);
   }
   if (is_gang && job.live == 0) Enqueue(handle, true);
-  EndIfOver(handle, refusal_reason::kCancelled);
+  EndIfOver(handle, rejection_reason::kCancelled);
 }
 
 // Handles a job that was not fully started by its deadline. Tasks that were started and lost may
@@ -323,11 +323,12 @@
   if (single && job.possible_runs > 0) job.may_have_run = true;
   job.failed += job.waiting;
   RemoveWaiting(handle);
-  EndIfOver(handle, refusal_reason::kDeadline);
+  EndIfOver(handle, rejection_reason::kDeadline);
 }
 
 // Reports the end of a job that has no running or waiting tasks, and removes it.
-void decision_core::impl::EndIfOver(job_handle handle, refusal_reason reason, std::string detail) {
+void decision_core::impl::EndIfOver(job_handle handle, rejection_reason reason,
+                                    std::string detail) {
   job_record& job = jobs[handle];
   if (job.waiting > 0 || job.live > 0) return;
   command c;
@@ -336,14 +337,14 @@
     c.kind = command_kind::kRefuse;
     c.reason = reason;
     c.detail = std::move(detail);
-    if (reason == refusal_reason::kDeadline) {
+    if (reason == rejection_reason::kDeadline) {
       const waiting_queue& queue = queues.At({ClassOf(job.request), job.request.team});
       c.retry_after = RetryAfter(
           queue.drain_rate.TimeToDrain(std::max(1U, queue.tasks), last_decide), Random());
     }
   } else {
     c.kind = command_kind::kEnded;
-    if (reason == refusal_reason::kDeadline) c.reason = reason;
+    if (reason == rejection_reason::kDeadline) c.reason = reason;
     c.end = EndOf(job);
     c.tasks_done = job.done;
     c.tasks_failed = job.failed;
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -166,7 +166,7 @@
 
   // node_config.cc: configuration versions and their propagation.
   void OnVersion(version_origin origin, monotonic_time now);
-  void OnVersionStep(const version_step& step, monotonic_time now);
+  void OnVersionStep(const version_delta& step, monotonic_time now);
   // Sends the current version to a peer that has `known`.
   void SendVersion(const member& to, uint64_t known, monotonic_time now);
   void ResendToLagging(const member& other, monotonic_time now);
--- a/src/process/node_calls.cc
+++ b/src/process/node_calls.cc
@@ -94,7 +94,8 @@
   if (!holder || holder->is_operator) {
     table_actions rejected;
     for (size_t slot = 0; slot < call.jobs.size(); ++slot) {
-      table_.Settle(token, slot, RefusedOutcome({}, refusal_reason::kUnknownKey, {}, ""), rejected);
+      table_.Settle(token, slot, RejectedOutcome({}, rejection_reason::kUnknownKey, {}, ""),
+                    rejected);
     }
     ApplyTableActions(std::move(rejected), now);
     return;
@@ -112,23 +113,25 @@
   entry.first_ask = spec.first_ask;
   place.id = entry.keyed ? DeriveRequestId(holder.team, spec.idempotency_key) : NewRequestId();
   table_actions actions;
-  const auto reject = [&](refusal_reason reason, milliseconds retry, std::string detail) {
-    table_.Settle(token, slot, RefusedOutcome(place.id, reason, retry, std::move(detail)), actions);
+  const auto reject = [&](rejection_reason reason, milliseconds retry, std::string detail) {
+    table_.Settle(token, slot, RejectedOutcome(place.id, reason, retry, std::move(detail)),
+                  actions);
     ApplyTableActions(std::move(actions), now);
   };
   const team_contract* team = FindTeam(*versions_.Order().Config(), holder);
   if (team == nullptr || !Contains(team->kinds, spec.kind)) {
-    reject(refusal_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
+    reject(rejection_reason::kKindNotAllowed, {}, std::string(ToText(spec.kind)));
     return;
   }
   // A job with an idempotency key may already run; its caller gets the outcome from the shard that
   // knows it.
   if (shutting_down_ && !entry.keyed) {
-    reject(refusal_reason::kShuttingDown, kRetryAfter, "retry at another entry");
+    reject(rejection_reason::kShuttingDown, kRetryAfter, "retry at another entry");
     return;
   }
   if (table_.Pending() >= config_.bounds.waiting_requests) {
-    reject(refusal_reason::kQueueFull, kRetryAfter, "too many requests are waiting in this entry");
+    reject(rejection_reason::kQueueFull, kRetryAfter,
+           "too many requests are waiting in this entry");
     return;
   }
   const bool waits = spec.kind == workload_kind::kInteractive;
--- a/src/process/node_peers.cc
+++ b/src/process/node_peers.cc
@@ -27,7 +27,7 @@
   UpdatePeers(now);
   ApplyMemberChanges(now);
   for (const std::string& name : updated) OnEntryStatus(*members_.Find(name), now);
-  version_order& order = versions_.Order();
+  config_version_tracker& order = versions_.Order();
   if (const auto confirmed = DomainsConfirmed()) order.Confirm(order.Version(), *confirmed);
   if (const member* sender = members_.Find(from)) ResendToLagging(*sender, now);
   CheckChanges(now);
--- a/src/process/rejection_history.h
+++ b/src/process/rejection_history.h
@@ -35,7 +35,7 @@
  private:
   using ask_key = std::pair<request_id, uint64_t>;
   struct rejection {
-    refusal_reason reason = refusal_reason::kNone;
+    rejection_reason reason = rejection_reason::kNone;
     std::chrono::milliseconds retry_after{0};
   };
 
--- a/src/process/scheduling/job_scheduler.h
+++ b/src/process/scheduling/job_scheduler.h
@@ -27,7 +27,7 @@
 #include "process/scheduling/run_times.h"
 #include "process/scheduling/scheduler_messages.h"
 #include "process/scheduling/timeout_factor.h"
-#include "version/site_version.h"
+#include "version/site_configuration.h"
 
 namespace catkinford {
 
@@ -70,7 +70,7 @@
   job_scheduler& operator=(const job_scheduler&) = delete;
 
   // Configuration and instances.
-  void SetVersion(std::shared_ptr<const site_version> version);
+  void SetVersion(std::shared_ptr<const site_configuration> version);
   // The complete registry.
   void OnRegistry(const std::vector<instance_report>& reports, monotonic_time now);
   // Instances known to an earlier owner: they may run its tasks even if the registry has lost them.
@@ -174,7 +174,7 @@
   const job_terms& TermsOf(const job_entry& entry) const;
   // True if some instance of the service that was ever seen is large enough for a task of the step,
   // or if no instance is known.
-  bool AnyCouldHold(const std::string& service, const step_terms& step) const;
+  bool AnyCouldHold(const std::string& service, const step_spec& step) const;
   void LookUpTerms(job_entry& entry);
   uint32_t ServiceOrdinal(const std::string& service);
   fleet_instance& MakeInstance(const instance_report& report, monotonic_time now);
@@ -241,7 +241,7 @@
   static bool AcceptsWork(const fleet_instance& instance, monotonic_time now);
   bool WithinLimit(const job_entry& entry, const resources& need) const;
   // `expected`: run time of a task of the step.
-  bool WantsCopy(const graph_task_state& task, const step_terms& terms,
+  bool WantsCopy(const graph_task_state& task, const step_spec& terms,
                  std::chrono::milliseconds expected, monotonic_time now) const;
   std::vector<ready_step> CopySteps(monotonic_time now);
   void PlaceCopies(monotonic_time now);
@@ -302,7 +302,7 @@
                      const std::vector<advice_option>& known, uint32_t wanted) const;
   // Adds the instances that are reserved for the step, if an answer would arrive when they have the
   // capacity.
-  void AddReserved(const ready_step& ready, const advice_cost& cost, advice_query& request,
+  void AddReserved(const ready_step& ready, const advice_timing& cost, advice_query& request,
                    monotonic_time now) const;
   uint32_t MaxTasksAt(const ready_step& ready, const fleet_instance& instance,
                       uint32_t wanted) const;
@@ -310,7 +310,7 @@
                                           uint32_t wanted, monotonic_time now) const;
   std::vector<std::string> InstancesToQuery(const ready_step& ready, const advice_round& round,
                                             const std::vector<advice_option>& known,
-                                            uint32_t wanted, const advice_cost& cost) const;
+                                            uint32_t wanted, const advice_timing& cost) const;
   uint32_t TasksToPlace(const ready_step& ready, monotonic_time now) const;
   std::vector<ready_step> StepsToQuery(const std::vector<ready_step>& ready_steps) const;
   std::vector<ready_step> UpcomingSteps(monotonic_time now);
@@ -324,7 +324,7 @@
   scheduler_options options_;
   uint64_t epoch_;
   monotonic_time took_over_;
-  std::shared_ptr<const site_version> version_;
+  std::shared_ptr<const site_configuration> version_;
   absl::flat_hash_map<std::string, std::unique_ptr<job_entry>> jobs_;
   // Ordered, so that ties are broken alike in every process.
   std::map<std::string, std::unique_ptr<fleet_instance>> instances_;
--- a/src/process/shard.cc
+++ b/src/process/shard.cc
@@ -92,7 +92,7 @@
       AddTasks(id, *job, std::move(place));
     }
     job->spec.send = std::max(job->spec.send, send);
-    if (job->ended && !job->end_untold) {
+    if (job->ended && !job->end_unreported) {
       Reply(entry, *job, *job->ended);
       return;
     }
@@ -121,7 +121,7 @@
     return;
   }
   if (closed_) {
-    RejectNew(entry, place, refusal_reason::kShuttingDown, "the shard's owner is shutting down",
+    RejectNew(entry, place, rejection_reason::kShuttingDown, "the shard's owner is shutting down",
               now);
     return;
   }
@@ -134,9 +134,9 @@
   Submit(id, job, now);
 }
 
-void shard::RejectNew(const std::string& entry, const place_message& place, refusal_reason reason,
+void shard::RejectNew(const std::string& entry, const place_message& place, rejection_reason reason,
                       std::string detail, monotonic_time now) {
-  outcome refused = RefusedOutcome(place.id, reason, kRetryAfter, std::move(detail));
+  outcome refused = RejectedOutcome(place.id, reason, kRetryAfter, std::move(detail));
   refusals_.Add(place.id, place.ask, refused, now);
   if (!IsDurable(place.kind)) identities_.Finish(place.id, refused, now);
   actions_.push_back(answer_action{entry, std::move(refused)});
@@ -175,7 +175,7 @@
           entry, UnknownOutcome(place.id, "it may have run on an endpoint whose state is lost")});
       return true;
     case identity_verdict::kFull:
-      RejectNew(entry, place, refusal_reason::kQueueFull, "the identity history is full", now);
+      RejectNew(entry, place, rejection_reason::kQueueFull, "the identity history is full", now);
       return true;
   }
   const std::optional<known_identity> known = identities_.Find(place.id);
@@ -225,8 +225,9 @@
 
 void shard::Submit(const request_id& id, job_state& job, monotonic_time now) {
   const bool is_spread = !job.spec.parts.empty();
-  const admission admitted = is_spread ? core_.SubmitPart(RequestOf(job, now), WaitingOf(job), now)
-                                       : core_.Submit(RequestOf(job, now), now);
+  const admission admitted = is_spread
+                                 ? core_.SubmitPart(RequestOf(job, now), WaitingTasks(job), now)
+                                 : core_.Submit(RequestOf(job, now), now);
   if (!admitted.queued) {
     RejectJob(id, admitted.reason, admitted.retry_after, admitted.detail, now);
     return;
@@ -260,7 +261,7 @@
     return;
   }
   if (!durable) {
-    RejectJob(id, refusal_reason::kNotDurable, kRetryAfter, "the store did not accept the record",
+    RejectJob(id, rejection_reason::kNotDurable, kRetryAfter, "the store did not accept the record",
               now);
     return;
   }
@@ -281,7 +282,7 @@
     return;
   }
   job->spec.send = std::max(job->spec.send, what.send);
-  if (job->ended && !job->end_untold) {
+  if (job->ended && !job->end_unreported) {
     job->cancelled = true;  // a rejected part is not placed again either
     Reply(entry, *job, *job->ended);
     return;
@@ -309,7 +310,7 @@
     answer.home = job->spec.home;
     answer.parts = job->spec.parts;
     answer.progress = ProgressOf(*job);
-    if (!job->end_untold) answer.ended = job->ended;
+    if (!job->end_unreported) answer.ended = job->ended;
     answer.waits_for = core_.WaitsFor(query.id);
     if (!job->accepted && answer.waits_for.empty() && !job->ended) answer.waits_for = "its record";
   }
--- a/src/process/shard.h
+++ b/src/process/shard.h
@@ -268,12 +268,12 @@
   void TaskEnded(const task_id& id, task_result result, const std::string& answer,
                  std::chrono::milliseconds ran, monotonic_time now);
   void OnStartFailed(const task_id& id, bool endpoint_fault, monotonic_time now);
-  void RejectJob(const request_id& id, refusal_reason reason, std::chrono::milliseconds retry_after,
-                 std::string detail, monotonic_time now);
+  void RejectJob(const request_id& id, rejection_reason reason,
+                 std::chrono::milliseconds retry_after, std::string detail, monotonic_time now);
   void End(const request_id& id, job_state& job, outcome result, monotonic_time now);
   void EndIfOver(const request_id& id, job_state& job, monotonic_time now);
   void Answer(const job_state& job, const outcome& result);
-  void RejectNew(const std::string& entry, const place_message& place, refusal_reason reason,
+  void RejectNew(const std::string& entry, const place_message& place, rejection_reason reason,
                  std::string detail, monotonic_time now);
   void Reply(const std::string& entry, const job_state& job, const outcome& result);
   // shard_parts.cc: jobs that are spread over several shards.
--- a/src/process/site/peer_messages.cc
+++ b/src/process/site/peer_messages.cc
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "request/packed_text.h"
+#include "request/text_compression.h"
 
 namespace catkinford {
 namespace {
@@ -37,7 +37,7 @@
 // Messages with lists of instances are long and are sent compressed.
 template <typename T, typename Read>
 std::optional<T> ParsePacked(std::string_view bytes, Read read) {
-  const auto text = UnpackText(bytes);
+  const auto text = DecompressText(bytes);
   return text ? Parse<T>(*text, read) : std::nullopt;
 }
 
@@ -151,7 +151,7 @@
                  {"step", order.step},
                  {"instances", order.instances},
                  {"timeout_ms", request.timeout.count()}};
-  return PackText(out.dump());
+  return CompressText(out.dump());
 }
 
 std::optional<peer_advice_request> PeerAdviceRequestFromText(std::string_view text) {
@@ -169,7 +169,7 @@
                  {"overloaded", answer.overloaded},
                  {"allowed", answer.allowed},
                  {"valid_ms", answer.valid.count()}};
-  return PackText(out.dump());
+  return CompressText(out.dump());
 }
 
 std::optional<advice_answer> PeerAdviceReplyFromText(std::string_view text) {
--- a/src/process/site/version_follower.h
+++ b/src/process/site/version_follower.h
@@ -54,7 +54,7 @@
   void Start() { Tick(); }
 
   // Null until the first configuration is read.
-  const std::shared_ptr<const site_version>& Version() const { return version_; }
+  const std::shared_ptr<const site_configuration>& Version() const { return version_; }
   const std::string& Text() const { return text_; }
   version_trust Trust(monotonic_time now) const { return refresh_.Trust(now); }
   // The time as of which the configuration held here was the newest.
@@ -229,7 +229,7 @@
   version_hooks hooks_;
   version_refresh refresh_;
   std::map<uint64_t, byte_counter> received_;  // bytes received, by call in flight
-  std::shared_ptr<const site_version> version_;
+  std::shared_ptr<const site_configuration> version_;
   std::string text_;
   bool confirmed_ = false;
 };
--- a/src/version/key_ring.cc
+++ b/src/version/key_ring.cc
@@ -19,7 +19,7 @@
 namespace {
 
 constexpr std::string_view kPrefix = "ck_";
-constexpr size_t kSecretBytes = 32;  // 64 public bits that find the record, 192 secret ones
+constexpr size_t kSecretBytes = 32;  // 64 public bits that look up the record, 192 secret ones
 constexpr size_t kSecretCharacters = 43;
 constexpr size_t kDigestBytes = 32;
 
@@ -28,7 +28,7 @@
 digest HashOf(std::string_view salt, std::string_view secret) {
   gnutls_hash_hd_t hash = nullptr;
   digest result{};
-  // Without a hash no key can be told from another; nothing can be served.
+  // Without a hash no key can be checked, so no request can be served.
   if (gnutls_hash_init(&hash, GNUTLS_DIG_SHA256) < 0) std::abort();
   gnutls_hash(hash, salt.data(), salt.size());
   gnutls_hash(hash, secret.data(), secret.size());
@@ -50,7 +50,7 @@
 
 std::string SaltText(uint64_t salt) { return absl::StrCat(absl::Hex(salt, absl::kZeroPad16)); }
 
-// The public part of a secret; nothing where it has not the form of one.
+// The public part of a secret; nullopt if it is malformed.
 std::optional<uint64_t> SaltOf(std::string_view secret) {
   if (secret.size() != kPrefix.size() + kSecretCharacters) return std::nullopt;
   if (secret.substr(0, kPrefix.size()) != kPrefix) return std::nullopt;
@@ -66,7 +66,7 @@
 
 new_key MakeKey(std::string_view name, bool is_operator) {
   std::array<char, kSecretBytes> bytes{};
-  // A key that can be guessed is worse than none.
+  // A predictable key is worse than none.
   if (gnutls_rnd(GNUTLS_RND_KEY, bytes.data(), bytes.size()) < 0) std::abort();
   std::string text;
   absl::WebSafeBase64Escape(std::string(bytes.data(), bytes.size()), &text);
@@ -82,7 +82,7 @@
 }
 
 struct key_ring::impl {
-  struct entry {
+  struct hashed_key {
     digest hash{};
     key_holder holder;
   };
@@ -92,13 +92,13 @@
     const std::optional<uint64_t> salt = ParseSalt(key.salt);
     const std::string bytes = absl::HexStringToBytes(key.hash);
     if (!salt || bytes.size() != kDigestBytes) return;
-    entry& added = entries[*salt];
+    hashed_key& added = keys_by_salt[*salt];
     std::memcpy(added.hash.data(), bytes.data(), kDigestBytes);
     added.holder = holder;
     added.holder.key_name = key.name;
   }
 
-  absl::flat_hash_map<uint64_t, entry> entries;
+  absl::flat_hash_map<uint64_t, hashed_key> keys_by_salt;
 };
 
 key_ring::key_ring(const configuration& config) {
@@ -116,13 +116,13 @@
 std::optional<key_holder> key_ring::Find(std::string_view secret) const {
   const std::optional<uint64_t> salt = SaltOf(secret);
   if (!salt) return std::nullopt;
-  const auto found = impl_->entries.find(*salt);
-  if (found == impl_->entries.end()) return std::nullopt;
+  const auto found = impl_->keys_by_salt.find(*salt);
+  if (found == impl_->keys_by_salt.end()) return std::nullopt;
   const digest hash = HashOf(SaltText(*salt), secret);
   if (gnutls_memcmp(hash.data(), found->second.hash.data(), hash.size()) != 0) return std::nullopt;
   return found->second.holder;
 }
 
-size_t key_ring::Size() const { return impl_->entries.size(); }
+size_t key_ring::Size() const { return impl_->keys_by_salt.size(); }
 
 }  // namespace catkinford
--- a/test/config_history_test.cc
+++ b/test/config_history_test.cc
@@ -14,13 +14,13 @@
   static past_version Past(uint64_t version, uint64_t bytes = 100) {
     return {version, version + 1000, bytes, std::chrono::milliseconds{5}, "night", "what"};
   }
-  std::vector<uint64_t> Kept() const {
+  std::vector<uint64_t> ListedVersions() const {
     std::vector<uint64_t> numbers;
     for (const past_version& past : history_.Versions()) numbers.push_back(past.version);
     return numbers;
   }
 
-  history_bounds bounds_{3, 1000};
+  history_limits bounds_{3, 1000};
   config_history history_;
 };
 
@@ -28,10 +28,10 @@
 
 TEST_CASE_METHOD(config_history_fixture, "history, over its count, drops the oldest", "[history]") {
   for (const uint64_t version : {3, 7, 8, 12}) history_.Add(Past(version), bounds_);
-  CHECK(Kept() == std::vector<uint64_t>{7, 8, 12});
+  CHECK(ListedVersions() == std::vector<uint64_t>{7, 8, 12});
   REQUIRE(history_.Dropped().size() == 1);
-  CHECK(history_.Dropped().front().stored == 1003);
-  history_.Forget(3);
+  CHECK(history_.Dropped().front().text_revision == 1003);
+  history_.RemoveDropped(3);
   CHECK(history_.Dropped().empty());
 }
 
@@ -39,13 +39,13 @@
                  "[history]") {
   history_.Add(Past(3, 600), bounds_);
   history_.Add(Past(4, 500), bounds_);
-  CHECK(Kept() == std::vector<uint64_t>{4});
+  CHECK(ListedVersions() == std::vector<uint64_t>{4});
   history_.Add(Past(5, 5000), bounds_);
-  CHECK(Kept() == std::vector<uint64_t>{5});
+  CHECK(ListedVersions() == std::vector<uint64_t>{5});
 }
 
-// An entry is paused between its write of a version's text and its entry in the list, for so long
-// that the version was dropped. Listed again it would stand as newer than it is.
+// An entry is paused between the writes of a version's text and of the list until the version has
+// been dropped. Guards against listing it again as newer than it is.
 TEST_CASE_METHOD(config_history_fixture, "history, version long superseded, is not listed again",
                  "[history]") {
   for (const uint64_t version : {3, 7, 8, 12}) history_.Add(Past(version), bounds_);
@@ -70,9 +70,9 @@
 }
 
 // An operator restores a version from before a workspace was removed by mistake. A key that was
-// withdrawn in between, or whose team was removed, must not come to life by it: its holder may have
-// left.
-TEST_CASE_METHOD(config_history_fixture, "contract restored, key that does not work, stays so",
+// withdrawn in between, or whose team was removed, must not become active again: its holder may
+// have left.
+TEST_CASE_METHOD(config_history_fixture, "contract restored, inactive key, stays inactive",
                  "[history]") {
   configuration past;
   past.workspaces = {{"w", {}}, {"gone", {}}};
@@ -102,7 +102,7 @@
   CHECK(restored.operator_keys.size() == 1);
 }
 
-TEST_CASE_METHOD(config_history_fixture, "summary, changes of all kinds, are named in short",
+TEST_CASE_METHOD(config_history_fixture, "summary, changes of all kinds, are named briefly",
                  "[history]") {
   configuration before;
   before.workspaces = {{"w", {}}, {"x", {}}};
@@ -110,14 +110,14 @@
   before.workspaces[0].teams[0].name = "t";
   before.workspaces[0].teams[0].keys = {{"a", "s1", "h1"}};
   configuration after = before;
-  CHECK(SummaryOf(before, after).empty());
+  CHECK(SummarizeChanges(before, after).empty());
   after.workspaces[0].teams[0].share = 9;
   after.workspaces[0].teams[0].running_limit = 9;
   after.workspaces[0].teams[0].keys[0].withdrawn = true;
   after.workspaces[0].teams[0].keys.push_back({"b", "s2", "h2"});
   after.workspaces[1].name = "y";
   after.operator_keys = {{"op", "s3", "h3"}};
-  CHECK(SummaryOf(before, after) ==
+  CHECK(SummarizeChanges(before, after) ==
         "key op of operators granted, share+limit of t, key a of t withdrawn, key b of t granted, "
         "workspace y added and 1 more");
 }
--- a/test/decision_core_test.cc
+++ b/test/decision_core_test.cc
@@ -161,7 +161,7 @@
                  "[decisions]") {
   AddEndpoints(2);
   const admission answer = core_.Submit(Job(1, workload_kind::kBatch, 17000), now_);
-  CHECK(answer.reason == refusal_reason::kNeverFits);
+  CHECK(answer.reason == rejection_reason::kNeverFits);
   CHECK(answer.detail.find("16000") != std::string::npos);
 }
 
@@ -174,7 +174,7 @@
   core_.SetEndpointState(1, endpoint_state::kOpen, now_);
   const auto out = Decide();
   REQUIRE(out.size() == 1);
-  CHECK(out[0].reason == refusal_reason::kNeverFits);
+  CHECK(out[0].reason == rejection_reason::kNeverFits);
 }
 
 // An endpoint fails while running a task that is not repeatable. Placed again it could repeat its
@@ -233,7 +233,7 @@
   const auto out = Decide();
   REQUIRE(out.size() == 2);
   CHECK(out[0].kind == command_kind::kStop);
-  CHECK(out[1].reason == refusal_reason::kCancelled);
+  CHECK(out[1].reason == rejection_reason::kCancelled);
   core_.Finished(starts[0].task, task_end::kStopped, milliseconds{5}, now_);
   const auto ended = Decide();
   REQUIRE(ended.size() == 1);
@@ -250,7 +250,7 @@
   const auto out = DecideFor(milliseconds{400});
   REQUIRE(out.size() == 1);
   CHECK(out[0].kind == command_kind::kRefuse);
-  CHECK(out[0].reason == refusal_reason::kDeadline);
+  CHECK(out[0].reason == rejection_reason::kDeadline);
   CHECK(out[0].retry_after > milliseconds{0});
 }
 
@@ -331,7 +331,7 @@
   AddTeam(1, 1.0, 100, 2);
   CHECK(core_.Submit(Job(1, workload_kind::kBatch, 1000, 2, 1), now_).queued);
   const admission full = core_.Submit(Job(2, workload_kind::kBatch, 1000, 1, 1), now_);
-  CHECK(full.reason == refusal_reason::kQueueFull);
+  CHECK(full.reason == rejection_reason::kQueueFull);
   CHECK(full.retry_after > milliseconds{0});
 }
 
@@ -472,7 +472,7 @@
     job_request caller = Job(n, workload_kind::kInteractive, 1000);
     caller.deadline = now_ + seconds{2};
     const admission answer = core_.Submit(caller, now_);
-    if (answer.reason == refusal_reason::kShed) {
+    if (answer.reason == rejection_reason::kShed) {
       ++shed;
       CHECK(answer.retry_after > milliseconds{0});
     }
--- a/test/identity_memory_test.cc
+++ b/test/identity_memory_test.cc
@@ -1,9 +1,9 @@
+#include "process/identity_history.h"
+
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <string>
 
-#include "process/identity_history.h"
-
 namespace catkinford {
 namespace {
 
@@ -13,7 +13,7 @@
 class identity_fixture {
  protected:
   outcome Completed(const std::string& answer) const {
-    return {id_, outcome_kind::kCompleted, refusal_reason::kNone, milliseconds{0}, answer, {}};
+    return {id_, outcome_kind::kCompleted, rejection_reason::kNone, milliseconds{0}, answer, {}};
   }
 
   identity_history history_{{seconds{30}, 3, 100}};
--- a/test/job_scheduler_test.cc
+++ b/test/job_scheduler_test.cc
@@ -111,7 +111,7 @@
 TEST_CASE_METHOD(job_scheduler_fixture,
                  "job scheduler, long-running task that ends, is restarted") {
   AddInstances(2);
-  step_terms service_step = Tasks(2, 1000, milliseconds(300));
+  step_spec service_step = Tasks(2, 1000, milliseconds(300));
   service_step.long_running = true;
   world.Run(seconds(1));
   world.Submit(Job(1, {service_step}));
@@ -308,7 +308,7 @@
     return starts.front().key;
   };
 
-  step_terms service_step = Tasks(1, 1000, milliseconds(300));
+  step_spec service_step = Tasks(1, 1000, milliseconds(300));
   service_step.long_running = true;
   graph_job service_job = Job(9, {service_step});
   service_job.terms.priority = 2;
@@ -483,7 +483,7 @@
   }
 
   void SubmitOne(uint32_t number) {
-    std::vector<step_terms> steps = {
+    std::vector<step_spec> steps = {
         Tasks(Pick(1, 6), Pick(500, 3000), milliseconds(Pick(200, 2500)))};
     if (Pick(0, 1) == 1) {
       steps.push_back(Tasks(Pick(1, 4), Pick(500, 3000), milliseconds(Pick(200, 1500)), {0}));
--- a/test/parts_simulation.cc
+++ b/test/parts_simulation.cc
@@ -303,7 +303,7 @@
 
 bool parts_simulation::WasReportedOver() const {
   return std::any_of(outcomes_.begin(), outcomes_.end(), [](const outcome& one) {
-    return one.kind == outcome_kind::kFailed || one.reason == refusal_reason::kCancelled;
+    return one.kind == outcome_kind::kFailed || one.reason == rejection_reason::kCancelled;
   });
 }
 
--- a/test/service_parts_test.cc
+++ b/test/service_parts_test.cc
@@ -233,7 +233,7 @@
   part_answer_message refusal;
   refusal.id = id;
   refusal.shard = "otaru/0";
-  refusal.result = RefusedOutcome(id, refusal_reason::kNotDurable, {}, "");
+  refusal.result = RejectedOutcome(id, rejection_reason::kNotDurable, {}, "");
   refusal.send = calls[0].send;
   CHECK(tracker.OnAnswer(refusal) == part_event::kNone);
   refusal.send = calls[1].send;
--- a/test/shard_test.cc
+++ b/test/shard_test.cc
@@ -182,7 +182,7 @@
     Act();
     const auto answers = Actions<answer_action>();
     REQUIRE(answers.size() == 1);
-    CHECK(answers[0].result.reason == refusal_reason::kNotDurable);
+    CHECK(answers[0].result.reason == rejection_reason::kNotDurable);
     CHECK(Actions<start_action>().empty());
   }
 }
@@ -203,7 +203,7 @@
   shard_.OnRecorded({1, 1}, false, now_);
   Act();
   REQUIRE(Actions<answer_action>().size() == 1);
-  CHECK(Actions<answer_action>()[0].result.reason == refusal_reason::kNotDurable);
+  CHECK(Actions<answer_action>()[0].result.reason == rejection_reason::kNotDurable);
   now_ += seconds{6};
   Act();
   CHECK(Actions<withdraw_action>().empty());
@@ -246,7 +246,7 @@
   const auto answers = Actions<answer_action>();
   REQUIRE(answers.size() == 1);
   CHECK(answers[0].result.id == request_id{2, 2});
-  CHECK(answers[0].result.reason == refusal_reason::kShuttingDown);
+  CHECK(answers[0].result.reason == rejection_reason::kShuttingDown);
   CHECK(shard_.HasCallers());
 }
 
@@ -327,7 +327,7 @@
   shard_.OnEndRecorded({1, 1});
   Act();
   REQUIRE(Actions<answer_action>().size() == 1);
-  CHECK(Actions<answer_action>().front().result.reason == refusal_reason::kCancelled);
+  CHECK(Actions<answer_action>().front().result.reason == rejection_reason::kCancelled);
 }
 
 // The last task of a job ends and is recorded, and the owner is lost before the caller is answered.
--- a/test/virtual_queue_test.cc
+++ b/test/virtual_queue_test.cc
@@ -105,7 +105,7 @@
     answer = Next();
     refused += answer.queued ? 0 : 1;
   }
-  REQUIRE(answer.reason == refusal_reason::kShed);
+  REQUIRE(answer.reason == rejection_reason::kShed);
   const uint64_t caller = next_ - 1;
   const monotonic_time due = now_ + answer.retry_after;
   while (now_ < due) Next();
