--- a/bench/rpc_cost.cc
+++ b/bench/rpc_cost.cc
@@ -44,7 +44,7 @@
   peer_auth auth;
   auth.Set(BenchSecrets());
   rpc_server server(port, kServerThreads, [&auth](const std::string& text) {
-    return auth.Open(kReceiver, text) ? "ok" : "refused";
+    return auth.Verify(kReceiver, text) ? "ok" : "refused";
   });
   server.Start();
   wait();
@@ -73,10 +73,10 @@
     auth_.Set(BenchSecrets());
     text_ = std::string(load.body_bytes, 'x');
     const std::string text =
-        load.way == call_way::kSignedRpc ? auth_.Seal(kReceiver, text_) : text_;
+        load.way == call_way::kSignedRpc ? auth_.Sign(kReceiver, text_) : text_;
     call_.method = "POST";
     call_.url = Url(port);
-    call_.body = load.way == call_way::kHttp ? text : RpcRequestText("deliver", text);
+    call_.body = load.way == call_way::kHttp ? text : EncodeRpcRequest("deliver", text);
     call_.timeout = kCallTimeout;
   }
 
@@ -94,7 +94,7 @@
   void Next() {
     if (left_.fetch_sub(1) <= 0) return;
     // The text stays the same; signing it again is what each call costs.
-    if (load_.way == call_way::kSignedRpc) signed_bytes_ += auth_.Seal(kReceiver, text_).size();
+    if (load_.way == call_way::kSignedRpc) signed_bytes_ += auth_.Sign(kReceiver, text_).size();
     client_.Send(call_, [this](const http_result& result) {
       Count(IsAnswer(result));
       Next();
@@ -104,7 +104,7 @@
     if (result.status != transfer_status::kDone || result.code != 200) return false;
     std::string answer;
     if (load_.way == call_way::kHttp) return true;
-    return ReadRpcResponse(result.body, answer) && answer == "ok";
+    return DecodeRpcResponse(result.body, answer) && answer == "ok";
   }
   void Count(bool good) {
     const std::lock_guard lock(mutex_);
--- a/bench/slopes_message.cc
+++ b/bench/slopes_message.cc
@@ -35,7 +35,7 @@
   http_client client(1);
   client.Start();
   http_call call{"POST", "http://127.0.0.1:" + std::to_string(server.Port()),
-                 RpcRequestText("deliver", text)};
+                 EncodeRpcRequest("deliver", text)};
   call.timeout = kTimeout;
   client.SendAndWait(call);
   const double before = SocketBytes(server.Port());
--- a/src/connection/bounded_ring.h
+++ b/src/connection/bounded_ring.h
@@ -23,7 +23,7 @@
 class bounded_ring {
  public:
   explicit bounded_ring(size_t capacity)
-      : capacity_(capacity), slots_(std::min(capacity, kKeptSlots)) {}
+      : capacity_(capacity), slots_(std::min(capacity, kInitialSlots)) {}
 
   bounded_ring(const bounded_ring&) = delete;
   bounded_ring& operator=(const bounded_ring&) = delete;
@@ -65,7 +65,7 @@
         head_ = (head_ + 1) % slots_.size();
         --size_;
       }
-      GiveBack();
+      ShrinkIfLarge();
     }
     not_full_.notify_all();
     return true;
@@ -87,9 +87,9 @@
   }
 
  private:
-  static constexpr size_t kKeptSlots = 16;
+  static constexpr size_t kInitialSlots = 16;
   // Larger ones are given back: a busy ring stays below this and does not grow anew each time.
-  static constexpr size_t kLargeSlots = 1024;
+  static constexpr size_t kMaxRetainedSlots = 1024;
 
   void Store(T&& item) {
     if (size_ == slots_.size()) Grow();
@@ -106,9 +106,9 @@
     head_ = 0;
   }
 
-  void GiveBack() {
-    if (slots_.size() <= kLargeSlots) return;
-    slots_ = std::vector<T>(kKeptSlots);
+  void ShrinkIfLarge() {
+    if (slots_.size() <= kMaxRetainedSlots) return;
+    slots_ = std::vector<T>(kInitialSlots);
     head_ = 0;
   }
 
--- a/src/connection/endpoint_adapter.cc
+++ b/src/connection/endpoint_adapter.cc
@@ -16,7 +16,7 @@
 constexpr int kConflictCode = 409;
 constexpr int kServerFault = 500;
 constexpr int kServiceUnavailable = 503;
-constexpr size_t kStartBytes = 320;  // room for one encoded task with a short payload
+constexpr size_t kStartTaskBytes = 320;  // room for one encoded task with a short payload
 
 constexpr std::array<std::string_view, 6> kTaskResults = {
     "", "ok", "failed", "stopped", "checkpointed", "lease_lapsed"};
@@ -25,9 +25,9 @@
 
 // The value whose word is `text`; the first one where there is no such word.
 template <typename Enum, size_t N>
-Enum ParseWord(const std::array<std::string_view, N>& words, const std::string& text) {
+Enum ParseEnum(const std::array<std::string_view, N>& names, const std::string& text) {
   for (size_t i = 1; i < N; ++i) {
-    if (words[i] == text) return static_cast<Enum>(i);
+    if (names[i] == text) return static_cast<Enum>(i);
   }
   return static_cast<Enum>(0);
 }
@@ -57,7 +57,7 @@
   task.kind = ParseWorkloadKind(TextAt(object, "kind")).value_or(workload_kind::kBatch);
   task.team = TextAt(object, "team");
   task.ran = MillisecondsAt(object, "ran_ms");
-  task.result = ParseWord<task_result>(kTaskResults, TextAt(object, "result"));
+  task.result = ParseEnum<task_result>(kTaskResults, TextAt(object, "result"));
   task.answer = TextAt(object, "answer");
   return task;
 }
@@ -66,14 +66,14 @@
   finished_task task;
   task.id = id;
   task.seq = NumberAt(object, "seq");
-  task.result = ParseWord<task_result>(kTaskResults, TextAt(object, "result"));
+  task.result = ParseEnum<task_result>(kTaskResults, TextAt(object, "result"));
   task.ran = MillisecondsAt(object, "ran_ms");
   task.answer = TextAt(object, "answer");
   return task;
 }
 
 task_call_result ReadCallResult(const task_id& id, const json& object) {
-  return {id, ParseWord<call_result>(kCallResults, TextAt(object, "result"))};
+  return {id, ParseEnum<call_result>(kCallResults, TextAt(object, "result"))};
 }
 
 // Each readable element of the array at `name`; false when one is not readable. A list with a
@@ -127,7 +127,7 @@
 
 std::string EncodeStart(uint64_t epoch, const std::vector<start_task>& tasks) {
   std::string body;
-  body.reserve(kStartBytes * (tasks.size() + 1));
+  body.reserve(kStartTaskBytes * (tasks.size() + 1));
   absl::StrAppend(&body, "{\"epoch\":", epoch, ",\"tasks\":[");
   const char* separator = "";
   for (const start_task& task : tasks) {
@@ -167,10 +167,11 @@
 endpoint_adapter::endpoint_adapter(http_client& http, std::chrono::milliseconds timeout)
     : http_(http), timeout_(timeout) {}
 
-void endpoint_adapter::Post(const endpoint_address& address, const char* verb, std::string body,
-                            std::chrono::milliseconds timeout, bool fresh_connection,
-                            callback done) {
-  http_call call{"POST", absl::StrCat(address.base_url, "/v1/endpoints/", address.name, "/", verb),
+void endpoint_adapter::Post(const endpoint_address& address, const char* operation,
+                            std::string body, std::chrono::milliseconds timeout,
+                            bool fresh_connection, callback done) {
+  http_call call{"POST",
+                 absl::StrCat(address.base_url, "/v1/endpoints/", address.name, "/", operation),
                  std::move(body)};
   call.timeout = timeout;
   call.fresh_connection = fresh_connection;
--- a/src/connection/endpoint_adapter.h
+++ b/src/connection/endpoint_adapter.h
@@ -51,7 +51,7 @@
   kRefused,    // the endpoint answered that it did not do it
 };
 
-enum class task_result : uint8_t { kNone, kOk, kFailed, kStopped, kCheckpointed, kLeaseLapsed };
+enum class task_result : uint8_t { kNone, kOk, kFailed, kStopped, kCheckpointed, kLeaseExpired };
 
 // The endpoint's word on one task of a start or stop call.
 enum class call_result : uint8_t {
@@ -131,7 +131,7 @@
                 uint32_t cpu_milli, callback done);
 
  private:
-  void Post(const endpoint_address& address, const char* verb, std::string body,
+  void Post(const endpoint_address& address, const char* operation, std::string body,
             std::chrono::milliseconds timeout, bool fresh_connection, callback done);
 
   http_client& http_;
--- a/src/connection/endpoint_link.cc
+++ b/src/connection/endpoint_link.cc
@@ -5,10 +5,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr uint8_t kFailuresToSilence = 2;
+constexpr uint8_t kSilentAfterFailures = 2;
 // How long ends that are not durable yet keep the next sync back: the endpoint would only tell the
 // same again.
-constexpr milliseconds kHold{20};
+constexpr milliseconds kSyncDelay{20};
 
 }  // namespace
 
@@ -30,7 +30,7 @@
 sync_call endpoint_link::Sync() const {
   // After a failure the endpoint is asked to answer at once: the question is whether it lives.
   const milliseconds wait = failures_ > 0 ? milliseconds{0} : options_.sync_wait;
-  return {token_, incarnation_, acked_, wait, options_.task_lease};
+  return {token_, incarnation_, acked_cursor_, wait, options_.task_lease};
 }
 
 void endpoint_link::OnFenced(uint64_t incarnation, monotonic_time now) {
@@ -39,8 +39,8 @@
   state_ = endpoint_link_state::kOpen;
   if (incarnation != incarnation_) {
     incarnation_ = incarnation;
-    acked_ = 0;
-    seen_ = 0;
+    acked_cursor_ = 0;
+    received_cursor_ = 0;
   }
   next_call_ = now;
 }
@@ -50,17 +50,17 @@
   next_call_ = now + options_.probe_interval;
 }
 
-void endpoint_link::OnSynced(uint64_t cursor, bool hold, monotonic_time now) {
+void endpoint_link::OnSynced(uint64_t cursor, bool delay_next, monotonic_time now) {
   in_flight_ = false;
   failures_ = 0;
-  seen_ = cursor;
-  next_call_ = hold ? now + kHold : now;
+  received_cursor_ = cursor;
+  next_call_ = delay_next ? now + kSyncDelay : now;
 }
 
 bool endpoint_link::OnSyncFailed(monotonic_time now) {
   in_flight_ = false;
   next_call_ = now;
-  if (++failures_ < kFailuresToSilence || state_ != endpoint_link_state::kOpen) return false;
+  if (++failures_ < kSilentAfterFailures || state_ != endpoint_link_state::kOpen) return false;
   RaiseToken();
   state_ = endpoint_link_state::kSilent;
   return true;
--- a/src/connection/endpoint_link.h
+++ b/src/connection/endpoint_link.h
@@ -45,7 +45,7 @@
   void OnFenced(uint64_t incarnation, monotonic_time now);
   void OnFenceFailed(monotonic_time now);
   // `hold`: the ends that it told of are not durable yet, so the next sync must wait a little.
-  void OnSynced(uint64_t cursor, bool hold, monotonic_time now);
+  void OnSynced(uint64_t cursor, bool delay_next, monotonic_time now);
   // True when this failure made the link silent.
   bool OnSyncFailed(monotonic_time now);
   // A call whose reply is lost may still arrive at the endpoint. The token is raised and the
@@ -59,12 +59,12 @@
   bool BecomesGone(monotonic_time now);
   // A start gives its tasks a lease of their own, as a sync does.
   void OnStartSent(monotonic_time now) { last_renewal_ = now; }
-  void AckUpTo(uint64_t cursor) { acked_ = cursor; }
+  void AckUpTo(uint64_t cursor) { acked_cursor_ = cursor; }
 
   endpoint_link_state State() const { return state_; }
   uint64_t Token() const { return token_; }
   uint64_t Incarnation() const { return incarnation_; }
-  uint64_t Seen() const { return seen_; }
+  uint64_t ReceivedCursor() const { return received_cursor_; }
 
  private:
   void RaiseToken();
@@ -75,8 +75,8 @@
   bool in_flight_ = false;
   uint8_t failures_ = 0;
   uint64_t incarnation_ = 0;
-  uint64_t seen_ = 0;   // ends up to here were taken in
-  uint64_t acked_ = 0;  // ends up to here may be forgotten by the endpoint
+  uint64_t received_cursor_ = 0;  // ends up to here were taken in
+  uint64_t acked_cursor_ = 0;     // ends up to here may be forgotten by the endpoint
   monotonic_time next_call_{};
   monotonic_time last_renewal_{};  // when the last sync was sent that may have renewed leases
 };
--- a/src/connection/http_client.cc
+++ b/src/connection/http_client.cc
@@ -24,11 +24,11 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr int kEventsAtOnce = 512;
-constexpr milliseconds kIdleWait{1000};
-constexpr size_t kIdleHandles = 256;           // easy handles kept for the next call
+constexpr int kMaxEvents = 512;
+constexpr milliseconds kMaxWait{1000};
+constexpr size_t kMaxIdleHandles = 256;        // easy handles kept for the next call
 constexpr milliseconds kConnectTimeout{2000};  // an address that answers nothing at all
-constexpr long kKeptConnections = 8192;        // NOLINT(google-runtime-int): libcurl's type
+constexpr long kMaxPooledConnections = 8192;   // NOLINT(google-runtime-int): libcurl's type
 
 struct transfer {
   http_call call;
@@ -37,32 +37,32 @@
   curl_slist* headers = nullptr;
   steady_clock::time_point queued;  // when it was given to the client
   // Of a call with a stall limit:
-  steady_clock::time_point moved;  // when a byte last went either way
-  curl_off_t up = 0;
-  curl_off_t down = 0;
-  steady_clock::time_point* stall_check = nullptr;  // the client's
+  steady_clock::time_point last_progress;  // when a byte last went either way
+  curl_off_t bytes_sent = 0;
+  curl_off_t bytes_received = 0;
+  steady_clock::time_point* next_stall_check = nullptr;  // the client's
 
   // When it has stood still for too long, if no byte moves before.
   steady_clock::time_point Deadline() const {
-    return moved + (down > 0 ? call.stall : call.timeout);
+    return last_progress + (bytes_received > 0 ? call.stall_timeout : call.timeout);
   }
 };
 
 size_t AppendBody(char* data, size_t size, size_t count, void* closure) {
   auto* self = static_cast<transfer*>(closure);
   self->answer.append(data, size * count);
-  if (self->call.arrived != nullptr) *self->call.arrived += size * count;
+  if (self->call.received_bytes != nullptr) *self->call.received_bytes += size * count;
   return size * count;
 }
 
-int OnProgress(void* closure, curl_off_t /*expected*/, curl_off_t down, curl_off_t /*whole*/,
-               curl_off_t up) {
+int OnProgress(void* closure, curl_off_t /*expected*/, curl_off_t bytes_received,
+               curl_off_t /*whole*/, curl_off_t bytes_sent) {
   auto* self = static_cast<transfer*>(closure);
-  if (down == self->down && up == self->up) return 0;
-  self->down = down;
-  self->up = up;
-  self->moved = steady_clock::now();
-  *self->stall_check = std::min(*self->stall_check, self->Deadline());
+  if (bytes_received == self->bytes_received && bytes_sent == self->bytes_sent) return 0;
+  self->bytes_received = bytes_received;
+  self->bytes_sent = bytes_sent;
+  self->last_progress = steady_clock::now();
+  *self->next_stall_check = std::min(*self->next_stall_check, self->Deadline());
   return 0;
 }
 
@@ -77,17 +77,19 @@
 }  // namespace
 
 struct http_client::impl {
-  impl(size_t connections, std::string authorities, traffic_meter* counts)
-      : connections_per_host(connections), ca_file(std::move(authorities)), meter(counts) {}
+  impl(size_t connections, std::string authorities, traffic_counter* counts)
+      : connections_per_host(connections),
+        ca_file(std::move(authorities)),
+        traffic_counts(counts) {}
 
   static int OnSocket(CURL* easy, curl_socket_t socket, int what, void* closure, void* known);
   static int OnTimer(CURLM* multi, long wait_ms, void* closure);  // NOLINT(google-runtime-int)
 
   void Run();
-  void TakeNew();
+  void BeginIncoming();
   void Begin(std::unique_ptr<transfer> next);
-  void Act(curl_socket_t socket, int events);
-  void Finish();
+  void SocketAction(curl_socket_t socket, int events);
+  void CompleteFinished();
   void EndStalled();
   void Complete(CURL* easy, transfer_status status);
   void Count(CURL* easy, const transfer& done);
@@ -96,7 +98,7 @@
 
   size_t connections_per_host;
   std::string ca_file;
-  traffic_meter* meter;  // may be null
+  traffic_counter* traffic_counts;  // may be null
   recent_delay delay;
   CURLM* multi = nullptr;
   int epoll = -1;
@@ -110,9 +112,9 @@
   steady_clock::time_point timer = steady_clock::time_point::max();
   absl::flat_hash_map<CURL*, std::unique_ptr<transfer>> active;
   std::vector<CURL*> idle;
-  std::vector<CURL*> watched;  // active, with a stall limit
+  std::vector<CURL*> stall_limited;  // active, with a stall limit
   // No later than the first deadline of these; a deadline that has moved is found out then.
-  steady_clock::time_point stall_check = steady_clock::time_point::max();
+  steady_clock::time_point next_stall_check = steady_clock::time_point::max();
 };
 
 int http_client::impl::OnSocket(CURL* /*easy*/, curl_socket_t socket, int what, void* closure,
@@ -156,16 +158,16 @@
   curl_easy_setopt(easy, CURLOPT_URL, call.url.c_str());
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(easy, CURLOPT_PROXY, "");  // our peers are addresses, never behind a proxy
-  if (call.stall.count() == 0) {
+  if (call.stall_timeout.count() == 0) {
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(call.timeout.count()));  // NOLINT
   } else {
-    next->moved = steady_clock::now();
+    next->last_progress = steady_clock::now();
     curl_easy_setopt(easy, CURLOPT_NOPROGRESS, 0L);
     curl_easy_setopt(easy, CURLOPT_XFERINFOFUNCTION, &OnProgress);
     curl_easy_setopt(easy, CURLOPT_XFERINFODATA, next.get());
-    next->stall_check = &stall_check;
-    stall_check = std::min(stall_check, next->Deadline());
-    watched.push_back(easy);
+    next->next_stall_check = &next_stall_check;
+    next_stall_check = std::min(next_stall_check, next->Deadline());
+    stall_limited.push_back(easy);
   }
   curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS,
                    static_cast<long>(kConnectTimeout.count()));  // NOLINT
@@ -193,7 +195,7 @@
 }
 
 void http_client::impl::Count(CURL* easy, const transfer& done) {
-  if (meter == nullptr) return;
+  if (traffic_counts == nullptr) return;
   long head_sent = 0;      // NOLINT(google-runtime-int): libcurl's type
   long head_received = 0;  // NOLINT(google-runtime-int): libcurl's type
   curl_off_t body_sent = 0;
@@ -202,13 +204,13 @@
   curl_easy_getinfo(easy, CURLINFO_SIZE_UPLOAD_T, &body_sent);
   // libcurl counts a small body that left with the head as part of the request.
   const auto head = static_cast<uint64_t>(head_sent);
-  meter->Count(done.call.url, std::max(head, static_cast<uint64_t>(body_sent)),
-               static_cast<uint64_t>(head_received) + done.answer.size());
+  traffic_counts->Count(done.call.url, std::max(head, static_cast<uint64_t>(body_sent)),
+                        static_cast<uint64_t>(head_received) + done.answer.size());
 }
 
 void http_client::impl::Complete(CURL* easy, transfer_status status) {
   auto node = active.extract(easy);
-  std::erase(watched, easy);
+  std::erase(stall_limited, easy);
   const std::unique_ptr<transfer> done = std::move(node.mapped());
   http_result result;
   result.status = status;
@@ -219,7 +221,7 @@
   result.body = std::move(done->answer);
   curl_multi_remove_handle(multi, easy);
   curl_slist_free_all(done->headers);
-  if (idle.size() < kIdleHandles) {
+  if (idle.size() < kMaxIdleHandles) {
     idle.push_back(easy);
   } else {
     curl_easy_cleanup(easy);
@@ -227,7 +229,7 @@
   done->on_done(std::move(result));
 }
 
-void http_client::impl::Finish() {
+void http_client::impl::CompleteFinished() {
   int left = 0;
   while (CURLMsg* message = curl_multi_info_read(multi, &left)) {
     if (message->msg != CURLMSG_DONE) continue;
@@ -238,26 +240,26 @@
 
 void http_client::impl::EndStalled() {
   const steady_clock::time_point now = steady_clock::now();
-  if (now < stall_check) return;
+  if (now < next_stall_check) return;
   std::vector<CURL*> stalled;
-  stall_check = steady_clock::time_point::max();
-  for (CURL* easy : watched) {
+  next_stall_check = steady_clock::time_point::max();
+  for (CURL* easy : stall_limited) {
     const steady_clock::time_point deadline = active.at(easy)->Deadline();
     if (deadline <= now) {
       stalled.push_back(easy);
     } else {
-      stall_check = std::min(stall_check, deadline);
+      next_stall_check = std::min(next_stall_check, deadline);
     }
   }
   for (CURL* easy : stalled) Complete(easy, StatusOf(easy, CURLE_OPERATION_TIMEDOUT));
 }
 
-void http_client::impl::Act(curl_socket_t socket, int events) {
+void http_client::impl::SocketAction(curl_socket_t socket, int events) {
   int running = 0;
   curl_multi_socket_action(multi, socket, events, &running);
 }
 
-void http_client::impl::TakeNew() {
+void http_client::impl::BeginIncoming() {
   std::deque<std::unique_ptr<transfer>> taken;
   {
     const std::lock_guard lock(mutex);
@@ -265,26 +267,26 @@
   }
   if (taken.empty()) return;
   const steady_clock::time_point now = steady_clock::now();
-  delay.Note(std::chrono::duration_cast<milliseconds>(now - taken.front()->queued), now);
+  delay.Record(std::chrono::duration_cast<milliseconds>(now - taken.front()->queued), now);
   for (auto& next : taken) Begin(std::move(next));
 }
 
 int http_client::impl::WaitMs() const {
-  const steady_clock::time_point next = std::min(timer, stall_check);
-  if (next == steady_clock::time_point::max()) return static_cast<int>(kIdleWait.count());
+  const steady_clock::time_point next = std::min(timer, next_stall_check);
+  if (next == steady_clock::time_point::max()) return static_cast<int>(kMaxWait.count());
   const auto left = std::chrono::ceil<milliseconds>(next - steady_clock::now());
-  return static_cast<int>(std::clamp(left, milliseconds{0}, kIdleWait).count());
+  return static_cast<int>(std::clamp(left, milliseconds{0}, kMaxWait).count());
 }
 
 void http_client::impl::Run() {
-  std::array<epoll_event, kEventsAtOnce> events{};
+  std::array<epoll_event, kMaxEvents> events{};
   while (true) {
     {
       const std::lock_guard lock(mutex);
       if (stopping) break;
     }
-    TakeNew();
-    const int count = epoll_wait(epoll, events.data(), kEventsAtOnce, WaitMs());
+    BeginIncoming();
+    const int count = epoll_wait(epoll, events.data(), kMaxEvents, WaitMs());
     for (int i = 0; i < count; ++i) {
       const epoll_event& event = events[static_cast<size_t>(i)];
       if (event.data.fd == wake) {
@@ -296,23 +298,24 @@
       if ((event.events & EPOLLIN) != 0) what |= CURL_CSELECT_IN;
       if ((event.events & EPOLLOUT) != 0) what |= CURL_CSELECT_OUT;
       if ((event.events & (EPOLLERR | EPOLLHUP)) != 0) what |= CURL_CSELECT_ERR;
-      Act(event.data.fd, what);
+      SocketAction(event.data.fd, what);
     }
     // Answers that have arrived are read before any call is given up: a process that was held up
     // has many of both.
-    if (count < kEventsAtOnce && steady_clock::now() >= timer) {
+    if (count < kMaxEvents && steady_clock::now() >= timer) {
       timer = steady_clock::time_point::max();
-      Act(CURL_SOCKET_TIMEOUT, 0);
+      SocketAction(CURL_SOCKET_TIMEOUT, 0);
     }
-    Finish();
-    if (count < kEventsAtOnce) EndStalled();
+    CompleteFinished();
+    if (count < kMaxEvents) EndStalled();
   }
-  TakeNew();
+  BeginIncoming();
   while (!active.empty()) Complete(active.begin()->first, transfer_status::kMaybeSent);
 }
 
-http_client::http_client(size_t connections_per_host, std::string ca_file, traffic_meter* meter)
-    : impl_(std::make_unique<impl>(connections_per_host, std::move(ca_file), meter)) {}
+http_client::http_client(size_t connections_per_host, std::string ca_file,
+                         traffic_counter* traffic_counts)
+    : impl_(std::make_unique<impl>(connections_per_host, std::move(ca_file), traffic_counts)) {}
 
 http_client::~http_client() { Stop(); }
 
@@ -330,7 +333,7 @@
   curl_multi_setopt(self.multi, CURLMOPT_SOCKETDATA, &self);
   curl_multi_setopt(self.multi, CURLMOPT_TIMERFUNCTION, &impl::OnTimer);
   curl_multi_setopt(self.multi, CURLMOPT_TIMERDATA, &self);
-  curl_multi_setopt(self.multi, CURLMOPT_MAXCONNECTS, kKeptConnections);
+  curl_multi_setopt(self.multi, CURLMOPT_MAXCONNECTS, kMaxPooledConnections);
   curl_multi_setopt(self.multi, CURLMOPT_MAX_HOST_CONNECTIONS,
                     static_cast<long>(self.connections_per_host));  // NOLINT(google-runtime-int)
   self.stopped = false;
@@ -362,7 +365,7 @@
   }
 }
 
-milliseconds http_client::Delay() const { return impl_->delay.Most(); }
+milliseconds http_client::Delay() const { return impl_->delay.Max(); }
 
 http_result http_client::SendAndWait(http_call call) {
   std::mutex mutex;
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 
 namespace catkinford {
 
@@ -31,10 +31,11 @@
   std::chrono::milliseconds timeout{5000};
   // Once the answer arrives, the longest that no byte of it may come. However long a large answer
   // takes on a narrow link, it is not thrown away while it moves. 0: `timeout` holds alone.
-  std::chrono::milliseconds stall{0};
+  std::chrono::milliseconds stall_timeout{0};
   bool fresh_connection = false;  // not on a kept connection, which may have gone silent
   std::vector<std::pair<std::string, std::string>> headers;  // more of them: name and value
-  std::shared_ptr<std::atomic<uint64_t>> arrived;  // counts the answer's bytes; null: nobody asks
+  std::shared_ptr<std::atomic<uint64_t>>
+      received_bytes;  // counts the answer's bytes; null: nobody asks
 };
 
 struct http_result {
@@ -52,7 +53,7 @@
   // of the authorities to trust for https; empty: those of the system. `meter` counts the bytes of
   // all calls; null: nobody asks.
   explicit http_client(size_t connections_per_host, std::string ca_file = {},
-                       traffic_meter* meter = nullptr);
+                       traffic_counter* traffic_counts = nullptr);
   ~http_client();
   http_client(const http_client&) = delete;
   http_client& operator=(const http_client&) = delete;
--- a/src/connection/http_server.cc
+++ b/src/connection/http_server.cc
@@ -55,7 +55,7 @@
   return length;
 }
 
-MHD_Result Queue(MHD_Connection* connection, const http_response& answer) {
+MHD_Result QueueResponse(MHD_Connection* connection, const http_response& answer) {
   MHD_Response* response = MHD_create_response_from_buffer(
       answer.body.size(), const_cast<char*>(answer.body.data()), MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header(response, "Content-Type", answer.content_type.c_str());
@@ -143,7 +143,7 @@
 MHD_Result http_server::impl::Begin(MHD_Connection* connection, const char* url, const char* method,
                                     void** per_request) {
   // Refused before the body: a caller that announces too much is told so at once.
-  if (DeclaredLength(connection) > options.body_limit) return Queue(connection, TooLarge());
+  if (DeclaredLength(connection) > options.body_limit) return QueueResponse(connection, TooLarge());
   auto* current = new exchange;
   *per_request = current;
   current->connection = connection;
@@ -151,7 +151,7 @@
   current->request.path = url;
   current->request.bearer = BearerOf(connection);
   current->request.host = HeaderOf(connection, "Host");
-  for (const std::string& name : options.kept_headers) {
+  for (const std::string& name : options.captured_headers) {
     std::string value = HeaderOf(connection, name.c_str());
     if (!value.empty()) current->request.headers.emplace_back(name, std::move(value));
   }
@@ -170,9 +170,9 @@
 }
 
 MHD_Result http_server::impl::Dispatch(exchange& current) {
-  if (current.received > options.body_limit) return Queue(current.connection, TooLarge());
+  if (current.received > options.body_limit) return QueueResponse(current.connection, TooLarge());
   if (current.suspended) {
-    if (current.answered) return Queue(current.connection, current.response);
+    if (current.answered) return QueueResponse(current.connection, current.response);
     return MHD_YES;
   }
   token id = 0;
@@ -203,11 +203,12 @@
   address.sin_family = AF_INET;
   address.sin_port = htons(options.port);
   if (inet_pton(AF_INET, options.address.c_str(), &address.sin_addr) != 1) return false;
-  const bool given = !options.tls_certificate.empty();
-  if (given && SetCertificate(options.tls_certificate, options.tls_key) != tls_fault::kNone) {
+  const bool has_certificate_text = !options.tls_certificate.empty();
+  if (has_certificate_text &&
+      SetCertificate(options.tls_certificate, options.tls_key) != tls_fault::kNone) {
     return false;
   }
-  const bool tls = options.tls || given;
+  const bool tls = options.tls || has_certificate_text;
   if (tls && !impl_->certificates.HasCertificate()) return false;
   unsigned flags = MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME | MHD_USE_ITC;
   if (tls) flags |= MHD_USE_TLS;
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -47,7 +47,7 @@
   size_t body_limit = size_t{1} << 20;
   std::chrono::seconds idle_timeout{30};  // a slow sender or a half-closed connection ends here
   unsigned connection_limit = 4096;
-  std::vector<std::string> kept_headers;  // names of headers that requests keep
+  std::vector<std::string> captured_headers;  // names of headers that requests keep
   bool tls = false;             // needs a certificate: here, or by SetCertificate() before Start()
   std::string tls_certificate;  // PEM text
   std::string tls_key;
--- a/src/connection/json_fields.h
+++ b/src/connection/json_fields.h
@@ -13,12 +13,12 @@
 
 // The unsigned number of at most `Integer`'s size at `name`, else `otherwise`.
 template <typename Integer = uint64_t>
-Integer NumberAt(const nlohmann::json& object, const char* name, Integer otherwise = 0) {
+Integer NumberAt(const nlohmann::json& object, const char* name, Integer fallback = 0) {
   const auto found = object.find(name);
-  if (found == object.end() || !found->is_number_unsigned()) return otherwise;
+  if (found == object.end() || !found->is_number_unsigned()) return fallback;
   const auto value = found->get<uint64_t>();
   return value > static_cast<uint64_t>(std::numeric_limits<Integer>::max())
-             ? otherwise
+             ? fallback
              : static_cast<Integer>(value);
 }
 
--- a/src/connection/peer_auth.cc
+++ b/src/connection/peer_auth.cc
@@ -19,11 +19,11 @@
 
 constexpr size_t kMacBytes = 32;
 constexpr size_t kMacDigits = 2 * kMacBytes;
-constexpr size_t kShortestSecret = 32;  // characters; 128 bits even when they are hexadecimal
-constexpr size_t kMostSecrets = 2;
+constexpr size_t kMinSecretLength = 32;  // characters; 128 bits even when they are hexadecimal
+constexpr size_t kMaxSecrets = 2;
 constexpr char kUnsignedLine[] = "unsigned";
-constexpr std::array<std::string_view, 5> kFaults = {"none", "missing_file", "empty",
-                                                     "secret_too_short", "more_than_two_secrets"};
+constexpr std::array<std::string_view, 5> kFaultNames = {
+    "none", "missing_file", "empty", "secret_too_short", "more_than_two_secrets"};
 
 std::string MacOf(const std::string& secret, std::string_view receiver, std::string_view text) {
   gnutls_hmac_hd_t mac = nullptr;
@@ -38,11 +38,13 @@
 }
 
 // A batch is a JSON object, and a signature begins with none.
-bool IsUnsigned(const std::string& sealed) { return !sealed.empty() && sealed[0] == '{'; }
+bool IsUnsigned(const std::string& signed_text) {
+  return !signed_text.empty() && signed_text[0] == '{';
+}
 
 }  // namespace
 
-std::string_view ToText(secret_fault fault) { return kFaults[static_cast<size_t>(fault)]; }
+std::string_view ToText(secret_fault fault) { return kFaultNames[static_cast<size_t>(fault)]; }
 
 std::variant<peer_secrets, secret_fault> ParsePeerSecrets(std::string_view text) {
   peer_secrets read;
@@ -53,11 +55,11 @@
       read.accept_unsigned = true;
       continue;
     }
-    if (line.size() < kShortestSecret) return secret_fault::kTooShort;
+    if (line.size() < kMinSecretLength) return secret_fault::kTooShort;
     read.secrets.emplace_back(line);
   }
   if (read.secrets.empty()) return secret_fault::kEmpty;
-  if (read.secrets.size() > kMostSecrets) return secret_fault::kTooMany;
+  if (read.secrets.size() > kMaxSecrets) return secret_fault::kTooMany;
   return read;
 }
 
@@ -82,33 +84,35 @@
   return secrets_;
 }
 
-std::string peer_auth::Seal(std::string_view receiver, const std::string& text) const {
+std::string peer_auth::Sign(std::string_view receiver, const std::string& text) const {
   const std::shared_ptr<const peer_secrets> known = Secrets();
   if (known->secrets.empty()) return text;
   return absl::StrCat(MacOf(known->secrets.front(), receiver, text), text);
 }
 
-std::optional<std::string> peer_auth::Open(std::string_view receiver, const std::string& sealed) {
+std::optional<std::string> peer_auth::Verify(std::string_view receiver,
+                                             const std::string& signed_text) {
   const std::shared_ptr<const peer_secrets> known = Secrets();
-  const bool checks = !known->secrets.empty();
-  if (IsUnsigned(sealed)) {
-    if (!checks || known->accept_unsigned) return sealed;
-    ++refused_;
+  const bool enforced = !known->secrets.empty();
+  if (IsUnsigned(signed_text)) {
+    if (!enforced || known->accept_unsigned) return signed_text;
+    ++rejected_;
     return std::nullopt;
   }
-  if (sealed.size() < kMacDigits) {
-    ++refused_;
+  if (signed_text.size() < kMacDigits) {
+    ++rejected_;
     return std::nullopt;
   }
-  std::string text = sealed.substr(kMacDigits);
+  std::string text = signed_text.substr(kMacDigits);
   // An entry that has no secret yet understands those that have.
-  if (!checks) return text;
-  const bool good =
+  if (!enforced) return text;
+  const bool valid =
       std::any_of(known->secrets.begin(), known->secrets.end(), [&](const std::string& secret) {
-        return gnutls_memcmp(MacOf(secret, receiver, text).data(), sealed.data(), kMacDigits) == 0;
+        return gnutls_memcmp(MacOf(secret, receiver, text).data(), signed_text.data(),
+                             kMacDigits) == 0;
       });
-  if (good) return text;
-  ++refused_;
+  if (valid) return text;
+  ++rejected_;
   return std::nullopt;
 }
 
--- a/src/connection/peer_auth.h
+++ b/src/connection/peer_auth.h
@@ -37,18 +37,18 @@
   void Set(peer_secrets secrets);
 
   // What is sent to `receiver`.
-  std::string Seal(std::string_view receiver, const std::string& text) const;
+  std::string Sign(std::string_view receiver, const std::string& text) const;
   // The text that came to `receiver`; absent, and counted, where its signature is not good.
-  std::optional<std::string> Open(std::string_view receiver, const std::string& sealed);
+  std::optional<std::string> Verify(std::string_view receiver, const std::string& signed_text);
 
-  uint64_t Refused() const { return refused_; }
+  uint64_t Refused() const { return rejected_; }
 
  private:
   std::shared_ptr<const peer_secrets> Secrets() const;
 
   mutable std::mutex mutex_;  // guards secrets_
   std::shared_ptr<const peer_secrets> secrets_ = std::make_shared<const peer_secrets>();
-  std::atomic<uint64_t> refused_{0};
+  std::atomic<uint64_t> rejected_{0};
 };
 
 }  // namespace catkinford
--- a/src/connection/peer_rpc.cc
+++ b/src/connection/peer_rpc.cc
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-std::string RpcRequestText(const std::string& method, const std::string& text) {
+std::string EncodeRpcRequest(const std::string& method, const std::string& text) {
   const std::string response = kEmptyResponse;
   codec_connector connector(response);
   jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
@@ -58,7 +58,7 @@
   return connector.Request();
 }
 
-bool ReadRpcResponse(const std::string& response, std::string& answer) {
+bool DecodeRpcResponse(const std::string& response, std::string& answer) {
   codec_connector connector(response);
   jsonrpc::Client client(connector, jsonrpc::JSONRPC_CLIENT_V2);
   try {
--- a/src/connection/peer_rpc.h
+++ b/src/connection/peer_rpc.h
@@ -13,10 +13,10 @@
 namespace catkinford {
 
 // The request text of a call of `method` with one text parameter.
-std::string RpcRequestText(const std::string& method, const std::string& text);
+std::string EncodeRpcRequest(const std::string& method, const std::string& text);
 // Takes the peer's text out of the response to such a call. False when it is no response, or an
 // error of JSON-RPC.
-bool ReadRpcResponse(const std::string& response, std::string& answer);
+bool DecodeRpcResponse(const std::string& response, std::string& answer);
 
 // Serves one method, "deliver": text in, text out, at once.
 class rpc_server {
--- a/src/connection/recent_delay.h
+++ b/src/connection/recent_delay.h
@@ -14,24 +14,24 @@
  public:
   using time_point = std::chrono::steady_clock::time_point;
 
-  void Note(std::chrono::milliseconds delay, time_point now) {
-    if (now - since_ > kWindow) {
-      earlier_ = now - since_ > 2 * kWindow ? 0 : latest_.load();
-      latest_ = 0;
-      since_ = now;
+  void Record(std::chrono::milliseconds delay, time_point now) {
+    if (now - window_start_ > kWindow) {
+      previous_max_ = now - window_start_ > 2 * kWindow ? 0 : current_max_.load();
+      current_max_ = 0;
+      window_start_ = now;
     }
-    latest_ = std::max(latest_.load(), delay.count());
+    current_max_ = std::max(current_max_.load(), delay.count());
   }
-  std::chrono::milliseconds Most() const {
-    return std::chrono::milliseconds(std::max(latest_.load(), earlier_.load()));
+  std::chrono::milliseconds Max() const {
+    return std::chrono::milliseconds(std::max(current_max_.load(), previous_max_.load()));
   }
 
  private:
   static constexpr std::chrono::milliseconds kWindow{500};
 
-  time_point since_{};
-  std::atomic<int64_t> latest_{0};   // of the window that began at `since_`, in ms
-  std::atomic<int64_t> earlier_{0};  // of the one before
+  time_point window_start_{};
+  std::atomic<int64_t> current_max_{0};   // of the window that began at `since_`, in ms
+  std::atomic<int64_t> previous_max_{0};  // of the one before
 };
 
 }  // namespace catkinford
--- a/src/connection/store_adapter.cc
+++ b/src/connection/store_adapter.cc
@@ -21,7 +21,7 @@
 constexpr int kServerFault = 500;
 constexpr int kServiceUnavailable = 503;
 
-std::string Escaped(const std::string& text) {
+std::string UrlEscaped(const std::string& text) {
   char* escaped = curl_easy_escape(nullptr, text.data(), static_cast<int>(text.size()));
   std::string result = escaped == nullptr ? std::string{} : std::string{escaped};
   curl_free(escaped);
@@ -31,17 +31,18 @@
 // A write whose reply is lost may have taken effect: believing that it has not would let the
 // writer act on an old value, and believing that it has would let it act on a value that is not
 // there. A read without an answer has told us nothing, which is the same as an outage.
-store_status LostReply(call_effect effect) {
+store_status StatusOfLostReply(call_effect effect) {
   return effect == call_effect::kWrites ? store_status::kUnknown : store_status::kUnavailable;
 }
 
 store_status StatusOf(const http_result& result, call_effect effect) {
   if (result.status == transfer_status::kNotSent) return store_status::kUnavailable;
-  if (result.status == transfer_status::kMaybeSent) return LostReply(effect);
+  if (result.status == transfer_status::kMaybeSent) return StatusOfLostReply(effect);
   if (result.code == kOk) return store_status::kDone;
   if (result.code == kNotFound) return store_status::kAbsent;
   if (result.code == kConflictCode) return store_status::kConflict;
-  if (result.code >= kServerFault && result.code != kServiceUnavailable) return LostReply(effect);
+  if (result.code >= kServerFault && result.code != kServiceUnavailable)
+    return StatusOfLostReply(effect);
   return store_status::kUnavailable;
 }
 
@@ -58,7 +59,7 @@
   if (!has_body) return reply;
   const json body = ParseObject(result.body);
   if (body.is_discarded()) {
-    reply.status = LostReply(effect);
+    reply.status = StatusOfLostReply(effect);
     return reply;
   }
   reply.revision = NumberAt(body, "revision");
@@ -68,13 +69,13 @@
   return reply;
 }
 
-http_client::callback Reading(store_adapter::callback done) {
+http_client::callback ReadCallback(store_adapter::callback done) {
   return [done = std::move(done)](const http_result& result) {
     done(ReadReply(result, call_effect::kReads));
   };
 }
 
-http_client::callback Writing(store_adapter::callback done) {
+http_client::callback WriteCallback(store_adapter::callback done) {
   return [done = std::move(done)](const http_result& result) {
     done(ReadReply(result, call_effect::kWrites));
   };
@@ -87,17 +88,17 @@
     : http_(http), base_url_(std::move(base_url)), timeout_(timeout) {}
 
 void store_adapter::Get(const std::string& key, callback done) {
-  http_call call{"GET", absl::StrCat(base_url_, "/v1/kv?key=", Escaped(key))};
+  http_call call{"GET", absl::StrCat(base_url_, "/v1/kv?key=", UrlEscaped(key))};
   call.timeout = timeout_;
-  call.stall = timeout_;
-  http_.Send(std::move(call), Reading(std::move(done)));
+  call.stall_timeout = timeout_;
+  http_.Send(std::move(call), ReadCallback(std::move(done)));
 }
 
 void store_adapter::Range(const std::string& prefix, callback done) {
-  http_call call{"GET", absl::StrCat(base_url_, "/v1/range?prefix=", Escaped(prefix))};
+  http_call call{"GET", absl::StrCat(base_url_, "/v1/range?prefix=", UrlEscaped(prefix))};
   call.timeout = timeout_;
-  call.stall = timeout_;
-  http_.Send(std::move(call), Reading(std::move(done)));
+  call.stall_timeout = timeout_;
+  http_.Send(std::move(call), ReadCallback(std::move(done)));
 }
 
 void store_adapter::CompareAndSwap(const std::string& key, uint64_t expect,
@@ -111,7 +112,7 @@
   body.push_back('}');
   http_call call{"POST", base_url_ + "/v1/cas", std::move(body)};
   call.timeout = timeout_;
-  call.stall = timeout_;
+  call.stall_timeout = timeout_;
   http_.Send(std::move(call), [key, done = std::move(done)](const http_result& result) {
     store_reply reply = ReadReply(result, call_effect::kWrites);
     if (!reply.items.empty() && reply.items.front().key.empty()) reply.items.front().key = key;
@@ -122,23 +123,23 @@
 void store_adapter::GrantLease(std::chrono::milliseconds ttl, callback done) {
   http_call call{"POST", base_url_ + "/v1/leases", absl::StrCat("{\"ttl_ms\":", ttl.count(), "}")};
   call.timeout = timeout_;
-  http_.Send(std::move(call), Writing(std::move(done)));
+  http_.Send(std::move(call), WriteCallback(std::move(done)));
 }
 
 void store_adapter::KeepLease(const std::string& lease, callback done) {
   http_call call{"POST", base_url_ + "/v1/leases/keepalive",
                  absl::StrCat("{\"lease\":", Quoted(lease), "}")};
   call.timeout = timeout_;
-  http_.Send(std::move(call), Writing(std::move(done)));
+  http_.Send(std::move(call), WriteCallback(std::move(done)));
 }
 
 void store_adapter::Watch(const std::string& prefix, uint64_t after, std::chrono::milliseconds wait,
                           callback done) {
-  http_call call{"GET", absl::StrCat(base_url_, "/v1/watch?prefix=", Escaped(prefix),
+  http_call call{"GET", absl::StrCat(base_url_, "/v1/watch?prefix=", UrlEscaped(prefix),
                                      "&after=", after, "&wait_ms=", wait.count())};
   call.timeout = timeout_ + wait;
-  call.stall = timeout_;
-  http_.Send(std::move(call), Reading(std::move(done)));
+  call.stall_timeout = timeout_;
+  http_.Send(std::move(call), ReadCallback(std::move(done)));
 }
 
 }  // namespace catkinford
--- a/src/connection/store_types.h
+++ b/src/connection/store_types.h
@@ -14,18 +14,19 @@
 
 enum class store_status : uint8_t {
   kDone,
-  kConflict,     // the key is at another revision
-  kAbsent,       // no such key or lease
-  kUnavailable,  // surely not done: refused, rate limited, or never sent
-  kUnknown,      // may have been done: the reply is lost. Read back and compare.
-  kHistoryGone,  // the store has forgotten what a watch asks for: read all again
+  kConflict,          // the key is at another revision
+  kAbsent,            // no such key or lease
+  kUnavailable,       // surely not done: refused, rate limited, or never sent
+  kUnknown,           // may have been done: the reply is lost. Read back and compare.
+  kHistoryCompacted,  // the store has forgotten what a watch asks for: read all again
 };
 
 // How a read travels.
-struct read_way {
+struct read_options {
   bool fresh_connection = false;  // not on a kept one, which may have gone silent
-  bool bounded = false;           // ends in time, however much of the answer has arrived
-  std::shared_ptr<std::atomic<uint64_t>> arrived;  // counts the answer's bytes; null: nobody asks
+  bool limit_total_time = false;  // ends in time, however much of the answer has arrived
+  std::shared_ptr<std::atomic<uint64_t>>
+      received_bytes;  // counts the answer's bytes; null: nobody asks
 };
 
 struct store_item {
--- a/src/connection/tls_certificate.cc
+++ b/src/connection/tls_certificate.cc
@@ -36,7 +36,7 @@
   return registry;
 }
 
-std::optional<std::string> ReadWhole(const std::string& name) {
+std::optional<std::string> ReadFile(const std::string& name) {
   std::ifstream file(name, std::ios::binary);
   if (!file) return std::nullopt;
   std::ostringstream text;
@@ -126,8 +126,8 @@
 
 tls_fault tls_certificate_store::SetFromFiles(const std::string& certificate_file,
                                               const std::string& key_file) {
-  const std::optional<std::string> certificate_text = ReadWhole(certificate_file);
-  const std::optional<std::string> key_text = ReadWhole(key_file);
+  const std::optional<std::string> certificate_text = ReadFile(certificate_file);
+  const std::optional<std::string> key_text = ReadFile(key_file);
   if (!certificate_text || !key_text) return tls_fault::kMissingFile;
   return Set(*certificate_text, *key_text);
 }
@@ -169,10 +169,10 @@
     ++imported;
   }
   gnutls_privkey_t copy = nullptr;
-  const bool whole =
+  const bool complete =
       imported == current->count && gnutls_privkey_init(&copy) >= 0 &&
       gnutls_privkey_import_x509(copy, current->key, GNUTLS_PRIVKEY_IMPORT_COPY) >= 0;
-  if (!whole) {
+  if (!complete) {
     for (unsigned i = 0; i < imported; ++i) gnutls_pcert_deinit(&list[i]);
     gnutls_free(list);
     if (copy != nullptr) gnutls_privkey_deinit(copy);
--- a/src/connection/traffic_meter.cc
+++ b/src/connection/traffic_counter.cc
@@ -1,28 +1,28 @@
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace catkinford {
 
-void traffic_meter::Count(std::string_view url, uint64_t sent, uint64_t received) {
+void traffic_counter::Count(std::string_view url, uint64_t sent, uint64_t received) {
   const std::string kind = KindOfCall(url);
   const std::lock_guard lock(mutex_);
-  for (traffic* sum : {&counted_[kind], &total_}) {
+  for (traffic* sum : {&by_kind_[kind], &total_}) {
     ++sum->calls;
     sum->sent += sent;
     sum->received += received;
   }
 }
 
-traffic traffic_meter::Total() {
+traffic traffic_counter::Total() {
   const std::lock_guard lock(mutex_);
   return total_;
 }
 
-std::map<std::string, traffic> traffic_meter::Take() {
+std::map<std::string, traffic> traffic_counter::Take() {
   const std::lock_guard lock(mutex_);
-  return std::exchange(counted_, {});
+  return std::exchange(by_kind_, {});
 }
 
 std::string KindOfCall(std::string_view url) {
--- a/src/connection/traffic_meter.h
+++ b/src/connection/traffic_counter.h
@@ -2,8 +2,8 @@
 //
 // On a narrow link what is said in bulk delays what is urgent; the split by call shows which calls
 // fill it.
-#ifndef CATKINFORD_CONNECTION_TRAFFIC_METER_H_
-#define CATKINFORD_CONNECTION_TRAFFIC_METER_H_
+#ifndef CATKINFORD_CONNECTION_TRAFFIC_COUNTER_H_
+#define CATKINFORD_CONNECTION_TRAFFIC_COUNTER_H_
 
 #include <cstdint>
 #include <map>
@@ -14,7 +14,7 @@
 namespace catkinford {
 
 // Of a link whose width is told in Mbit/s.
-inline constexpr double kBytesInMegabit = 125'000;
+inline constexpr double kBytesPerMegabit = 125'000;
 
 // Bytes of HTTP, headers included; what TCP and IP add is not counted.
 struct traffic {
@@ -24,7 +24,7 @@
 };
 
 // From any thread.
-class traffic_meter {
+class traffic_counter {
  public:
   void Count(std::string_view url, uint64_t sent, uint64_t received);
   // What was counted since the last time, by kind of call.
@@ -34,7 +34,7 @@
 
  private:
   std::mutex mutex_;
-  std::map<std::string, traffic> counted_;
+  std::map<std::string, traffic> by_kind_;
   traffic total_;
 };
 
@@ -44,4 +44,4 @@
 
 }  // namespace catkinford
 
-#endif  // CATKINFORD_CONNECTION_TRAFFIC_METER_H_
+#endif  // CATKINFORD_CONNECTION_TRAFFIC_COUNTER_H_
--- a/src/main/catkinford-site.cc
+++ b/src/main/catkinford-site.cc
@@ -55,7 +55,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   curl_global_init(CURL_GLOBAL_DEFAULT);
 
-  catkinford::traffic_meter traffic;
+  catkinford::traffic_counter traffic;
   catkinford::http_client store_http(kStoreConnections, {}, &traffic);
   catkinford::http_client order_http(kInstanceConnections, {}, &traffic);
   catkinford::http_client peer_http(kPeerConnections, {}, &traffic);
--- a/src/process/peer_mailbox.cc
+++ b/src/process/peer_mailbox.cc
@@ -61,7 +61,7 @@
 
 std::string peer_mailbox::Receive(const std::string& text) {
   counters_.bytes_received += text.size();
-  const std::optional<std::string> batch = auth_.Open(own_name_, text);
+  const std::optional<std::string> batch = auth_.Verify(own_name_, text);
   if (!batch) return kRefused;
   std::vector<peer_message> messages = DecodeBatch(*batch);
   const bool wants_reply = std::any_of(messages.begin(), messages.end(), WantsReply);
@@ -70,7 +70,7 @@
   std::optional<heartbeat_message> reply;
   if (wants_reply) reply = reply_();
   if (!reply) return kTaken;
-  std::string answer = auth_.Seal(from, EncodeBatch(own_name_, {*std::move(reply)}));
+  std::string answer = auth_.Sign(from, EncodeBatch(own_name_, {*std::move(reply)}));
   counters_.bytes_sent += answer.size();
   return answer;
 }
@@ -78,7 +78,7 @@
 void peer_mailbox::TakeAnswer(const std::string& answer) {
   if (answer == kTaken) return;
   counters_.bytes_received += answer.size();
-  const std::optional<std::string> batch = auth_.Open(own_name_, answer);
+  const std::optional<std::string> batch = auth_.Verify(own_name_, answer);
   if (batch) received_(DecodeBatch(*batch));
 }
 
@@ -152,7 +152,7 @@
 }
 
 void peer_mailbox::Deliver(const delivery_ptr& next) {
-  next->text = auth_.Seal(next->name, EncodeBatch(own_name_, next->batch));
+  next->text = auth_.Sign(next->name, EncodeBatch(own_name_, next->batch));
   ++counters_.batches_sent;
   counters_.messages_sent += next->batch.size();
   Try(next);
@@ -163,9 +163,9 @@
 void peer_mailbox::Try(const delivery_ptr& next) {
   counters_.bytes_sent += next->text.size();
   next->begun = steady_clock::now();
-  http_call call{"POST", next->to->address, RpcRequestText("deliver", next->text)};
+  http_call call{"POST", next->to->address, EncodeRpcRequest("deliver", next->text)};
   call.timeout = call_timeout_;
-  call.stall = call_timeout_;
+  call.stall_timeout = call_timeout_;
   call.fresh_connection = next->again;
   client_.Send(std::move(call),
                [this, next](const http_result& result) { OnResult(next, result); });
@@ -173,7 +173,8 @@
 
 void peer_mailbox::OnResult(const delivery_ptr& done, const http_result& result) {
   std::string answer;
-  const bool read = result.status == transfer_status::kDone && ReadRpcResponse(result.body, answer);
+  const bool read =
+      result.status == transfer_status::kDone && DecodeRpcResponse(result.body, answer);
   const bool answered = read && answer != kRefused;
   // Refused for its signature: none of it was taken.
   const transfer_status status = read && !answered ? transfer_status::kNotSent : result.status;
--- a/src/process/shard_endpoints.cc
+++ b/src/process/shard_endpoints.cc
@@ -231,7 +231,7 @@
   if (has_ended) {
     const bool well = status.result == task_result::kOk;
     const outcome_kind kind = well ? outcome_kind::kCompleted : outcome_kind::kFailed;
-    const bool lapsed = status.result == task_result::kLeaseLapsed;
+    const bool lapsed = status.result == task_result::kLeaseExpired;
     identities_.LearnFinished(id.job, lapsed ? outcome_kind::kUnknown : kind, status.answer, now);
     return;
   }
@@ -322,7 +322,7 @@
     return;
   }
   for (const finished_task& ended : reply.finished) {
-    if (ended.seq <= at.link.Seen()) continue;
+    if (ended.seq <= at.link.ReceivedCursor()) continue;
     TaskEnded(ended.id, ended.result, ended.answer, ended.ran, now);
   }
   at.link.OnSynced(reply.cursor, at.unrecorded > 0, now);
--- a/src/process/shard_tasks.cc
+++ b/src/process/shard_tasks.cc
@@ -123,7 +123,7 @@
   job_state* job = nullptr;
   task_progress* task = FindTask(id, job);
   if (task == nullptr || IsOver(task->phase) || task->phase == task_phase::kWaiting) return;
-  if (result == task_result::kLeaseLapsed) {
+  if (result == task_result::kLeaseExpired) {
     LoseTask(id, now);
     return;
   }
--- a/src/process/site/event_loop.cc
+++ b/src/process/site/event_loop.cc
@@ -54,7 +54,7 @@
 void event_loop::RunDue() {
   const monotonic_time now = BootNow();
   if (!timers_.empty() && timers_.top().due <= now) {
-    delay_.Note(std::chrono::duration_cast<milliseconds>(now - timers_.top().due), now);
+    delay_.Record(std::chrono::duration_cast<milliseconds>(now - timers_.top().due), now);
   }
   while (!timers_.empty() && timers_.top().due <= now) {
     work task = std::move(const_cast<timed_work&>(timers_.top()).task);
--- a/src/process/site/event_loop.h
+++ b/src/process/site/event_loop.h
@@ -42,7 +42,7 @@
   void After(std::chrono::milliseconds delay, work task);
   // On the loop's thread. How late timers ran lately, at most: what other threads posted meanwhile
   // waited as long.
-  std::chrono::milliseconds Delay() const { return delay_.Most(); }
+  std::chrono::milliseconds Delay() const { return delay_.Max(); }
   // From any thread but the loop's own; what still waits is dropped.
   void Stop();
   // Takes `done`, to be called on another thread, to the loop's thread.
--- a/src/process/site/owner_budget.h
+++ b/src/process/site/owner_budget.h
@@ -14,7 +14,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 #include "request/job_request.h"
 
 namespace catkinford {
@@ -23,7 +23,7 @@
  public:
   // `cpu_share`: of one processor.
   owner_budget(double link_mbps, double cpu_share)
-      : bytes_per_second_(link_mbps * kBytesInMegabit), cpu_share_(cpu_share) {}
+      : bytes_per_second_(link_mbps * kBytesPerMegabit), cpu_share_(cpu_share) {}
 
   // What this entry has done since its start, as now known: its calls, and their bytes.
   void OnUse(const traffic& total, monotonic_time now) {
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -266,8 +266,8 @@
 
   void WatchView(uint64_t after, uint64_t watch) {
     const monotonic_time sent = BootNow();
-    read_way way;
-    way.bounded = true;  // what a next owner may conclude rests on how old a view can be
+    read_options way;
+    way.limit_total_time = true;  // what a next owner may conclude rests on how old a view can be
     store_.Watch(kSitePrefix, after, watch_wait_,
                  HereWatched([this, after, watch, sent](const store_reply& reply) {
                    if (watch != watch_number_ || resigning_) return;
--- a/src/process/site/site_metrics.h
+++ b/src/process/site/site_metrics.h
@@ -11,7 +11,7 @@
 #include <chrono>
 #include <string>
 
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 
 namespace catkinford {
 
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -53,7 +53,7 @@
   // `peers` carries the calls to other entries, `starts` those that bring starts, so that neither
   // holds up the other; `link` counts the bytes of all calls.
   site_node(site_settings settings, Platform& platform, http_client& peers, http_client& starts,
-            traffic_meter& link);
+            traffic_counter& link);
   ~site_node() { Stop(); }
   site_node(const site_node&) = delete;
   site_node& operator=(const site_node&) = delete;
@@ -115,13 +115,13 @@
   void OnLost();
   void OnViewChanged();
   void AskPeer(const site_entry& peer, const std::string& path_and_query, peer_answer done,
-               byte_counter arrived = nullptr);
+               byte_counter received_bytes = nullptr);
   void TellOwner(const std::string& path_and_query, const std::string& body);
   const site_entry* Owner() const;
   void PhaseFromOwner(const std::string& job, std::function<void(std::optional<graph_phase>)> done);
   void PendingFromOwner(const std::string& queue, std::function<void(std::optional<size_t>)> done);
   told_version TellVersion(const http_request& request);
-  void VersionFromPeer(uint64_t have, bool text, byte_counter arrived,
+  void VersionFromPeer(uint64_t have, bool text, byte_counter received_bytes,
                        const std::function<void(std::optional<told_version>)>& done);
   void JudgeOutage(const std::function<void(outage_verdict)>& done);
   // Watching the owner's process.
@@ -144,7 +144,7 @@
   site_settings settings_;
   Platform& platform_;
   http_client& peers_;
-  traffic_meter& link_;
+  traffic_counter& link_;
   site_metrics numbers_;
   site_log log_;
   event_loop loop_;
@@ -178,7 +178,7 @@
 
 template <site_platform Platform>
 site_node<Platform>::site_node(site_settings settings, Platform& platform, http_client& peers,
-                               http_client& starts, traffic_meter& link)
+                               http_client& starts, traffic_counter& link)
     : settings_(std::move(settings)),
       platform_(platform),
       peers_(peers),
@@ -257,9 +257,9 @@
   version_hooks hooks;
   hooks.changed = [this] { OnVersion(); };
   hooks.store_up = [this] { return store_health_.State(BootNow()) == store_state::kUp; };
-  hooks.ask_peer = [this](uint64_t have, bool text, byte_counter arrived,
+  hooks.ask_peer = [this](uint64_t have, bool text, byte_counter received_bytes,
                           const std::function<void(std::optional<told_version>)>& done) {
-    VersionFromPeer(have, text, std::move(arrived), done);
+    VersionFromPeer(have, text, std::move(received_bytes), done);
   };
   return hooks;
 }
@@ -756,12 +756,12 @@
 
 template <site_platform Platform>
 void site_node<Platform>::AskPeer(const site_entry& peer, const std::string& path_and_query,
-                                  peer_answer done, byte_counter arrived) {
+                                  peer_answer done, byte_counter received_bytes) {
   http_call call;
   call.url = absl::StrCat("http://", peer.address, path_and_query);
   call.timeout = kPeerTimeout;
-  call.stall = kPeerStall;
-  call.arrived = std::move(arrived);
+  call.stall_timeout = kPeerStall;
+  call.received_bytes = std::move(received_bytes);
   const monotonic_time asked = BootNow();
   peers_.Send(std::move(call), [this, asked, name = peer.name,
                                 done = std::move(done)](http_result result) {
@@ -848,7 +848,7 @@
 
 template <site_platform Platform>
 void site_node<Platform>::VersionFromPeer(
-    uint64_t have, bool text, byte_counter arrived,
+    uint64_t have, bool text, byte_counter received_bytes,
     const std::function<void(std::optional<told_version>)>& done) {
   ask_strong_ = !ask_strong_;
   const auto peer =
@@ -859,7 +859,7 @@
       [done](const std::optional<std::string>& answer) {
         done(answer ? ToldVersionFromText(*answer) : std::nullopt);
       },
-      std::move(arrived));
+      std::move(received_bytes));
 }
 
 template <site_platform Platform>
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -201,10 +201,10 @@
   // own: the kept ones may all have gone silent, and each would cost a timeout.
   void ReadPages(const std::string& prefix, const std::string& after,
                  std::function<void(self_type&, const store_reply&)> take,
-                 std::function<void(self_type&)> done, const read_way& way = {}) {
+                 std::function<void(self_type&)> done, const read_options& way = {}) {
     platform_.Store().Range(prefix, after, OnReply([=](self_type& self, const store_reply& reply) {
                               if (reply.status != store_status::kDone) {
-                                read_way fresh;
+                                read_options fresh;
                                 fresh.fresh_connection = true;
                                 self.Later(kRetry, [=](self_type& again) {
                                   again.ReadPages(prefix, after, take, done, fresh);
@@ -356,7 +356,7 @@
       if (!reply.items.empty() || BootNow() - sent >= kIdleWatchPause) return WatchInbox(next);
       return Later(kIdleWatchPause, [next](self_type& self) { self.WatchInbox(next); });
     }
-    if (reply.status != store_status::kHistoryGone) {
+    if (reply.status != store_status::kHistoryCompacted) {
       return Later(kRetry, [after](self_type& self) { self.WatchInbox(after); });
     }
     // What the watch missed is read in whole; jobs that are known already are left as they are.
--- a/src/process/site/site_ports.h
+++ b/src/process/site/site_ports.h
@@ -35,7 +35,7 @@
 template <typename Store>
 concept key_value_store =
     requires(Store store, std::string text, uint64_t revision, std::chrono::milliseconds time,
-             store_write write, store_callback done, read_way way) {
+             store_write write, store_callback done, read_options way) {
       store.Get(text, done, way);
       store.Range(text, text, done, way);
       store.Watch(text, revision, time, done, way);
--- a/src/process/site/text_ration.h
+++ b/src/process/site/text_ration.h
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <cstddef>
 
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 #include "request/job_request.h"
 
 namespace catkinford {
@@ -15,7 +15,7 @@
 class text_ration {
  public:
   explicit text_ration(double link_mbps)
-      : bytes_per_second_(kShare * link_mbps * kBytesInMegabit) {}
+      : bytes_per_second_(kShare * link_mbps * kBytesPerMegabit) {}
 
   // True when `bytes` may be sent now; they count as sent.
   bool Take(size_t bytes, monotonic_time now) {
--- a/src/process/site/version_follow.h
+++ b/src/process/site/version_follow.h
@@ -32,7 +32,7 @@
   std::function<bool()> store_up;
   // Asks some other entry for what is newer than `have`, and for its text if `text`; answered once,
   // with nothing when it does not say. `arrived` counts the bytes of the answer.
-  std::function<void(uint64_t have, bool text, byte_counter arrived,
+  std::function<void(uint64_t have, bool text, byte_counter received_bytes,
                      std::function<void(std::optional<told_version>)>)>
       ask_peer;
 };
@@ -86,7 +86,7 @@
         return "done";
       case store_status::kAbsent:
         return "absent";
-      case store_status::kHistoryGone:
+      case store_status::kHistoryCompacted:
         return "history_gone";
       case store_status::kUnknown:
         return "broken_off";
@@ -122,9 +122,9 @@
   }
 
   void Send(const version_query& query) {
-    read_way way;
+    read_options way;
     way.fresh_connection = query.fresh_connection;
-    way.arrived = Count(query.id);
+    way.received_bytes = Count(query.id);
     const store_callback done = [this, query](store_reply reply) {
       loop_.Post([this, query, reply = std::move(reply)] {
         arrived_.erase(query.id);
--- a/src/process/site/version_plan.cc
+++ b/src/process/site/version_plan.cc
@@ -94,7 +94,7 @@
   if (!is_main) return;
   // After long silence a watch would bring every version of that time, one after the other.
   const bool behind = now - as_of_ > in_force_;
-  read_next_ = revision_ == 0 || behind || news.status == store_status::kHistoryGone;
+  read_next_ = revision_ == 0 || behind || news.status == store_status::kHistoryCompacted;
   const bool silent = news.status == store_status::kUnknown;
   fresh_next_ = silent;
   due_ = silent ? std::max(now, query.sent + kRetry) : now + kRetry;
--- a/src/version/grant_holder.cc
+++ b/src/version/grant_holder.cc
@@ -127,7 +127,7 @@
       return;
     case store_status::kAbsent:
     case store_status::kUnavailable:
-    case store_status::kHistoryGone:
+    case store_status::kHistoryCompacted:
       current.uncertain = was_uncertain;
       return;
     case store_status::kUnknown:
--- a/test/adapter_test.cc
+++ b/test/adapter_test.cc
@@ -38,11 +38,11 @@
  protected:
   template <typename Reply, typename Call>
   Reply Wait(Call call) {
-    Meet();
+    SynchronizeWithServer();
     std::promise<Reply> promise;
     call([&promise](Reply reply) { promise.set_value(std::move(reply)); });
     Reply reply = promise.get_future().get();
-    Meet();
+    SynchronizeWithServer();
     return reply;
   }
   store_reply Swap() {
@@ -63,7 +63,7 @@
 
   // What the test and the server's thread share goes through a socket, which ThreadSanitizer does
   // not see as an order between them; the lock it does see.
-  void Meet() { const std::lock_guard lock(mutex_); }
+  void SynchronizeWithServer() { const std::lock_guard lock(mutex_); }
 
   std::mutex mutex_;
   int code_ = 200;
--- a/test/http_test.cc
+++ b/test/http_test.cc
@@ -85,10 +85,10 @@
  protected:
   static constexpr size_t kBytes = 200'000;
 
-  http_result Call(milliseconds stall) {
+  http_result Call(milliseconds stall_timeout) {
     http_call call{"GET", "http://127.0.0.1:" + std::to_string(proxy_.PortOf(link_)) + "/"};
     call.timeout = milliseconds{500};
-    call.stall = stall;
+    call.stall_timeout = stall_timeout;
     return client_.SendAndWait(std::move(call));
   }
 
@@ -177,9 +177,9 @@
   rpc_server server(port, 2, [](const std::string& text) { return "<" + text + ">"; });
   REQUIRE(server.Start());
   const http_call call{"POST", "http://127.0.0.1:" + std::to_string(port),
-                       RpcRequestText("deliver", "a\"b")};
+                       EncodeRpcRequest("deliver", "a\"b")};
   std::string answer;
-  CHECK(ReadRpcResponse(client_.SendAndWait(call).body, answer));
+  CHECK(DecodeRpcResponse(client_.SendAndWait(call).body, answer));
   CHECK(answer == "<a\"b>");
   server.Stop();
   CHECK(client_.SendAndWait(call).status == transfer_status::kNotSent);
@@ -187,12 +187,12 @@
 
 TEST_CASE("peer response, not one of JSON-RPC or an error of it, gives no answer", "[rpc]") {
   std::string answer = "before";
-  CHECK_FALSE(ReadRpcResponse("", answer));
-  CHECK_FALSE(ReadRpcResponse("<html>", answer));
-  CHECK_FALSE(ReadRpcResponse(R"({"id":1,"jsonrpc":"2.0"})", answer));
-  CHECK_FALSE(ReadRpcResponse(
+  CHECK_FALSE(DecodeRpcResponse("", answer));
+  CHECK_FALSE(DecodeRpcResponse("<html>", answer));
+  CHECK_FALSE(DecodeRpcResponse(R"({"id":1,"jsonrpc":"2.0"})", answer));
+  CHECK_FALSE(DecodeRpcResponse(
       R"({"id":1,"jsonrpc":"2.0","error":{"code":-32601,"message":"no method"}})", answer));
-  CHECK_FALSE(ReadRpcResponse(R"({"id":1,"jsonrpc":"2.0","result":{"a":[1]}})", answer));
+  CHECK_FALSE(DecodeRpcResponse(R"({"id":1,"jsonrpc":"2.0","result":{"a":[1]}})", answer));
   CHECK(answer == "before");
 }
 
--- a/test/owner_budget_test.cc
+++ b/test/owner_budget_test.cc
@@ -41,10 +41,10 @@
     owner_budget_fixture,
     "owner budget, burst of wide jobs on a narrow link, is busy while it is half free") {
   owner_budget budget(kNarrowMbps, kWholeProcessor);
-  Send(budget, kNarrowMbps * kBytesInMegabit / 10, seconds(3));
+  Send(budget, kNarrowMbps * kBytesPerMegabit / 10, seconds(3));
   CHECK_FALSE(budget.Busy());
   CHECK(budget.ListingPause(kUsualPause) == kUsualPause);
-  Send(budget, kNarrowMbps * kBytesInMegabit / 2, seconds(3));
+  Send(budget, kNarrowMbps * kBytesPerMegabit / 2, seconds(3));
   CHECK(budget.Busy());
   CHECK(budget.ListingPause(kUsualPause) > kUsualPause * 3 / 2);
   CHECK(budget.ListingPause(kUsualPause) <= kUsualPause * 3);
@@ -55,7 +55,7 @@
 // Guards against help that is not needed: each start through another entry is a hop more.
 TEST_CASE_METHOD(owner_budget_fixture, "owner budget, the same load on a wide link, is not busy") {
   owner_budget budget(kWideMbps, kWholeProcessor);
-  Send(budget, kNarrowMbps * kBytesInMegabit, seconds(3));
+  Send(budget, kNarrowMbps * kBytesPerMegabit, seconds(3));
   CHECK_FALSE(budget.Busy());
 }
 
@@ -81,7 +81,7 @@
   owner_budget narrow(kNarrowMbps, kWholeProcessor);
   constexpr size_t kStartBytes = 1500;
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes);
-  const auto most = static_cast<uint64_t>(kNarrowMbps * kBytesInMegabit / 10);
+  const auto most = static_cast<uint64_t>(kNarrowMbps * kBytesPerMegabit / 10);
   CHECK(narrow.StartsInFlight(160) * kStartBytes <= most);
   CHECK(narrow.RecordBytes() <= most);
   // Smaller ones may be more at a time.
--- a/test/peer_auth_test.cc
+++ b/test/peer_auth_test.cc
@@ -44,7 +44,7 @@
     peer_auth to;
     if (!sender.empty()) from.Set(Read(sender));
     if (!receiver.empty()) to.Set(Read(receiver));
-    return to.Open("e1", from.Seal("e1", kBatch)) == kBatch;
+    return to.Verify("e1", from.Sign("e1", kBatch)) == kBatch;
   }
 };
 
@@ -73,17 +73,17 @@
   CHECK_FALSE(Passes(kOld, kNew + "\nunsigned"));
   peer_auth auth;
   auth.Set(Read(kNew));
-  const std::string sealed = auth.Seal("e1", kBatch);
-  CHECK(auth.Open("e1", sealed) == kBatch);
-  CHECK_FALSE(auth.Open("e2", sealed).has_value());  // meant for another entry
-  for (const size_t at : {size_t{0}, size_t{63}, size_t{64}, sealed.size() - 1}) {
-    std::string changed = sealed;
+  const std::string signed_text = auth.Sign("e1", kBatch);
+  CHECK(auth.Verify("e1", signed_text) == kBatch);
+  CHECK_FALSE(auth.Verify("e2", signed_text).has_value());  // meant for another entry
+  for (const size_t at : {size_t{0}, size_t{63}, size_t{64}, signed_text.size() - 1}) {
+    std::string changed = signed_text;
     changed[at] = changed[at] == '0' ? '1' : '0';
-    CHECK_FALSE(auth.Open("e1", changed).has_value());
+    CHECK_FALSE(auth.Verify("e1", changed).has_value());
   }
-  CHECK_FALSE(auth.Open("e1", "").has_value());
-  CHECK_FALSE(auth.Open("e1", std::string(20, 'f')).has_value());
-  CHECK_FALSE(auth.Open("e1", std::string(64, 'f')).has_value());
+  CHECK_FALSE(auth.Verify("e1", "").has_value());
+  CHECK_FALSE(auth.Verify("e1", std::string(20, 'f')).has_value());
+  CHECK_FALSE(auth.Verify("e1", std::string(64, 'f')).has_value());
   CHECK(auth.Refused() == 8);
 }
 
@@ -97,7 +97,7 @@
   peer_auth auth;
   auth.Set(Read(kOld));
   CHECK(auth.SetFromFile("/nonexistent") == secret_fault::kMissingFile);
-  CHECK(auth.Open("e1", auth.Seal("e1", kBatch)).has_value());  // the one before stays
+  CHECK(auth.Verify("e1", auth.Sign("e1", kBatch)).has_value());  // the one before stays
 }
 
 namespace {
@@ -133,9 +133,9 @@
   // What a stranger sends to the peer port, and what he is answered.
   std::string Deliver(size_t slot, const std::string& text) {
     http_call call{"POST", absl::StrCat("http://127.0.0.1:", fleet_.Entry(slot).peer_port),
-                   RpcRequestText("deliver", text)};
+                   EncodeRpcRequest("deliver", text)};
     std::string answer;
-    ReadRpcResponse(http_.SendAndWait(call).body, answer);
+    DecodeRpcResponse(http_.SendAndWait(call).body, answer);
     return answer;
   }
   // Whether the entry says in its log that it has read the file that often.
@@ -209,7 +209,7 @@
   peer_auth old;
   old.Set(std::get<peer_secrets>(ParsePeerSecrets(kOld)));
   const std::string& name = fleet_.Entry(0).name;
-  CHECK(Deliver(0, old.Seal(name, forged)) == "refused");
+  CHECK(Deliver(0, old.Sign(name, forged)) == "refused");
 }
 
 }  // namespace catkinford
--- a/test/traffic_meter_test.cc
+++ b/test/traffic_counter_test.cc
@@ -1,4 +1,4 @@
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 
 #include <catch2/catch.hpp>
 
@@ -14,18 +14,18 @@
 }
 
 TEST_CASE("traffic meter, taken, begins anew while the totals go on") {
-  traffic_meter meter;
-  meter.Count("http://a/x/y?1", 10, 20);
-  meter.Count("http://b/x/y?2", 1, 2);
-  const auto first = meter.Take();
+  traffic_counter counter;
+  counter.Count("http://a/x/y?1", 10, 20);
+  counter.Count("http://b/x/y?2", 1, 2);
+  const auto first = counter.Take();
   REQUIRE(first.size() == 1);
   CHECK(first.at("x/y").calls == 2);
   CHECK(first.at("x/y").sent == 11);
   CHECK(first.at("x/y").received == 22);
-  CHECK(meter.Take().empty());
-  CHECK(meter.Total().calls == 2);
-  CHECK(meter.Total().sent == 11);
-  CHECK(meter.Total().received == 22);
+  CHECK(counter.Take().empty());
+  CHECK(counter.Total().calls == 2);
+  CHECK(counter.Total().sent == 11);
+  CHECK(counter.Total().received == 22);
 }
 
 }  // namespace
--- a/test/version_plan_test.cc
+++ b/test/version_plan_test.cc
@@ -168,7 +168,7 @@
       const bool watch = call.query.call == version_call::kWatch;
       if (store != store_mode::kDeaf || mode == store || call.lost || call.arrives || !watch)
         continue;
-      call.news.status = store_status::kHistoryGone;
+      call.news.status = store_status::kHistoryCompacted;
       call.arrives = now;
     }
     store = mode;
