--- a/src/connection/bounded_ring.h
+++ b/src/connection/bounded_ring.h
@@ -1,4 +1,4 @@
-// The bounded queue that joins the threads: a thread for each duty, and no other lock on the path.
+// Bounded queue that passes work between threads; its mutex is the only lock on that path.
 #ifndef CATKINFORD_CONNECTION_BOUNDED_RING_H_
 #define CATKINFORD_CONNECTION_BOUNDED_RING_H_
 
@@ -13,12 +13,12 @@
 
 namespace catkinford {
 
-// The slots grow with what waits in them and are given back once the ring has been emptied: an
-// entry has a ring for each peer, nearly all of them empty nearly always, and slots for the longest
-// queue of each would be most of its memory.
+// The ring grows on demand and shrinks again once it has been drained: an entry has one ring per
+// peer, almost all of them empty almost always, and preallocating full capacity for each would
+// dominate its memory.
 //
-// Many producers, one consumer. std::mutex and not absl::Mutex: Debian's Abseil is built without
-// ThreadSanitizer, which then reports races that are not there.
+// Multiple producers, single consumer. Uses std::mutex rather than absl::Mutex because Debian's
+// Abseil is built without ThreadSanitizer, which then reports false races.
 template <typename T>
 class bounded_ring {
  public:
@@ -28,8 +28,8 @@
   bounded_ring(const bounded_ring&) = delete;
   bounded_ring& operator=(const bounded_ring&) = delete;
 
-  // False, with the item left untouched, when the ring is full or closed: the producer answers
-  // for what did not get in, so that overload shows as a refusal and not as a lost request.
+  // Returns false and leaves the item untouched when the ring is full or closed. The producer must
+  // then answer the request itself, so that overload shows as a rejection, not as a lost request.
   bool TryPush(T& item) {
     {
       const std::lock_guard lock(mutex_);
@@ -41,7 +41,8 @@
   }
   bool TryPush(T&& item) { return TryPush(item); }
 
-  // Waits for room. False when the ring was closed. Only for producers that nobody waits for.
+  // Blocks until there is free capacity; returns false if the ring was closed. Only for producers
+  // that no caller waits for.
   bool Push(T item) {
     {
       std::unique_lock lock(mutex_);
@@ -53,8 +54,8 @@
     return true;
   }
 
-  // Takes all that is there into `out`; waits up to `wait` for the first. False once closed and
-  // empty.
+  // Appends all queued items to `out`, waiting up to `wait` for the first. Returns false once the
+  // ring is closed and empty.
   bool PopAll(std::vector<T>& out, std::chrono::milliseconds wait) {
     {
       std::unique_lock lock(mutex_);
@@ -71,7 +72,7 @@
     return true;
   }
 
-  // Wakes everybody; what is inside can still be taken out.
+  // Wakes all waiting threads; items already queued can still be popped.
   void Close() {
     {
       const std::lock_guard lock(mutex_);
@@ -88,7 +89,7 @@
 
  private:
   static constexpr size_t kInitialSlots = 16;
-  // Larger ones are given back: a busy ring stays below this and does not grow anew each time.
+  // Only larger rings shrink, so that a busy ring stays below this and does not regrow each time.
   static constexpr size_t kMaxRetainedSlots = 1024;
 
   void Store(T&& item) {
--- a/src/connection/endpoint_adapter.cc
+++ b/src/connection/endpoint_adapter.cc
@@ -16,14 +16,14 @@
 constexpr int kConflictCode = 409;
 constexpr int kServerFault = 500;
 constexpr int kServiceUnavailable = 503;
-constexpr size_t kStartTaskBytes = 320;  // room for one encoded task with a short payload
+constexpr size_t kStartTaskBytes = 320;  // reserved for one encoded task with a short payload
 
 constexpr std::array<std::string_view, 6> kTaskResults = {
     "", "ok", "failed", "stopped", "checkpointed", "lease_lapsed"};
 constexpr std::array<std::string_view, 9> kCallResults = {
     "", "started", "already", "no_room", "late", "broken", "stopping", "finished", "absent"};
 
-// The value whose word is `text`; the first one where there is no such word.
+// The value whose name is `text`, or the first value if there is none.
 template <typename Enum, size_t N>
 Enum ParseEnum(const std::array<std::string_view, N>& names, const std::string& text) {
   for (size_t i = 1; i < N; ++i) {
@@ -76,8 +76,8 @@
   return {id, ParseEnum<call_result>(kCallResults, TextAt(object, "result"))};
 }
 
-// Each readable element of the array at `name`; false when one is not readable. A list with a
-// hole must not pass for a whole one: the task in the hole would count as not running.
+// Reads all elements of the array at `name`; false if one is unreadable. An incomplete list must
+// not be accepted: a task missing from it would count as not running.
 template <typename T, typename Read>
 bool ReadEach(const json& body, const char* name, Read read, std::vector<T>& out) {
   const json& items = ArrayAt(body, name);
@@ -116,7 +116,7 @@
   if (result.status == transfer_status::kMaybeSent) return endpoint_status::kMaybeSent;
   if (result.code == kOk) return endpoint_status::kDone;
   if (result.code == kConflictCode) return endpoint_status::kFenced;
-  // A fault in the middle of the work proves nothing about what was done before it.
+  // An internal error does not tell whether the call took effect before it.
   if (result.code >= kServerFault && result.code != kServiceUnavailable) {
     return endpoint_status::kMaybeSent;
   }
--- a/src/connection/endpoint_adapter.h
+++ b/src/connection/endpoint_adapter.h
@@ -1,5 +1,5 @@
-// Calls to endpoints: fence, start, sync, stop, throttle. All knowledge of the endpoints' HTTP
-// protocol (docs/PROTOCOL.md) is in this pair.
+// Client for endpoints: fence, list, start, sync, stop, throttle. The endpoints' HTTP protocol
+// (docs/PROTOCOL.md) is implemented only here and in endpoint_adapter.cc.
 #ifndef CATKINFORD_CONNECTION_ENDPOINT_ADAPTER_H_
 #define CATKINFORD_CONNECTION_ENDPOINT_ADAPTER_H_
 
@@ -16,9 +16,9 @@
 
 namespace catkinford {
 
-// Where one endpoint answers.
+// Network address of one endpoint.
 struct endpoint_address {
-  std::string base_url;  // of its process, "http://IP:PORT"
+  std::string base_url;  // of the endpoint's process, "http://IP:PORT"
   std::string name;
 };
 
@@ -28,40 +28,40 @@
   workload_kind kind = workload_kind::kInteractive;
   std::string team;
   std::string payload;
-  std::chrono::milliseconds lease{0};   // without a sync for this long the endpoint kills it
-  std::chrono::milliseconds retain{0};  // how long the endpoint lists it after its end
-  // Relative to the arrival of the call: a start that arrives late is refused. The protection
-  // where endpoints do not fence.
+  std::chrono::milliseconds lease{0};  // the endpoint kills the task after this long without a sync
+  std::chrono::milliseconds retain{0};  // how long the endpoint lists the task after it ended
+  // Deadline relative to the arrival of the call; the endpoint rejects a start that arrives later.
+  // Protects against duplicate runs where endpoints do not support fencing.
   std::optional<std::chrono::milliseconds> not_after;
 };
 
 struct sync_call {
   uint64_t epoch = 0;
   uint64_t incarnation = 0;
-  uint64_t cursor = 0;                 // acknowledges all ends up to here
-  std::chrono::milliseconds wait{0};   // how long the endpoint may hold the call
-  std::chrono::milliseconds lease{0};  // renews the lease of every task there to this
+  uint64_t cursor = 0;                 // acknowledges all finished tasks up to here
+  std::chrono::milliseconds wait{0};   // how long the endpoint may delay its reply
+  std::chrono::milliseconds lease{0};  // new lease of every task on the endpoint
 };
 
 enum class endpoint_status : uint8_t {
   kDone,
-  kFenced,     // a higher epoch was seen: another process owns it; nothing was done
-  kNotSent,    // surely not seen by the endpoint
-  kMaybeSent,  // the reply is lost: it may have been done
-  kRefused,    // the endpoint answered that it did not do it
+  kFenced,     // the endpoint has seen a higher epoch, so another owner exists; not executed
+  kNotSent,    // the call did not reach the endpoint
+  kMaybeSent,  // the reply was lost or unreadable: the call may have been executed
+  kRefused,    // the endpoint replied that it did not execute the call
 };
 
 enum class task_result : uint8_t { kNone, kOk, kFailed, kStopped, kCheckpointed, kLeaseExpired };
 
-// The endpoint's word on one task of a start or stop call.
+// The endpoint's result for one task of a start or stop call.
 enum class call_result : uint8_t {
-  kUnknown,  // a word that this version does not know: it may have started
+  kUnknown,  // value not known to this version: the task may have started
   kStarted,
-  kAlready,  // this id runs or ran here: nothing was started again
+  kAlready,  // this id runs or ran here: not started again
   kNoRoom,
   kLate,
-  kBroken,    // the endpoint failed to start it
-  kStopping,  // from here on: of stop
+  kBroken,    // the endpoint failed to start the task
+  kStopping,  // this and the following are results of a stop
   kFinished,
   kAbsent,
 };
@@ -98,13 +98,13 @@
 
 struct endpoint_reply {
   endpoint_status status = endpoint_status::kNotSent;
-  uint64_t epoch = 0;        // of a fence; of kFenced the epoch that fenced us off
-  uint64_t incarnation = 0;  // another one than before: the endpoint restarted, its tasks are gone
+  uint64_t epoch = 0;        // of a fence; with kFenced the higher epoch that was seen
+  uint64_t incarnation = 0;  // changes when the endpoint restarts, which loses its tasks
   uint64_t cursor = 0;
   resources shape;                        // of a fence
   std::vector<task_status> tasks;         // of a fence or list
   std::vector<finished_task> finished;    // of a sync
-  std::vector<task_call_result> results;  // of a start or stop; a task that is not here is unknown
+  std::vector<task_call_result> results;  // of a start or stop; a missing task counts as kUnknown
   uint32_t running = 0;                   // of a sync
   endpoint_usage usage;                   // of a sync
   bool leaving = false;                   // of a sync
@@ -112,17 +112,17 @@
 
 class endpoint_adapter {
  public:
-  using callback = std::function<void(endpoint_reply)>;  // on the client's thread
+  using callback = std::function<void(endpoint_reply)>;  // runs on the HTTP client's thread
 
   endpoint_adapter(http_client& http, std::chrono::milliseconds timeout);
 
-  // Raises the endpoint's epoch and lists all that it runs or retains.
+  // Raises the endpoint's epoch and lists all tasks that it runs or retains.
   void Fence(const endpoint_address& address, uint64_t epoch, callback done);
-  // The same list with nothing raised.
+  // Returns the same list without raising the epoch.
   void List(const endpoint_address& address, callback done);
   void Start(const endpoint_address& address, uint64_t epoch, const std::vector<start_task>& tasks,
              callback done);
-  // `fresh_connection`: not on a kept connection, which may have gone silent.
+  // `fresh_connection`: bypasses pooled connections, which may be dead.
   void Sync(const endpoint_address& address, const sync_call& sync, callback done,
             bool fresh_connection = false);
   void Stop(const endpoint_address& address, uint64_t epoch, const std::vector<task_id>& ids,
@@ -138,7 +138,7 @@
   std::chrono::milliseconds timeout_;
 };
 
-// The codec, apart from the transport: for tests and benchmarks.
+// The codec without the transport, for tests and benchmarks.
 std::string EncodeStart(uint64_t epoch, const std::vector<start_task>& tasks);
 std::string EncodeSync(const sync_call& sync);
 endpoint_reply DecodeEndpointReply(const http_result& result);
--- a/src/connection/endpoint_link.cc
+++ b/src/connection/endpoint_link.cc
@@ -6,8 +6,8 @@
 using std::chrono::milliseconds;
 
 constexpr uint8_t kSilentAfterFailures = 2;
-// How long ends that are not durable yet keep the next sync back: the endpoint would only tell the
-// same again.
+// Delay of the next sync while reported ends are not durable yet: the endpoint would only report
+// the same ends again.
 constexpr milliseconds kSyncDelay{20};
 
 }  // namespace
@@ -28,7 +28,7 @@
 }
 
 sync_call endpoint_link::Sync() const {
-  // After a failure the endpoint is asked to answer at once: the question is whether it lives.
+  // After a failure the endpoint must reply immediately: the sync is a liveness check.
   const milliseconds wait = failures_ > 0 ? milliseconds{0} : options_.sync_wait;
   return {token_, incarnation_, acked_cursor_, wait, options_.task_lease};
 }
@@ -69,7 +69,7 @@
 void endpoint_link::Refence(monotonic_time now) {
   RaiseToken();
   if (state_ == endpoint_link_state::kOpen) state_ = endpoint_link_state::kSilent;
-  // A sync may be under way; its answer is not waited for.
+  // Does not wait for the reply of a sync that may be in flight.
   in_flight_ = false;
   next_call_ = now;
 }
--- a/src/connection/endpoint_link.h
+++ b/src/connection/endpoint_link.h
@@ -1,5 +1,6 @@
-// What an owner knows of its connection to one endpoint: fenced or not, silent or not, and when
-// the leases of the tasks there have surely lapsed. Pure: time comes in, the next call goes out.
+// State machine of an owner's connection to one endpoint: whether it is fenced, whether it is
+// silent, and when the leases of all tasks there have certainly expired. Performs no I/O: it is
+// given the time and returns the next call to send.
 #ifndef CATKINFORD_CONNECTION_ENDPOINT_LINK_H_
 #define CATKINFORD_CONNECTION_ENDPOINT_LINK_H_
 
@@ -13,51 +14,51 @@
 struct link_options {
   std::chrono::milliseconds sync_wait{2000};
   std::chrono::milliseconds task_lease{10000};
-  // The endpoint's clock may run slower than ours by less than this over one lease.
+  // Upper bound on how far the endpoint's clock may lag the local one over one lease.
   std::chrono::milliseconds drift_margin{1000};
   std::chrono::milliseconds probe_interval{300};
 };
 
 enum class endpoint_link_state : uint8_t {
-  kFencing,  // not yet listed under this owner's epoch
+  kFencing,  // tasks not yet listed under this owner's epoch
   kOpen,
-  kSilent,  // two calls in a row failed; probed by a fence, which renews nothing
-  kGone,    // silent for longer than every lease there
+  kSilent,  // two consecutive calls failed; probed by a fence, which renews no lease
+  kGone,    // silent until every lease there has expired
 };
 
 enum class link_call : uint8_t { kNone, kFence, kSync };
 
 class endpoint_link {
  public:
-  // `owner_epoch` is the epoch of the shard; the low bits of the token are the link's own.
-  // What an earlier owner started may have been renewed until just before `now`.
+  // `owner_epoch` is the epoch of the shard; the low bits of the token are managed by the link.
+  // Leases of tasks started by an earlier owner may have been renewed until just before `now`.
   endpoint_link(link_options options, uint64_t owner_epoch, monotonic_time now);
 
-  // The call to send now, if any; it counts as under way until its On...() comes.
+  // The call to send now, if any; it is in flight until the matching On...() is called.
   link_call Next(monotonic_time now);
-  // When Next() may have something without anything else happening.
+  // The earliest time at which Next() may return a call if no other event occurs.
   monotonic_time NextWake() const;
-  // The parameters of the sync that Next() asked for.
+  // The parameters of the sync that Next() returned.
   sync_call Sync() const;
   bool FreshConnection() const { return failures_ > 0; }
 
-  // Every answer to a fence that was done, with the endpoint's incarnation.
+  // Call on every successful fence, with the endpoint's incarnation.
   void OnFenced(uint64_t incarnation, monotonic_time now);
   void OnFenceFailed(monotonic_time now);
-  // `hold`: the ends that it told of are not durable yet, so the next sync must wait a little.
+  // `delay_next`: the reported ends are not durable yet, so the next sync is delayed.
   void OnSynced(uint64_t cursor, bool delay_next, monotonic_time now);
-  // True when this failure made the link silent.
+  // True when this failure made the link kSilent.
   bool OnSyncFailed(monotonic_time now);
-  // A call whose reply is lost may still arrive at the endpoint. The token is raised and the
-  // endpoint fenced again before anything is believed about it: what then is not listed has not
-  // started and cannot start any more, since its token is refused. Works without the store.
+  // A call whose reply was lost may still arrive at the endpoint. Raises the token and fences the
+  // endpoint again before its state is trusted: a task that is not listed then has not started and
+  // can no longer start, since its token is rejected. Does not need the store.
   void Refence(monotonic_time now);
-  // The endpoint restarted: list it again, under a raised token, which keeps out of its new life
-  // what was sent to the former one.
+  // The endpoint restarted: it is listed again under a raised token, which rejects calls that were
+  // sent to the earlier incarnation.
   void Restarted(monotonic_time now);
-  // True once, when the last lease at an endpoint that does not answer has lapsed.
+  // True once, when the last lease at an unresponsive endpoint has expired; sets kGone.
   bool BecomesGone(monotonic_time now);
-  // A start gives its tasks a lease of their own, as a sync does.
+  // A start grants its tasks a lease, as a sync does.
   void OnStartSent(monotonic_time now) { last_renewal_ = now; }
   void AckUpTo(uint64_t cursor) { acked_cursor_ = cursor; }
 
@@ -75,13 +76,13 @@
   bool in_flight_ = false;
   uint8_t failures_ = 0;
   uint64_t incarnation_ = 0;
-  uint64_t received_cursor_ = 0;  // ends up to here were taken in
-  uint64_t acked_cursor_ = 0;     // ends up to here may be forgotten by the endpoint
+  uint64_t received_cursor_ = 0;  // ends up to here were received
+  uint64_t acked_cursor_ = 0;     // the endpoint may discard ends up to here
   monotonic_time next_call_{};
-  monotonic_time last_renewal_{};  // when the last sync was sent that may have renewed leases
+  monotonic_time last_renewal_{};  // when the last call that may have renewed leases was sent
 };
 
-// The low bits of an epoch token belong to the owner: it raises them without the store.
+// The owner raises the low bits of an epoch token itself, without a write to the store.
 inline constexpr int kTokenBits = 20;
 inline uint64_t TokenOf(uint64_t owner_epoch) { return owner_epoch << kTokenBits; }
 inline uint64_t OwnerEpochOf(uint64_t token) { return token >> kTokenBits; }
--- a/src/connection/http_client.cc
+++ b/src/connection/http_client.cc
@@ -26,8 +26,8 @@
 
 constexpr int kMaxEvents = 512;
 constexpr milliseconds kMaxWait{1000};
-constexpr size_t kMaxIdleHandles = 256;        // easy handles kept for the next call
-constexpr milliseconds kConnectTimeout{2000};  // an address that answers nothing at all
+constexpr size_t kMaxIdleHandles = 256;        // easy handles kept for reuse
+constexpr milliseconds kConnectTimeout{2000};  // bounds calls to an unresponsive address
 constexpr long kMaxPooledConnections = 8192;   // NOLINT(google-runtime-int): libcurl's type
 
 struct transfer {
@@ -35,14 +35,14 @@
   http_client::callback on_done;
   std::string answer;
   curl_slist* headers = nullptr;
-  steady_clock::time_point queued;  // when it was given to the client
-  // Of a call with a stall limit:
-  steady_clock::time_point last_progress;  // when a byte last went either way
+  steady_clock::time_point queued;  // when Send() was called
+  // Only for calls with a stall timeout:
+  steady_clock::time_point last_progress;  // when a byte was last sent or received
   curl_off_t bytes_sent = 0;
   curl_off_t bytes_received = 0;
-  steady_clock::time_point* next_stall_check = nullptr;  // the client's
+  steady_clock::time_point* next_stall_check = nullptr;  // points into the client
 
-  // When it has stood still for too long, if no byte moves before.
+  // When the transfer times out unless a byte is sent or received before.
   steady_clock::time_point Deadline() const {
     return last_progress + (bytes_received > 0 ? call.stall_timeout : call.timeout);
   }
@@ -55,8 +55,8 @@
   return size * count;
 }
 
-int OnProgress(void* closure, curl_off_t /*expected*/, curl_off_t bytes_received,
-               curl_off_t /*whole*/, curl_off_t bytes_sent) {
+int OnProgress(void* closure, curl_off_t /*download_total*/, curl_off_t bytes_received,
+               curl_off_t /*upload_total*/, curl_off_t bytes_sent) {
   auto* self = static_cast<transfer*>(closure);
   if (bytes_received == self->bytes_received && bytes_sent == self->bytes_sent) return 0;
   self->bytes_received = bytes_received;
@@ -66,7 +66,7 @@
   return 0;
 }
 
-// A transfer that failed before a byte of the request went out was surely not seen.
+// A transfer that failed before any byte of the request was sent did not reach the server.
 transfer_status StatusOf(CURL* easy, CURLcode code) {
   if (code == CURLE_OK) return transfer_status::kDone;
   long sent = 0;  // NOLINT(google-runtime-int): libcurl's type
@@ -108,12 +108,12 @@
   std::deque<std::unique_ptr<transfer>> incoming;
   bool stopping = false;
   bool stopped = true;
-  // Only the client's thread:
+  // Accessed only by the client's thread:
   steady_clock::time_point timer = steady_clock::time_point::max();
   absl::flat_hash_map<CURL*, std::unique_ptr<transfer>> active;
   std::vector<CURL*> idle;
-  std::vector<CURL*> stall_limited;  // active, with a stall limit
-  // No later than the first deadline of these; a deadline that has moved is found out then.
+  std::vector<CURL*> stall_limited;  // active transfers with a stall timeout
+  // No later than the earliest deadline of `stall_limited`; extended deadlines are found then.
   steady_clock::time_point next_stall_check = steady_clock::time_point::max();
 };
 
@@ -157,7 +157,7 @@
   const http_call& call = next->call;
   curl_easy_setopt(easy, CURLOPT_URL, call.url.c_str());
   curl_easy_setopt(easy, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt(easy, CURLOPT_PROXY, "");  // our peers are addresses, never behind a proxy
+  curl_easy_setopt(easy, CURLOPT_PROXY, "");  // peers are addressed directly, never through a proxy
   if (call.stall_timeout.count() == 0) {
     curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(call.timeout.count()));  // NOLINT
   } else {
@@ -202,7 +202,7 @@
   curl_easy_getinfo(easy, CURLINFO_REQUEST_SIZE, &head_sent);
   curl_easy_getinfo(easy, CURLINFO_HEADER_SIZE, &head_received);
   curl_easy_getinfo(easy, CURLINFO_SIZE_UPLOAD_T, &body_sent);
-  // libcurl counts a small body that left with the head as part of the request.
+  // libcurl includes a small body that was sent with the header in the request size.
   const auto head = static_cast<uint64_t>(head_sent);
   traffic_counts->Count(done.call.url, std::max(head, static_cast<uint64_t>(body_sent)),
                         static_cast<uint64_t>(head_received) + done.answer.size());
@@ -300,8 +300,8 @@
       if ((event.events & (EPOLLERR | EPOLLHUP)) != 0) what |= CURL_CSELECT_ERR;
       SocketAction(event.data.fd, what);
     }
-    // Answers that have arrived are read before any call is given up: a process that was held up
-    // has many of both.
+    // Read all responses that have arrived before timing out any call: after a stall of this
+    // process there are many of both.
     if (count < kMaxEvents && steady_clock::now() >= timer) {
       timer = steady_clock::time_point::max();
       SocketAction(CURL_SOCKET_TIMEOUT, 0);
@@ -356,7 +356,7 @@
     }
   }
   if (!taken) {
-    next->on_done({});  // NOLINT(bugprone-use-after-move): moved only when taken
+    next->on_done({});  // NOLINT(bugprone-use-after-move): moved only when accepted
     return;
   }
   if (first) {
--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -1,4 +1,4 @@
-// Outgoing HTTP: one libcurl multi handle in one thread, many transfers at once.
+// HTTP client: runs many concurrent transfers on one thread with one libcurl multi handle.
 #ifndef CATKINFORD_CONNECTION_HTTP_CLIENT_H_
 #define CATKINFORD_CONNECTION_HTTP_CLIENT_H_
 
@@ -17,9 +17,9 @@
 namespace catkinford {
 
 enum class transfer_status : uint8_t {
-  kDone,      // an answer came, with any status code
-  kNotSent,   // no connection: the other side has surely not seen the call
-  kMaybeSent  // a timeout or a broken connection: it may have seen it
+  kDone,      // a response arrived, with any status code
+  kNotSent,   // no connection: the server has not seen the call
+  kMaybeSent  // timeout or broken connection: the server may have seen the call
 };
 
 struct http_call {
@@ -27,13 +27,13 @@
   std::string url;
   std::string body;
   std::string bearer;  // sent as "Authorization: Bearer" when not empty
-  // Of the whole call; where `stall` is set, of the wait for the answer's first byte.
+  // Limit of the entire call; with `stall_timeout` set, of the wait for the first response byte.
   std::chrono::milliseconds timeout{5000};
-  // Once the answer arrives, the longest that no byte of it may come. However long a large answer
-  // takes on a narrow link, it is not thrown away while it moves. 0: `timeout` holds alone.
+  // Once the response has begun, the longest time without a byte. A large response on a slow link
+  // is not aborted while it makes progress. 0: only `timeout` applies, to the entire call.
   std::chrono::milliseconds stall_timeout{0};
-  bool fresh_connection = false;  // not on a kept connection, which may have gone silent
-  std::vector<std::pair<std::string, std::string>> headers;  // more of them: name and value
+  bool fresh_connection = false;  // bypasses pooled connections, which may be dead
+  std::vector<std::pair<std::string, std::string>> headers;  // additional ones: name and value
   std::shared_ptr<std::atomic<uint64_t>>
       received_bytes;  // counts the answer's bytes; null: nobody asks
 };
@@ -49,9 +49,9 @@
   // Called on the client's thread; must not block.
   using callback = std::function<void(http_result)>;
 
-  // `connections_per_host` bounds the connections that are open to one address. `ca_file`: PEM file
-  // of the authorities to trust for https; empty: those of the system. `meter` counts the bytes of
-  // all calls; null: nobody asks.
+  // `connections_per_host` limits the open connections to one address; 0: unlimited. `ca_file`: PEM
+  // file of the trusted authorities for https; empty: the system's. `traffic_counts` counts the
+  // bytes of all calls; may be null.
   explicit http_client(size_t connections_per_host, std::string ca_file = {},
                        traffic_counter* traffic_counts = nullptr);
   ~http_client();
@@ -59,14 +59,14 @@
   http_client& operator=(const http_client&) = delete;
 
   void Start();
-  // From any thread. After Stop() the callback gets kNotSent.
+  // Thread-safe. After Stop() the callback receives kNotSent.
   void Send(http_call call, callback on_done);
-  // Sends and waits for the result; for command lines and tests.
+  // Sends and blocks until the result; for command-line tools and tests.
   http_result SendAndWait(http_call call);
-  // How long calls waited lately, at most, before they were begun: while this thread is late, so
-  // are the answers that it reads.
+  // The longest time that recent calls waited before the client's thread began them. While that
+  // thread is late, so is its reading of responses.
   std::chrono::milliseconds Delay() const;
-  // Ends all transfers; each callback is called.
+  // Ends all transfers; every callback is still called.
   void Stop();
 
  private:
--- a/src/connection/http_server.cc
+++ b/src/connection/http_server.cc
@@ -17,9 +17,10 @@
 namespace catkinford {
 namespace {
 
-constexpr unsigned kBodyDrainFactor = 4;  // over this many limits, the connection is closed
+// A body of more than this many times the limit closes the connection.
+constexpr unsigned kBodyDrainFactor = 4;
 
-// What lives for one request inside libmicrohttpd.
+// Per-request state, owned through libmicrohttpd's request closure.
 struct exchange {
   MHD_Connection* connection = nullptr;
   http_server::token id = 0;
@@ -111,7 +112,7 @@
   MHD_Daemon* daemon = nullptr;
   std::mutex mutex;  // guards `waiting` and the exchanges in it
   absl::flat_hash_map<token, exchange*> waiting;
-  size_t unfinished = 0;  // given to `on_request` and not completed
+  size_t unfinished = 0;  // passed to `on_request` and not yet completed
   token next_token = 1;
   bool stopping = false;
 };
@@ -142,7 +143,7 @@
 
 MHD_Result http_server::impl::Begin(MHD_Connection* connection, const char* url, const char* method,
                                     void** per_request) {
-  // Refused before the body: a caller that announces too much is told so at once.
+  // Reject an oversized declared body at once, without reading it.
   if (DeclaredLength(connection) > options.body_limit) return QueueResponse(connection, TooLarge());
   auto* current = new exchange;
   *per_request = current;
@@ -161,8 +162,8 @@
 
 MHD_Result http_server::impl::Receive(exchange& current, const char* data, size_t* size) {
   current.received += *size;
-  // A chunked body has no announced length. It is drained without being kept, and one that goes
-  // on without end is cut off.
+  // A chunked body declares no length. Beyond the limit it is read and discarded, and an endless
+  // one is aborted.
   if (current.received > options.body_limit * kBodyDrainFactor) return MHD_NO;
   if (current.received <= options.body_limit) current.request.body.append(data, *size);
   *size = 0;
@@ -186,7 +187,8 @@
     waiting.emplace(id, &current);
     MHD_suspend_connection(current.connection);
   }
-  // From here on another thread may answer and end the exchange: it is not touched again.
+  // Once `on_request` runs, another thread may respond and end the exchange, so `current` is not
+  // accessed afterwards.
   http_request request = std::move(current.request);
   on_request(id, std::move(request));
   return MHD_YES;
@@ -222,7 +224,7 @@
     items.push_back({MHD_OPTION_THREAD_POOL_SIZE, options.threads, nullptr});
   }
   if (tls) {
-    // Asked for at each handshake, and not given once, so that it can be replaced.
+    // A callback for each handshake rather than a fixed certificate, so that it can be replaced.
     items.push_back({MHD_OPTION_HTTPS_CERT_CALLBACK2, 0,
                      reinterpret_cast<void*>(tls_certificate_store::Callback())});
   }
@@ -274,11 +276,11 @@
 void http_server::Stop() {
   if (impl_->daemon == nullptr) return;
   {
-    // libmicrohttpd waits for ever for a connection that is still suspended when it stops.
+    // MHD_stop_daemon() waits forever for connections that are still suspended.
     const std::lock_guard lock(impl_->mutex);
     impl_->stopping = true;
-    // Not 503 shutting_down, which says that nothing was done: these were taken in and may be
-    // running.
+    // Not 503 shutting_down, which means that nothing was done: these requests were accepted and
+    // may be executing.
     for (auto& [id, current] : impl_->waiting) {
       current->response = {
           500, R"({"error":"stopped_before_the_answer"})", "application/json", {}, false};
--- a/src/connection/http_server.h
+++ b/src/connection/http_server.h
@@ -1,5 +1,5 @@
-// The HTTP front: libmicrohttpd with its own epoll thread. A request that must wait is suspended
-// and costs no thread; it is answered later by its token.
+// HTTP server on libmicrohttpd with its own epoll threads. A waiting request is suspended without
+// blocking a thread and is answered later by its token.
 #ifndef CATKINFORD_CONNECTION_HTTP_SERVER_H_
 #define CATKINFORD_CONNECTION_HTTP_SERVER_H_
 
@@ -19,16 +19,16 @@
 struct http_request {
   std::string method;
   std::string path;    // decoded, without the query
-  std::string body;    // whole
+  std::string body;    // complete
   std::string bearer;  // the key of "Authorization: Bearer KEY", empty without one
   std::string host;    // of the Host header
-  // Of the headers that http_server_options names, those that came: name and value.
+  // Those named in http_server_options::captured_headers that were present: name and value.
   std::vector<std::pair<std::string, std::string>> headers;
   std::vector<std::pair<std::string, std::string>> query;
 
-  // The value of a query argument, or empty.
+  // The value of a query argument, or empty if absent.
   std::string Query(const std::string& name) const;
-  // The value of a kept header, or empty.
+  // The value of a captured header, or empty if absent.
   std::string Header(const std::string& name) const;
 };
 
@@ -36,28 +36,29 @@
   int status = 200;
   std::string body;
   std::string content_type = "application/json";
-  std::chrono::seconds retry_after{0};  // sent as Retry-After when over zero
-  bool close = false;                   // the connection ends after this answer
+  std::chrono::seconds retry_after{0};  // sent as Retry-After when greater than zero
+  bool close = false;                   // close the connection after this response
 };
 
 struct http_server_options {
-  uint16_t port = 0;  // 0: the system picks one
+  uint16_t port = 0;  // 0: an ephemeral port
   std::string address = "127.0.0.1";
   int threads = 1;
   size_t body_limit = size_t{1} << 20;
-  std::chrono::seconds idle_timeout{30};  // a slow sender or a half-closed connection ends here
+  std::chrono::seconds idle_timeout{30};  // closes slow senders and half-closed connections
   unsigned connection_limit = 4096;
-  std::vector<std::string> captured_headers;  // names of headers that requests keep
-  bool tls = false;             // needs a certificate: here, or by SetCertificate() before Start()
+  std::vector<std::string> captured_headers;  // headers to copy into requests
+  bool tls = false;             // requires tls_certificate or SetCertificate() before Start()
   std::string tls_certificate;  // PEM text
   std::string tls_key;
 };
 
 class http_server {
  public:
-  // Names a waiting request. Answering twice, or after the caller went away, does nothing.
+  // Identifies a waiting request. A second response, or one after the caller disconnected, is
+  // ignored.
   using token = uint64_t;
-  // Called on the server's thread; must not block. The answer may come later, from any thread.
+  // Called on a server thread; must not block. Respond() may be called later from any thread.
   using handler = std::function<void(token, http_request)>;
 
   http_server(http_server_options options, handler on_request);
@@ -65,18 +66,18 @@
   http_server(const http_server&) = delete;
   http_server& operator=(const http_server&) = delete;
 
-  // False when the port cannot be had, or the certificate cannot be used.
+  // False when the port cannot be bound or the certificate is unusable.
   bool Start();
-  // Replaces the certificate without a restart: new connections get the new one, open ones go on.
-  // Only for a server that was started with one; on a fault the old one stays.
+  // Replaces the certificate without a restart: new connections use the new one, open connections
+  // are unaffected. Only for a server that was started with TLS. On error the old one stays.
   tls_fault SetCertificate(const std::string& certificate, const std::string& key);
   tls_fault SetCertificateFiles(const std::string& certificate, const std::string& key);
-  // The port in use.
+  // The bound port; 0 before Start().
   uint16_t Port() const;
   void Respond(token request, http_response response);
-  // Requests whose answer is not yet given, or not yet sent whole: Stop() would cut them off.
+  // Requests without a response, or whose response is not fully sent: Stop() may abort them.
   size_t Waiting() const;
-  // Takes no new connections; those that are open go on.
+  // Accepts no new connections; open ones continue to be served.
   void StopAccepting();
   void Stop();
 
--- a/src/connection/instance_adapter.h
+++ b/src/connection/instance_adapter.h
@@ -1,5 +1,5 @@
-// The platform's lagging list of instances. All knowledge of its HTTP protocol
-// (docs/PROTOCOL.md) is in this pair.
+// Client for the platform's list of instances, which may be stale. Its HTTP protocol
+// (docs/PROTOCOL.md) is implemented only here and in instance_adapter.cc.
 #ifndef CATKINFORD_CONNECTION_INSTANCE_ADAPTER_H_
 #define CATKINFORD_CONNECTION_INSTANCE_ADAPTER_H_
 
@@ -27,14 +27,14 @@
 };
 
 struct instance_reply {
-  bool ok = false;                   // false: no list came; the last one goes on being used
-  std::chrono::milliseconds age{0};  // how far the list lags
+  bool ok = false;                   // false: no list received; the previous one stays in use
+  std::chrono::milliseconds age{0};  // staleness of the list
   std::vector<instance> instances;
 };
 
 class instance_adapter {
  public:
-  using callback = std::function<void(instance_reply)>;  // on the client's thread
+  using callback = std::function<void(instance_reply)>;  // runs on the HTTP client's thread
 
   instance_adapter(http_client& http, std::string base_url, std::chrono::milliseconds timeout);
   void List(callback done);
--- a/src/connection/json_fields.h
+++ b/src/connection/json_fields.h
@@ -1,5 +1,5 @@
-// Reading fields of a JSON object that came over the network: a field that is absent or of
-// another type gives the default instead of an exception.
+// Reads fields of a JSON object received over the network. A field that is absent or of another
+// type yields a default instead of an exception.
 #ifndef CATKINFORD_CONNECTION_JSON_FIELDS_H_
 #define CATKINFORD_CONNECTION_JSON_FIELDS_H_
 
@@ -11,7 +11,7 @@
 
 namespace catkinford {
 
-// The unsigned number of at most `Integer`'s size at `name`, else `otherwise`.
+// The unsigned number at `name`, or `fallback` if there is none or it does not fit `Integer`.
 template <typename Integer = uint64_t>
 Integer NumberAt(const nlohmann::json& object, const char* name, Integer fallback = 0) {
   const auto found = object.find(name);
@@ -37,19 +37,19 @@
   return found != object.end() && found->is_boolean() && found->get<bool>();
 }
 
-// The array at `name`; an empty one when there is none.
+// The array at `name`, or an empty array.
 inline const nlohmann::json& ArrayAt(const nlohmann::json& object, const char* name) {
   static const nlohmann::json none = nlohmann::json::array();
   const auto found = object.find(name);
   return found != object.end() && found->is_array() ? *found : none;
 }
 
-// A JSON text, quoted and escaped; bytes that are not UTF-8 are replaced.
+// `text` as a quoted and escaped JSON string; invalid UTF-8 is replaced.
 inline std::string Quoted(const std::string& text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// The object in `text`, or a discarded value; never throws.
+// Parses a JSON object; returns a discarded value if `text` is not one. Never throws.
 inline nlohmann::json ParseObject(const std::string& text) {
   nlohmann::json parsed = nlohmann::json::parse(text, nullptr, false);
   if (!parsed.is_object()) return nlohmann::json(nlohmann::json::value_t::discarded);
--- a/src/connection/peer_auth.cc
+++ b/src/connection/peer_auth.cc
@@ -19,7 +19,7 @@
 
 constexpr size_t kMacBytes = 32;
 constexpr size_t kMacDigits = 2 * kMacBytes;
-constexpr size_t kMinSecretLength = 32;  // characters; 128 bits even when they are hexadecimal
+constexpr size_t kMinSecretLength = 32;  // characters; 128 bits even if hexadecimal
 constexpr size_t kMaxSecrets = 2;
 constexpr char kUnsignedLine[] = "unsigned";
 constexpr std::array<std::string_view, 5> kFaultNames = {
@@ -27,17 +27,17 @@
 
 std::string MacOf(const std::string& secret, std::string_view receiver, std::string_view text) {
   gnutls_hmac_hd_t mac = nullptr;
-  // Without a signature nothing between entries can be told from what a stranger sends.
+  // Without signatures, messages from entries cannot be told from forged ones.
   if (gnutls_hmac_init(&mac, GNUTLS_MAC_SHA256, secret.data(), secret.size()) < 0) std::abort();
   gnutls_hmac(mac, receiver.data(), receiver.size());
-  gnutls_hmac(mac, "\n", 1);  // no name holds one
+  gnutls_hmac(mac, "\n", 1);  // names contain no line break
   gnutls_hmac(mac, text.data(), text.size());
   std::array<char, kMacBytes> bytes{};
   gnutls_hmac_deinit(mac, bytes.data());
   return absl::BytesToHexString(std::string(bytes.data(), bytes.size()));
 }
 
-// A batch is a JSON object, and a signature begins with none.
+// A batch is a JSON object; a hexadecimal signature never begins with '{'.
 bool IsUnsigned(const std::string& signed_text) {
   return !signed_text.empty() && signed_text[0] == '{';
 }
@@ -104,7 +104,7 @@
     return std::nullopt;
   }
   std::string text = signed_text.substr(kMacDigits);
-  // An entry that has no secret yet understands those that have.
+  // An entry without a secret yet accepts signed batches unverified.
   if (!enforced) return text;
   const bool valid =
       std::any_of(known->secrets.begin(), known->secrets.end(), [&](const std::string& secret) {
--- a/src/connection/peer_auth.h
+++ b/src/connection/peer_auth.h
@@ -1,8 +1,8 @@
-// Whether a batch between entries comes from one of them: each carries an HMAC-SHA256 of the
-// receiver's name and the text, under a secret that all entries share.
+// Authenticates batches between entries: each carries an HMAC-SHA256 of the receiver's name and the
+// text, keyed with a secret shared by all entries.
 //
-// Two secrets can be good at a time, so that they are replaced without an entry that refuses
-// another (docs/design/022-calls-between-entries-signed.md).
+// Two secrets can be valid at a time, so that a rotation never makes entries reject each other
+// (docs/design/022-calls-between-entries-signed.md).
 #ifndef CATKINFORD_CONNECTION_PEER_AUTH_H_
 #define CATKINFORD_CONNECTION_PEER_AUTH_H_
 
@@ -22,23 +22,24 @@
 std::string_view ToText(secret_fault fault);
 
 struct peer_secrets {
-  std::vector<std::string> secrets;  // the first signs, each is accepted; none: nothing is checked
-  bool accept_unsigned = false;      // while the first secret is brought in
+  std::vector<std::string> secrets;  // the first signs, all verify; empty: no verification
+  bool accept_unsigned = false;      // while the first secret is being rolled out
 };
 
-// One secret a line, at most two; the line "unsigned" accepts what carries no signature as well.
+// One secret per line, at most two; the line "unsigned" also accepts batches without a signature.
 std::variant<peer_secrets, secret_fault> ParsePeerSecrets(std::string_view text);
 
-// Any thread may call any of it.
+// Thread-safe.
 class peer_auth {
  public:
-  // On a fault the ones before stay.
+  // On error the previous secrets stay.
   secret_fault SetFromFile(const std::string& file);
   void Set(peer_secrets secrets);
 
-  // What is sent to `receiver`.
+  // The signature for `receiver` followed by `text`; only `text` when there is no secret.
   std::string Sign(std::string_view receiver, const std::string& text) const;
-  // The text that came to `receiver`; absent, and counted, where its signature is not good.
+  // The text received by `receiver` without its signature; if that is not valid, counts the
+  // rejection and returns nothing.
   std::optional<std::string> Verify(std::string_view receiver, const std::string& signed_text);
 
   uint64_t Refused() const { return rejected_; }
--- a/src/connection/peer_rpc.cc
+++ b/src/connection/peer_rpc.cc
@@ -9,11 +9,11 @@
 namespace catkinford {
 namespace {
 
-// A response to anything, for the half of the library's client that only writes a request.
+// Placeholder response for a client that is only used to encode a request.
 constexpr char kEmptyResponse[] = "{\"id\":1,\"jsonrpc\":\"2.0\",\"result\":\"\"}";
 
-// The library ships its codec only inside a client that sends and waits. This connector takes the
-// place of the sending: it keeps the request and gives a response that is there already.
+// The library exposes its codec only through a blocking client. This connector replaces the
+// transport: it captures the request and returns a response that is already available.
 class codec_connector : public jsonrpc::IClientConnector {
  public:
   explicit codec_connector(const std::string& response) : response_(response) {}
--- a/src/connection/peer_rpc.h
+++ b/src/connection/peer_rpc.h
@@ -1,8 +1,9 @@
-// JSON-RPC between our own processes: libjsonrpccpp's codec and server. Calls travel by
-// http_client, so that one thread keeps calls to many peers under way.
+// JSON-RPC between entries, with libjsonrpccpp's codec and server. Calls are sent by http_client,
+// so that one thread can have calls to many peers in flight.
 //
-// libjsonrpccpp 0.7's headers use dynamic exception specifications and do not compile above C++14,
-// so this pair is a library of its own, built as C++14, and this header has standard types only.
+// The headers of libjsonrpccpp 0.7 use dynamic exception specifications and do not compile above
+// C++14, so peer_rpc is a separate library built as C++14, and this header uses only standard
+// types.
 #ifndef CATKINFORD_CONNECTION_PEER_RPC_H_
 #define CATKINFORD_CONNECTION_PEER_RPC_H_
 
@@ -12,13 +13,13 @@
 
 namespace catkinford {
 
-// The request text of a call of `method` with one text parameter.
+// The JSON-RPC request that calls `method` with the single parameter "text".
 std::string EncodeRpcRequest(const std::string& method, const std::string& text);
-// Takes the peer's text out of the response to such a call. False when it is no response, or an
-// error of JSON-RPC.
+// Extracts the peer's text from the response to such a call. False when `response` is not a
+// JSON-RPC response or is a JSON-RPC error.
 bool DecodeRpcResponse(const std::string& response, std::string& answer);
 
-// Serves one method, "deliver": text in, text out, at once.
+// Serves the single method "deliver", which synchronously maps a text to a text.
 class rpc_server {
  public:
   using handler = std::function<std::string(const std::string& text)>;
@@ -28,7 +29,7 @@
   rpc_server(const rpc_server&) = delete;
   rpc_server& operator=(const rpc_server&) = delete;
 
-  // False when the port cannot be had.
+  // False when the port cannot be bound.
   bool Start();
   void Stop();
 
--- a/src/connection/recent_delay.h
+++ b/src/connection/recent_delay.h
@@ -1,4 +1,4 @@
-// The longest of recent delays, over the last half second to second.
+// Sliding maximum of recent delays, over the last 0.5 s to 1 s.
 #ifndef CATKINFORD_CONNECTION_RECENT_DELAY_H_
 #define CATKINFORD_CONNECTION_RECENT_DELAY_H_
 
@@ -9,7 +9,7 @@
 
 namespace catkinford {
 
-// One thread notes, any may ask.
+// Record() is called by one thread, Max() by any.
 class recent_delay {
  public:
   using time_point = std::chrono::steady_clock::time_point;
@@ -30,8 +30,8 @@
   static constexpr std::chrono::milliseconds kWindow{500};
 
   time_point window_start_{};
-  std::atomic<int64_t> current_max_{0};   // of the window that began at `since_`, in ms
-  std::atomic<int64_t> previous_max_{0};  // of the one before
+  std::atomic<int64_t> current_max_{0};   // of the window that began at `window_start_`, in ms
+  std::atomic<int64_t> previous_max_{0};  // of the previous window, in ms
 };
 
 }  // namespace catkinford
--- a/src/connection/store_adapter.cc
+++ b/src/connection/store_adapter.cc
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// What a call does at the store decides what a lost reply means.
+// Determines what a lost reply means.
 enum class call_effect : uint8_t { kReads, kWrites };
 
 constexpr int kOk = 200;
@@ -28,9 +28,9 @@
   return result;
 }
 
-// A write whose reply is lost may have taken effect: believing that it has not would let the
-// writer act on an old value, and believing that it has would let it act on a value that is not
-// there. A read without an answer has told us nothing, which is the same as an outage.
+// A write whose reply is lost may have taken effect: assuming that it failed would let the writer
+// act on an old value, and assuming that it succeeded on a value that is not stored. A read without
+// a reply is equivalent to an outage.
 store_status StatusOfLostReply(call_effect effect) {
   return effect == call_effect::kWrites ? store_status::kUnknown : store_status::kUnavailable;
 }
--- a/src/connection/store_adapter.h
+++ b/src/connection/store_adapter.h
@@ -1,5 +1,5 @@
-// The platform's store, as this project needs it: typed calls over the store's HTTP protocol
-// (docs/PROTOCOL.md). All knowledge of that protocol is in this pair.
+// Client for the platform's store: typed calls over the store's HTTP protocol (docs/PROTOCOL.md),
+// which is implemented only here and in store_adapter.cc.
 #ifndef CATKINFORD_CONNECTION_STORE_ADAPTER_H_
 #define CATKINFORD_CONNECTION_STORE_ADAPTER_H_
 
@@ -17,21 +17,22 @@
 
 class store_adapter {
  public:
-  using callback = std::function<void(store_reply)>;  // on the client's thread
+  using callback = std::function<void(store_reply)>;  // runs on the HTTP client's thread
 
-  // `timeout`: of a lease's call; of other calls for the first byte of their answer and then
-  // between two of its bytes, since a configuration may take a narrow link longer than that.
+  // `timeout` limits an entire lease call. For other calls it limits the wait for the first byte of
+  // the response and the time between two bytes, since a configuration may take longer than that
+  // on a slow link.
   store_adapter(http_client& http, std::string base_url, std::chrono::milliseconds timeout);
 
   void Get(const std::string& key, callback done);
   void Range(const std::string& prefix, callback done);
-  // `value` absent: deletes. `lease` empty: the key stays.
+  // `value` absent: deletes the key. `lease` empty: the key does not expire.
   void CompareAndSwap(const std::string& key, uint64_t expect,
                       const std::optional<std::string>& value, const std::string& write_id,
                       const std::string& lease, callback done);
   void GrantLease(std::chrono::milliseconds ttl, callback done);
   void KeepLease(const std::string& lease, callback done);
-  // Waits at the store up to `wait`; one call, however long.
+  // Long poll: a single call that the store may delay by up to `wait`.
   void Watch(const std::string& prefix, uint64_t after, std::chrono::milliseconds wait,
              callback done);
 
--- a/src/connection/store_types.h
+++ b/src/connection/store_types.h
@@ -1,4 +1,4 @@
-// What is said to the platform's store and what it answers, whichever way the calls travel.
+// Request and reply types of the platform's store, independent of the transport.
 #ifndef CATKINFORD_CONNECTION_STORE_TYPES_H_
 #define CATKINFORD_CONNECTION_STORE_TYPES_H_
 
@@ -16,15 +16,15 @@
   kDone,
   kConflict,          // the key is at another revision
   kAbsent,            // no such key or lease
-  kUnavailable,       // surely not done: refused, rate limited, or never sent
-  kUnknown,           // may have been done: the reply is lost. Read back and compare.
-  kHistoryCompacted,  // the store has forgotten what a watch asks for: read all again
+  kUnavailable,       // not executed: rejected, rate limited, or never sent
+  kUnknown,           // may have been executed: the reply is lost. Read back and compare.
+  kHistoryCompacted,  // the store lacks revisions that a watch needs: read all keys again
 };
 
-// How a read travels.
+// Transport options of a read.
 struct read_options {
-  bool fresh_connection = false;  // not on a kept one, which may have gone silent
-  bool limit_total_time = false;  // ends in time, however much of the answer has arrived
+  bool fresh_connection = false;  // bypasses pooled connections, which may be dead
+  bool limit_total_time = false;  // the timeout applies to the entire call, despite progress
   std::shared_ptr<std::atomic<uint64_t>>
       received_bytes;  // counts the answer's bytes; null: nobody asks
 };
@@ -40,18 +40,18 @@
   store_status status = store_status::kUnavailable;
   uint64_t revision = 0;  // of the store for reads; of the key for writes
   std::vector<store_item>
-      items;          // for Get one, for Range and Watch all; for a conflict the present
+      items;          // one for Get, all for Range and Watch; for a conflict the current one
   std::string lease;  // for a new lease
-  bool more = false;  // a range goes on after the last item
-  size_t bytes = 0;   // received, of an answer that broke off too
+  bool more = false;  // the range continues after the last item
+  size_t bytes = 0;   // received, including those of a truncated response
 };
 
-// One change of several keys: all of it is done or nothing.
+// Atomic change of several keys.
 struct store_write {
   struct put {
     std::string key;
     std::string value;
-    std::string lease;  // empty: the key stays
+    std::string lease;  // empty: the key does not expire
   };
   std::vector<std::pair<std::string, uint64_t>> expected;  // key and revision; 0: must not exist
   std::vector<put> puts;
--- a/src/connection/tls_certificate.cc
+++ b/src/connection/tls_certificate.cc
@@ -25,7 +25,7 @@
           static_cast<unsigned>(text.size())};
 }
 
-// Which store serves which port of this process.
+// Maps each TLS port of this process to its certificate store.
 struct port_registry {
   std::mutex mutex;
   std::map<uint16_t, tls_certificate_store*> stores;
@@ -183,7 +183,7 @@
   *ocsp = nullptr;
   *ocsp_count = 0;
   *key = copy;
-  *flags = GNUTLS_CERT_RETR_DEINIT_ALL;  // the copies are GnuTLS's to free
+  *flags = GNUTLS_CERT_RETR_DEINIT_ALL;  // GnuTLS frees the copies
   return 0;
 }
 
--- a/src/connection/tls_certificate.h
+++ b/src/connection/tls_certificate.h
@@ -1,4 +1,4 @@
-// A server's certificate that can be replaced while the server runs.
+// Server certificate that can be replaced while the server runs.
 #ifndef CATKINFORD_CONNECTION_TLS_CERTIFICATE_H_
 #define CATKINFORD_CONNECTION_TLS_CERTIFICATE_H_
 
@@ -16,8 +16,8 @@
 enum class tls_fault : uint8_t { kNone, kMissingFile, kBadCertificate, kBadKey, kKeyDoesNotMatch };
 std::string_view ToText(tls_fault fault);
 
-// The certificate in use. Handshakes read it on the HTTP library's threads while an operator
-// replaces it; each handshake works on a copy, so that none sees half of one and half of the other.
+// Holds the certificate in use. Handshakes read it on the HTTP library's threads while an operator
+// may replace it; each handshake works on a copy, so that none mixes two certificates.
 class tls_certificate_store {
  public:
   tls_certificate_store();
@@ -25,15 +25,15 @@
   tls_certificate_store(const tls_certificate_store&) = delete;
   tls_certificate_store& operator=(const tls_certificate_store&) = delete;
 
-  // The same, from files.
+  // Like Set(), but reads the PEM texts from files.
   tls_fault SetFromFiles(const std::string& certificate_file, const std::string& key_file);
-  // PEM texts: the certificate with its chain, and its key. On a fault the old one stays.
+  // PEM texts: the certificate with its chain, and its key. On error the old certificate stays.
   tls_fault Set(const std::string& certificate, const std::string& key);
 
   bool HasCertificate() const;
 
-  // Offered to sessions of the server on this port. GnuTLS asks by a plain function that is told
-  // nothing but the session, whose socket leads to the port, and the port to the store.
+  // Uses this store for sessions of the server on `port`. GnuTLS passes its callback only the
+  // session, so the store is looked up by the local port of the session's socket.
   void ServePort(uint16_t port);
   static gnutls_certificate_retrieve_function3* Callback();
 
--- a/src/connection/traffic_counter.h
+++ b/src/connection/traffic_counter.h
@@ -1,7 +1,6 @@
-// Bytes that calls put on the link of this machine, by what was called.
+// Counts the bytes that calls transfer over this machine's link, by kind of call.
 //
-// On a narrow link what is said in bulk delays what is urgent; the split by call shows which calls
-// fill it.
+// On a slow link bulk transfers delay urgent calls; the split by kind shows which calls fill it.
 #ifndef CATKINFORD_CONNECTION_TRAFFIC_COUNTER_H_
 #define CATKINFORD_CONNECTION_TRAFFIC_COUNTER_H_
 
@@ -13,23 +12,23 @@
 
 namespace catkinford {
 
-// Of a link whose width is told in Mbit/s.
+// Converts a link's bandwidth from Mbit/s.
 inline constexpr double kBytesPerMegabit = 125'000;
 
-// Bytes of HTTP, headers included; what TCP and IP add is not counted.
+// HTTP bytes including headers; TCP and IP overhead is not counted.
 struct traffic {
   uint64_t calls = 0;
   uint64_t sent = 0;
   uint64_t received = 0;
 };
 
-// From any thread.
+// Thread-safe.
 class traffic_counter {
  public:
   void Count(std::string_view url, uint64_t sent, uint64_t received);
-  // What was counted since the last time, by kind of call.
+  // Returns and resets the counts since the last call, by kind of call.
   std::map<std::string, traffic> Take();
-  // Of all calls since the start.
+  // Counts of all calls since the start.
   traffic Total();
 
  private:
@@ -38,8 +37,8 @@
   traffic total_;
 };
 
-// The first two segments of the path: "http://HOST/peer/state?id=7" is of kind "peer/state". Later
-// segments may be identities, of which there is no bound.
+// The first two path segments: "http://HOST/peer/state?id=7" is of kind "peer/state". Later
+// segments may be identifiers, whose number is unbounded.
 std::string KindOfCall(std::string_view url);
 
 }  // namespace catkinford
--- a/test/adapter_test.cc
+++ b/test/adapter_test.cc
@@ -19,7 +19,7 @@
 
 constexpr char kId[] = "0123456789abcdef0123456789abcdef/3/2";
 
-// A platform that gives one prepared answer and keeps what it was sent.
+// A platform that returns a fixed response and records the request.
 class platform_fixture {
  public:
   platform_fixture() {
@@ -61,8 +61,8 @@
     return Wait<endpoint_reply>([&](auto done) { adapter.Start({url_, "e1"}, 9, {task}, done); });
   }
 
-  // What the test and the server's thread share goes through a socket, which ThreadSanitizer does
-  // not see as an order between them; the lock it does see.
+  // The test and the server's thread are ordered only by a socket, which ThreadSanitizer does not
+  // recognize; taking the lock makes that order visible to it.
   void SynchronizeWithServer() { const std::lock_guard lock(mutex_); }
 
   std::mutex mutex_;
@@ -77,7 +77,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(platform_fixture, "store, swap done, gives the new revision", "[adapter]") {
+TEST_CASE_METHOD(platform_fixture, "store, successful swap, returns the new revision",
+                 "[adapter]") {
   body_ = R"({"revision":8})";
   const store_reply reply = Swap();
   CHECK(reply.status == store_status::kDone);
@@ -87,7 +88,7 @@
         R"({"key":"a/b","expect":7,"value":"v\"","write_id":"w1","lease":"l1"})");
 }
 
-TEST_CASE_METHOD(platform_fixture, "store, swap in conflict, gives the present value",
+TEST_CASE_METHOD(platform_fixture, "store, swap in conflict, returns the current value",
                  "[adapter]") {
   code_ = 409;
   body_ = R"({"error":"conflict","revision":9,"value":"other"})";
@@ -99,19 +100,19 @@
   CHECK(reply.items[0].revision == 9);
 }
 
-// The store takes a write and its reply never arrives. A caller that believed either outcome
-// would sooner or later act on a value that is not the store's.
-TEST_CASE_METHOD(platform_fixture, "store, reply of a write lost, is unknown", "[adapter]") {
+// Guards against assuming an outcome when the reply of a write is lost: the caller would act on a
+// value that the store does not hold.
+TEST_CASE_METHOD(platform_fixture, "store, lost reply of a write, is unknown", "[adapter]") {
   code_ = 0;
   CHECK(Swap().status == store_status::kUnknown);
 }
 
-TEST_CASE_METHOD(platform_fixture, "store, rate limited or down, is surely not done", "[adapter]") {
+TEST_CASE_METHOD(platform_fixture, "store, rate limited or down, is unavailable", "[adapter]") {
   code_ = GENERATE(429, 503, 413);
   CHECK(Swap().status == store_status::kUnavailable);
 }
 
-TEST_CASE_METHOD(platform_fixture, "store, reply of a read lost, is unavailable", "[adapter]") {
+TEST_CASE_METHOD(platform_fixture, "store, lost reply of a read, is unavailable", "[adapter]") {
   code_ = 0;
   store_adapter store(client_, url_, milliseconds{100});
   const auto reply = Wait<store_reply>([&](auto done) { store.Get("a/b", done); });
@@ -119,8 +120,9 @@
   CHECK(query_ == "a/b");
 }
 
-// Guards against a configuration that is never read: its answer moves, and is ended by time.
-TEST_CASE_METHOD(platform_fixture, "store, value larger than its link carries in time, is read",
+// Guards against a configuration that can never be read because its slow but progressing response
+// exceeds the timeout.
+TEST_CASE_METHOD(platform_fixture, "store, value that takes longer than the timeout, is read",
                  "[adapter]") {
   body_ = R"({"key":"a/b","revision":3,"value":")" + std::string(100'000, 'x') + R"("})";
   fault_proxy proxy;
@@ -138,7 +140,7 @@
   proxy.Stop();
 }
 
-TEST_CASE_METHOD(platform_fixture, "endpoint, start answered, gives a result for each task",
+TEST_CASE_METHOD(platform_fixture, "endpoint, start call, returns a result for each task",
                  "[adapter]") {
   body_ = std::string(R"({"results":[{"id":")") + kId + R"(","result":"already"}]})";
   const endpoint_reply reply = Start();
@@ -152,10 +154,9 @@
                      R"("team":"t","payload":"p\""}]})");
 }
 
-// An owner was paused and another took its shard over. The endpoint refuses the old epoch, so the
-// task does not run twice.
-TEST_CASE_METHOD(platform_fixture, "endpoint, start with an old epoch, is fenced off",
-                 "[adapter]") {
+// Guards against running a task twice: an owner was paused, another took over its shard, and the
+// endpoint rejects the old epoch.
+TEST_CASE_METHOD(platform_fixture, "endpoint, start with an old epoch, is fenced", "[adapter]") {
   code_ = 409;
   body_ = R"({"error":"fenced","epoch":10})";
   const endpoint_reply reply = Start();
@@ -163,16 +164,16 @@
   CHECK(reply.epoch == 10);
 }
 
-// Garbage instead of an answer, or a fault in the middle of the work: the task may be running, and
-// a caller told "not run" would start it again elsewhere.
-TEST_CASE_METHOD(platform_fixture, "endpoint, answer unreadable or failed, may have started",
-                 "[adapter]") {
+// Guards against starting a task twice: after an unreadable response or an internal error it may be
+// running, and reporting it as not run would start it again elsewhere.
+TEST_CASE_METHOD(platform_fixture,
+                 "endpoint, unreadable response or internal error, may have started", "[adapter]") {
   code_ = GENERATE(200, 409, 500);
   body_ = "<html>";
   CHECK(Start().status == endpoint_status::kMaybeSent);
 }
 
-TEST_CASE_METHOD(platform_fixture, "endpoint, fenced list with an unreadable task, is no list",
+TEST_CASE_METHOD(platform_fixture, "endpoint, fence reply with an unreadable task, is rejected",
                  "[adapter]") {
   body_ = R"({"incarnation":1,"epoch":2,"tasks":[{"id":"nonsense","state":"running"}]})";
   endpoint_adapter adapter(client_, milliseconds{200});
@@ -181,7 +182,7 @@
   CHECK(reply.tasks.empty());
 }
 
-TEST_CASE_METHOD(platform_fixture, "endpoint, sync answered, gives what finished", "[adapter]") {
+TEST_CASE_METHOD(platform_fixture, "endpoint, sync call, returns the finished tasks", "[adapter]") {
   body_ = std::string(R"({"incarnation":4,"cursor":6,"finished":[{"id":")") + kId +
           R"(","seq":6,"result":"checkpointed","ran_ms":12,"answer":"a"}],"running":2,)"
           R"("usage":{"cpu_milli":5,"memory_mb":6,"age_ms":7},"leaving":true})";
@@ -201,7 +202,8 @@
   CHECK(reply.leaving);
 }
 
-TEST_CASE_METHOD(platform_fixture, "instance list, answered, gives typed instances", "[adapter]") {
+TEST_CASE_METHOD(platform_fixture, "instance list, valid response, returns typed instances",
+                 "[adapter]") {
   body_ = R"({"age_ms":500,"instances":[
       {"name":"n1","role":"entry","failure_domain":"d","address":"127.0.0.1:1","state":"live"},
       {"name":"e1","role":"endpoint","failure_domain":"d","rack":"r","address":"http://x",
--- a/test/bounded_ring_test.cc
+++ b/test/bounded_ring_test.cc
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("bounded ring, grows while its head is in the middle, keeps order", "[bounded_ring]") {
+TEST_CASE("bounded ring, grown with its head in the middle, keeps order", "[bounded_ring]") {
   bounded_ring<int> ring(5000);
   for (int i = 0; i < 10; ++i) ring.TryPush(i);
   TakeAll(ring);
@@ -27,11 +27,12 @@
     expected.push_back(i);
   }
   CHECK(TakeAll(ring) == expected);
-  REQUIRE(ring.TryPush(7));  // in the slots that are left after the others were given back
+  REQUIRE(ring.TryPush(7));  // in the slots that remain after shrinking
   CHECK(TakeAll(ring) == std::vector<int>{7});
 }
 
-TEST_CASE("bounded ring, full at a capacity that is no power of two, refuses", "[bounded_ring]") {
+TEST_CASE("bounded ring, full at a capacity that is not a power of two, rejects",
+          "[bounded_ring]") {
   bounded_ring<int> ring(33);
   for (int i = 0; i < 33; ++i) REQUIRE(ring.TryPush(i));
   int refused = 34;
--- a/test/http_test.cc
+++ b/test/http_test.cc
@@ -16,7 +16,7 @@
 
 using std::chrono::milliseconds;
 
-// A server that echoes bodies, and a client.
+// An echo server and a client.
 class http_echo_fixture {
  public:
   http_echo_fixture() {
@@ -43,28 +43,28 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(http_echo_fixture, "http call, answered, gives body, key and query", "[http]") {
+TEST_CASE_METHOD(http_echo_fixture, "http call, answered, transfers body, key and query",
+                 "[http]") {
   const http_result result = client_.SendAndWait({"POST", Url("/a?q=7"), "body", "key"});
   CHECK(result.status == transfer_status::kDone);
   CHECK(result.code == 200);
   CHECK(result.body == "POST /a body key 7");
 }
 
-TEST_CASE_METHOD(http_echo_fixture, "http call, body over the limit, is refused with 413",
+TEST_CASE_METHOD(http_echo_fixture, "http call, body over the limit, is rejected with 413",
                  "[http]") {
   const http_result result = client_.SendAndWait({"POST", Url("/a"), std::string(2000, 'x')});
   CHECK(result.code == 413);
 }
 
-// An endpoint that takes a call and then goes silent: the caller must not believe that nothing
-// was done, since the call was sent.
+// Guards against treating a call as not executed when the server received it but never responds.
 TEST_CASE_METHOD(http_echo_fixture, "http call, never answered, may have been sent", "[http]") {
   http_call call{"POST", Url("/never"), "x"};
   call.timeout = milliseconds{100};
   CHECK(client_.SendAndWait(call).status == transfer_status::kMaybeSent);
 }
 
-// A server with a large answer behind a link that can be made narrow or fall silent.
+// A server with a large response behind a link that can be made slow or silent.
 class http_large_answer_fixture {
  public:
   http_large_answer_fixture()
@@ -98,10 +98,10 @@
   http_client client_{1};
 };
 
-// Guards against a large answer that is thrown away, however much of it has come, and asked for
-// again from its first byte.
+// Guards against discarding a large, partly received response at the timeout and requesting it
+// again from the first byte.
 TEST_CASE_METHOD(http_large_answer_fixture,
-                 "http call with a stall limit, answer arrives slowly, is whole", "[http]") {
+                 "http call with a stall timeout, slow response, is complete", "[http]") {
   link_rule rule;
   rule.bytes_per_second = 100'000;
   proxy_.SetRule(link_, rule);
@@ -111,10 +111,9 @@
   CHECK(Call(milliseconds{0}).status == transfer_status::kMaybeSent);
 }
 
-// Guards against a call that waits for ever for an answer that has stopped half way, or for one
-// that does not begin.
+// Guards against a call that waits forever for a response that stops half way or never begins.
 TEST_CASE_METHOD(http_large_answer_fixture,
-                 "http call with a stall limit, answer stops, is given up", "[http]") {
+                 "http call with a stall timeout, stalled response, is aborted", "[http]") {
   link_rule rule;
   rule.silent_after_bytes = GENERATE(0, 100'000);
   proxy_.SetRule(link_, rule);
@@ -123,9 +122,9 @@
   CHECK(result.body.size() < kBytes);
 }
 
-// An entry that ends answers its last caller and stops its server. An answer that is given is not
-// yet sent: stopped too soon, the caller finds its connection closed and knows nothing.
-TEST_CASE("http server, stopped when nothing waits, has sent its last answer", "[http]") {
+// Guards against losing the last response at shutdown: a server that stops after Respond() but
+// before the response is sent closes the connection without an answer.
+TEST_CASE("http server, stopped when no request waits, has sent its last response", "[http]") {
   constexpr int kRounds = 100;
   int answered = 0;
   for (int round = 0; round < kRounds; ++round) {
@@ -147,10 +146,10 @@
   CHECK(answered == kRounds);
 }
 
-// An entry is stopped with a request under way that takes longer than it may wait. "Shutting down"
-// would be read as "not run", and the work is running.
-TEST_CASE_METHOD(http_echo_fixture, "http call, server stopped meanwhile, may have been done",
-                 "[http]") {
+// Guards against an entry that stops with a request in flight and answers "shutting down", which
+// means not run, although the work is running.
+TEST_CASE_METHOD(http_echo_fixture,
+                 "http call, server stopped during the call, may have been executed", "[http]") {
   for (int round = 0; round < 20; ++round) {
     http_server server({}, [](http_server::token, const http_request&) {});
     REQUIRE(server.Start());
@@ -165,7 +164,7 @@
   }
 }
 
-TEST_CASE_METHOD(http_echo_fixture, "http call, nobody listens, was surely not sent", "[http]") {
+TEST_CASE_METHOD(http_echo_fixture, "http call, no listener, was not sent", "[http]") {
   const std::string url = Url("/a");
   server_->Stop();
   CHECK(client_.SendAndWait({"POST", url, "x"}).status == transfer_status::kNotSent);
@@ -185,7 +184,7 @@
   CHECK(client_.SendAndWait(call).status == transfer_status::kNotSent);
 }
 
-TEST_CASE("peer response, not one of JSON-RPC or an error of it, gives no answer", "[rpc]") {
+TEST_CASE("peer response, invalid or an error, yields no answer", "[rpc]") {
   std::string answer = "before";
   CHECK_FALSE(DecodeRpcResponse("", answer));
   CHECK_FALSE(DecodeRpcResponse("<html>", answer));
--- a/test/peer_auth_test.cc
+++ b/test/peer_auth_test.cc
@@ -38,7 +38,7 @@
     return std::holds_alternative<secret_fault>(read) ? std::get<secret_fault>(read)
                                                       : secret_fault::kNone;
   }
-  // Whether what an entry with `sender` sends is taken by one with `receiver`.
+  // Whether an entry with secrets `receiver` accepts a batch from one with secrets `sender`.
   static bool Passes(const std::string& sender, const std::string& receiver) {
     peer_auth from;
     peer_auth to;
@@ -50,9 +50,9 @@
 
 }  // namespace
 
-// An operator replaces the secret entry by entry. At no step may two entries that stand at
-// neighbouring steps refuse each other, in either direction: it would look like a partition.
-TEST_CASE_METHOD(peer_auth_fixture, "peer secrets, replaced step by step, refuse no neighbour",
+// Guards against an apparent partition during a secret rotation: while an operator replaces the
+// secret entry by entry, entries at adjacent steps must accept each other in both directions.
+TEST_CASE_METHOD(peer_auth_fixture, "peer secrets, replaced step by step, accept adjacent steps",
                  "[peer_auth]") {
   const std::vector<std::string> steps = {
       "", kOld + "\nunsigned", kOld, kOld + "\n" + kNew, kNew + "\n" + kOld, kNew + "\n"};
@@ -65,8 +65,8 @@
   }
 }
 
-// A stranger reaches the peer port, or an entry was left out of a rotation.
-TEST_CASE_METHOD(peer_auth_fixture, "peer secrets, wrong, old or missing, are refused",
+// Guards against accepting batches from outsiders or from an entry that missed a rotation.
+TEST_CASE_METHOD(peer_auth_fixture, "peer secrets, wrong, old or missing, are rejected",
                  "[peer_auth]") {
   CHECK_FALSE(Passes(kOld, kNew));
   CHECK_FALSE(Passes("", kNew));
@@ -75,7 +75,7 @@
   auth.Set(Read(kNew));
   const std::string signed_text = auth.Sign("e1", kBatch);
   CHECK(auth.Verify("e1", signed_text) == kBatch);
-  CHECK_FALSE(auth.Verify("e2", signed_text).has_value());  // meant for another entry
+  CHECK_FALSE(auth.Verify("e2", signed_text).has_value());  // addressed to another entry
   for (const size_t at : {size_t{0}, size_t{63}, size_t{64}, signed_text.size() - 1}) {
     std::string changed = signed_text;
     changed[at] = changed[at] == '0' ? '1' : '0';
@@ -87,7 +87,7 @@
   CHECK(auth.Refused() == 8);
 }
 
-TEST_CASE_METHOD(peer_auth_fixture, "peer secrets, file not good, names what is wrong",
+TEST_CASE_METHOD(peer_auth_fixture, "peer secrets, invalid file, reports the fault",
                  "[peer_auth]") {
   CHECK(FaultOf("") == secret_fault::kEmpty);
   CHECK(FaultOf("unsigned\n") == secret_fault::kEmpty);
@@ -97,7 +97,7 @@
   peer_auth auth;
   auth.Set(Read(kOld));
   CHECK(auth.SetFromFile("/nonexistent") == secret_fault::kMissingFile);
-  CHECK(auth.Verify("e1", auth.Sign("e1", kBatch)).has_value());  // the one before stays
+  CHECK(auth.Verify("e1", auth.Sign("e1", kBatch)).has_value());  // the previous secret stays
 }
 
 namespace {
@@ -130,7 +130,7 @@
     call.timeout = kLimit;
     return http_.SendAndWait(call);
   }
-  // What a stranger sends to the peer port, and what he is answered.
+  // Sends a text to the peer port and returns the answer.
   std::string Deliver(size_t slot, const std::string& text) {
     http_call call{"POST", absl::StrCat("http://127.0.0.1:", fleet_.Entry(slot).peer_port),
                    EncodeRpcRequest("deliver", text)};
@@ -138,7 +138,7 @@
     DecodeRpcResponse(http_.SendAndWait(call).body, answer);
     return answer;
   }
-  // Whether the entry says in its log that it has read the file that often.
+  // Whether the entry logs `times` reads of the secret file within the limit.
   bool HasRead(size_t slot, size_t times) {
     const auto until = std::chrono::steady_clock::now() + kLimit;
     while (std::chrono::steady_clock::now() < until) {
@@ -171,9 +171,9 @@
 
 }  // namespace
 
-// A stranger who reaches the peer port sends a configuration of a higher version in which he is the
-// operator. Taken, the whole fleet would be his.
-TEST_CASE_METHOD(signed_fleet_fixture, "peer port, configuration without signature, is not taken",
+// Guards against a takeover of the fleet: an outsider sends the peer port an unsigned configuration
+// of a higher version that makes him its operator.
+TEST_CASE_METHOD(signed_fleet_fixture, "peer port, unsigned configuration, is rejected",
                  "[peer_auth][fleet]") {
   REQUIRE(started_);
   const std::string forged =
@@ -184,9 +184,9 @@
   CHECK(Submit(0).code == 200);
 }
 
-// The secret is replaced while callers submit at all entries. Each request must be answered as
-// always; entries that refuse each other would show as unreachable shards.
-TEST_CASE_METHOD(signed_fleet_fixture, "peer secrets, replaced under load, cut nobody off",
+// Guards against rejected peer calls during a secret rotation under load, which would show as
+// unreachable shards and unanswered requests.
+TEST_CASE_METHOD(signed_fleet_fixture, "peer secrets, replaced under load, reject no entry",
                  "[peer_auth][fleet]") {
   REQUIRE(started_);
   size_t read = 1;
@@ -197,7 +197,7 @@
       fleet_.Entry(i).process.Signal(SIGHUP);
       for (int n = 0; n < 10; ++n) CHECK(Submit((i + n) % fleet_.Entries()).code == 200);
     }
-    // The step is over on all entries before the next one begins.
+    // All entries complete the step before the next one begins.
     ++read;
     for (size_t i = 0; i < fleet_.Entries(); ++i) {
       CHECK(HasRead(i, read));
--- a/test/tls_test.cc
+++ b/test/tls_test.cc
@@ -37,7 +37,7 @@
   return text;
 }
 
-// A certificate for 127.0.0.1 that signs itself, with a new key.
+// A self-signed certificate for 127.0.0.1 with a new key.
 pem_pair MakeCertificate() {
   gnutls_x509_privkey_t key = nullptr;
   gnutls_x509_privkey_init(&key);
@@ -86,7 +86,7 @@
   }
 
  protected:
-  // A fresh caller that trusts only this certificate.
+  // Calls with a new client that trusts only this certificate.
   static http_result CallPort(uint16_t port, const pem_pair& pair, const std::string& path,
                               const std::string& scheme = "https") {
     const std::string file =
@@ -119,14 +119,14 @@
   CHECK(result.body == "hello");
 }
 
-TEST_CASE_METHOD(tls_fixture, "tls, certificate of another, nothing is sent", "[tls]") {
+TEST_CASE_METHOD(tls_fixture, "tls, untrusted certificate, nothing is sent", "[tls]") {
   CHECK(CallTrusting(second_).status == transfer_status::kNotSent);
   CHECK(CallTrusting(first_, "http").status != transfer_status::kDone);
 }
 
-// A certificate is about to end and is replaced while the entry serves callers. Without a reload
-// the entry would have to be restarted, or callers would be turned away when the old one ends.
-TEST_CASE_METHOD(tls_fixture, "tls, certificate replaced, new connections get the new one",
+// Guards against having to restart an entry when its certificate expires: the certificate is
+// replaced while the entry serves callers.
+TEST_CASE_METHOD(tls_fixture, "tls, certificate replaced, new connections use the new one",
                  "[tls]") {
   REQUIRE(server_->SetCertificate(second_.certificate, second_.key) == tls_fault::kNone);
   CHECK(CallTrusting(second_).body == "hello");
@@ -142,7 +142,7 @@
 
 namespace {
 
-// A real entry that serves callers by TLS, with its files in a directory of the build.
+// A real entry that serves callers over TLS, with its files in the build directory.
 class tls_daemon_fixture : public tls_fixture {
  public:
   tls_daemon_fixture() {
@@ -179,7 +179,7 @@
         {absl::StrCat(CATKINFORD_BIN_DIR, "/catkinfordd"), "--settings", File("settings.json")},
         File("log"));
   }
-  // Asks until the entry answers callers that trust this certificate.
+  // Polls until the entry answers callers that trust this certificate.
   bool EventuallyAnswers(const pem_pair& trusted) const {
     const auto give_up = std::chrono::steady_clock::now() + std::chrono::seconds{30};
     while (std::chrono::steady_clock::now() < give_up) {
@@ -196,13 +196,14 @@
 
 }  // namespace
 
-// The certificate's files of a running entry are replaced and it is told by SIGHUP. Callers that
-// trust only the new one must be answered, by the same process.
-TEST_CASE_METHOD(tls_daemon_fixture, "tls, entry told by SIGHUP, takes the new files", "[tls]") {
+// Guards against a failed certificate reload: the files of a running entry are replaced, and after
+// SIGHUP the same process must answer callers that trust only the new certificate.
+TEST_CASE_METHOD(tls_daemon_fixture,
+                 "tls, SIGHUP after the files changed, loads the new certificate", "[tls]") {
   REQUIRE(Start());
   REQUIRE(EventuallyAnswers(first_));
   Write("cert.pem", second_.certificate);
-  daemon_.Signal(SIGHUP);  // certificate and key do not belong together: the old one stays
+  daemon_.Signal(SIGHUP);  // certificate and key do not match: the old certificate stays
   REQUIRE(EventuallyAnswers(first_));
   Write("key.pem", second_.key);
   daemon_.Signal(SIGHUP);
@@ -212,7 +213,7 @@
   CHECK(daemon_.WaitFor(std::chrono::seconds{30}) == 0);
 }
 
-// An entry that fell back to plain HTTP would send keys in the clear, and nobody would notice.
+// Guards against a silent fallback to plain HTTP, which would send keys in clear text.
 TEST_CASE_METHOD(tls_daemon_fixture, "tls, entry without a usable certificate, does not start",
                  "[tls]") {
   Write("key.pem", "no key");
--- a/test/traffic_counter_test.cc
+++ b/test/traffic_counter_test.cc
@@ -5,15 +5,15 @@
 namespace catkinford {
 namespace {
 
-// Guards against a metric with a value for each job.
-TEST_CASE("traffic meter, paths with identities, are counted by their kind") {
+// Guards against a metric with one value per job.
+TEST_CASE("traffic counter, paths with identifiers, are counted by kind") {
   CHECK(KindOfCall("http://10.0.0.1:80/peer/state?id=7") == "peer/state");
   CHECK(KindOfCall("http://10.0.0.1:80/v1/keep/123/more") == "v1/keep");
   CHECK(KindOfCall("http://10.0.0.1:80/health") == "health");
   CHECK(KindOfCall("http://10.0.0.1:80").empty());
 }
 
-TEST_CASE("traffic meter, taken, begins anew while the totals go on") {
+TEST_CASE("traffic counter, after Take, restarts at zero and keeps the totals") {
   traffic_counter counter;
   counter.Count("http://a/x/y?1", 10, 20);
   counter.Count("http://b/x/y?2", 1, 2);
