--- a/src/connection/http_client.h
+++ b/src/connection/http_client.h
@@ -34,8 +34,7 @@
   std::chrono::milliseconds stall_timeout{0};
   bool fresh_connection = false;  // bypasses pooled connections, which may be dead
   std::vector<std::pair<std::string, std::string>> headers;  // additional ones: name and value
-  std::shared_ptr<std::atomic<uint64_t>>
-      received_bytes;  // counts the answer's bytes; null: nobody asks
+  std::shared_ptr<std::atomic<uint64_t>> received_bytes;  // counts the response bytes; may be null
 };
 
 struct http_result {
--- a/src/connection/store_types.h
+++ b/src/connection/store_types.h
@@ -25,8 +25,7 @@
 struct read_options {
   bool fresh_connection = false;  // bypasses pooled connections, which may be dead
   bool limit_total_time = false;  // the timeout applies to the entire call, despite progress
-  std::shared_ptr<std::atomic<uint64_t>>
-      received_bytes;  // counts the answer's bytes; null: nobody asks
+  std::shared_ptr<std::atomic<uint64_t>> received_bytes;  // counts the response bytes; may be null
 };
 
 struct store_item {
