--- a/src/connection/recent_delay.h
+++ b/src/connection/recent_delay.h
@@ -1,4 +1,4 @@
-// The longest of recent delays, over the last half second to second.
+// Sliding maximum of recent delays, over the last 0.5 s to 1 s.
 #ifndef CATKINFORD_CONNECTION_RECENT_DELAY_H_
 #define CATKINFORD_CONNECTION_RECENT_DELAY_H_
 
@@ -9,29 +9,29 @@
 
 namespace catkinford {
 
-// One thread notes, any may ask.
+// Record() is called by one thread, Max() by any.
 class recent_delay {
  public:
   using time_point = std::chrono::steady_clock::time_point;
 
-  void Note(std::chrono::milliseconds delay, time_point now) {
-    if (now - since_ > kWindow) {
-      earlier_ = now - since_ > 2 * kWindow ? 0 : latest_.load();
-      latest_ = 0;
-      since_ = now;
+  void Record(std::chrono::milliseconds delay, time_point now) {
+    if (now - window_start_ > kWindow) {
+      previous_max_ = now - window_start_ > 2 * kWindow ? 0 : current_max_.load();
+      current_max_ = 0;
+      window_start_ = now;
     }
-    latest_ = std::max(latest_.load(), delay.count());
+    current_max_ = std::max(current_max_.load(), delay.count());
   }
-  std::chrono::milliseconds Most() const {
-    return std::chrono::milliseconds(std::max(latest_.load(), earlier_.load()));
+  std::chrono::milliseconds Max() const {
+    return std::chrono::milliseconds(std::max(current_max_.load(), previous_max_.load()));
   }
 
  private:
   static constexpr std::chrono::milliseconds kWindow{500};
 
-  time_point since_{};
-  std::atomic<int64_t> latest_{0};   // of the window that began at `since_`, in ms
-  std::atomic<int64_t> earlier_{0};  // of the one before
+  time_point window_start_{};
+  std::atomic<int64_t> current_max_{0};   // of the window that began at `window_start_`, in ms
+  std::atomic<int64_t> previous_max_{0};  // of the previous window, in ms
 };
 
 }  // namespace catkinford
--- a/src/process/peer_mailbox.cc
+++ b/src/process/peer_mailbox.cc
@@ -61,7 +61,7 @@
 
 std::string peer_mailbox::Receive(const std::string& text) {
   counters_.bytes_received += text.size();
-  const std::optional<std::string> batch = auth_.Open(own_name_, text);
+  const std::optional<std::string> batch = auth_.Verify(own_name_, text);
   if (!batch) return kRejected;
   std::vector<peer_message> messages = DecodeBatch(*batch);
   const bool wants_reply = std::any_of(messages.begin(), messages.end(), WantsReply);
@@ -70,7 +70,7 @@
   std::optional<heartbeat_message> reply;
   if (wants_reply) reply = reply_();
   if (!reply) return kAccepted;
-  std::string answer = auth_.Seal(from, EncodeBatch(own_name_, {*std::move(reply)}));
+  std::string answer = auth_.UpdateSignature(from, EncodeBatch(own_name_, {*std::move(reply)}));
   counters_.bytes_sent += answer.size();
   return answer;
 }
@@ -78,7 +78,7 @@
 void peer_mailbox::ApplyAnswer(const std::string& answer) {
   if (answer == kAccepted) return;
   counters_.bytes_received += answer.size();
-  const std::optional<std::string> batch = auth_.Open(own_name_, answer);
+  const std::optional<std::string> batch = auth_.Verify(own_name_, answer);
   if (batch) received_(DecodeBatch(*batch));
 }
 
@@ -153,7 +153,7 @@
 }
 
 void peer_mailbox::Deliver(const delivery_ptr& next) {
-  next->text = auth_.Seal(next->name, EncodeBatch(own_name_, next->batch));
+  next->text = auth_.UpdateSignature(next->name, EncodeBatch(own_name_, next->batch));
   ++counters_.batches_sent;
   counters_.messages_sent += next->batch.size();
   Try(next);
@@ -164,9 +164,9 @@
 void peer_mailbox::Try(const delivery_ptr& next) {
   counters_.bytes_sent += next->text.size();
   next->begun = steady_clock::now();
-  http_call call{"POST", next->to->address, RpcRequestText("deliver", next->text)};
+  http_call call{"POST", next->to->address, EncodeRpcRequest("deliver", next->text)};
   call.timeout = call_timeout_;
-  call.stall = call_timeout_;
+  call.stall_timeout = call_timeout_;
   call.fresh_connection = next->is_retry;
   client_.Send(std::move(call),
                [this, next](const http_result& result) { OnResult(next, result); });
@@ -174,7 +174,8 @@
 
 void peer_mailbox::OnResult(const delivery_ptr& done, const http_result& result) {
   std::string answer;
-  const bool read = result.status == transfer_status::kDone && ReadRpcResponse(result.body, answer);
+  const bool read =
+      result.status == transfer_status::kDone && DecodeRpcResponse(result.body, answer);
   const bool answered = read && answer != kRejected;
   // Rejected for its signature: nothing was processed.
   const transfer_status status = read && !answered ? transfer_status::kNotSent : result.status;
--- a/src/process/site/event_loop.h
+++ b/src/process/site/event_loop.h
@@ -42,7 +42,7 @@
   void After(std::chrono::milliseconds delay, work task);
   // On the loop's thread. The maximum recent delay of timers; work posted meanwhile was delayed as
   // much.
-  std::chrono::milliseconds Delay() const { return delay_.Most(); }
+  std::chrono::milliseconds Delay() const { return delay_.Max(); }
   // From any thread but the loop's own; queued work is dropped.
   void Stop();
   // Wraps `done`, which another thread calls, so that it runs on the loop's thread.
--- a/src/process/site/owner_budget.h
+++ b/src/process/site/owner_budget.h
@@ -15,7 +15,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 #include "request/job_request.h"
 
 namespace catkinford {
@@ -24,7 +24,7 @@
  public:
   // `cpu_share`: of one processor.
   owner_budget(double link_mbps, double cpu_share)
-      : bytes_per_second_(link_mbps * kBytesInMegabit), cpu_share_(cpu_share) {}
+      : bytes_per_second_(link_mbps * kBytesPerMegabit), cpu_share_(cpu_share) {}
 
   // `total`: this entry's calls and their bytes since its start.
   void OnTraffic(const traffic& total, monotonic_time now) {
--- a/src/process/site/site_membership.h
+++ b/src/process/site/site_membership.h
@@ -275,8 +275,9 @@
 
   void WatchView(uint64_t after, uint64_t watch) {
     const monotonic_time sent = BootNow();
-    read_way way;
-    way.bounded = true;  // what a next owner may conclude depends on the maximum age of a view
+    read_options way;
+    way.limit_total_time =
+        true;  // what a next owner may conclude depends on the maximum age of a view
     store_.Watch(kSitePrefix, after, watch_wait_,
                  OnLoopUntimed([this, after, watch, sent](const store_reply& reply) {
                    if (watch != watch_id_ || resigning_) return;
--- a/src/process/site/site_node.h
+++ b/src/process/site/site_node.h
@@ -53,7 +53,7 @@
   // `peer_client` makes the calls to other entries, `start_client` those that forward starts, so
   // that neither delays the other; `link` counts the bytes of all calls.
   site_node(site_settings settings, Platform& platform, http_client& peer_client,
-            http_client& start_client, traffic_meter& link);
+            http_client& start_client, traffic_counter& link);
   ~site_node() { Stop(); }
   site_node(const site_node&) = delete;
   site_node& operator=(const site_node&) = delete;
@@ -117,13 +117,13 @@
   void OnOwnershipLost();
   void OnViewChanged();
   void QueryPeer(const site_entry& peer, const std::string& path_and_query, peer_callback done,
-                 byte_counter arrived = nullptr);
+                 byte_counter received_bytes = nullptr);
   void NotifyOwner(const std::string& path_and_query, const std::string& body);
   const site_entry* Owner() const;
   void PhaseFromOwner(const std::string& job, std::function<void(std::optional<graph_phase>)> done);
   void PendingFromOwner(const std::string& queue, std::function<void(std::optional<size_t>)> done);
   peer_version_reply VersionForPeer(const http_request& request);
-  void VersionFromPeer(uint64_t have, bool text, byte_counter arrived,
+  void VersionFromPeer(uint64_t have, bool text, byte_counter received_bytes,
                        const std::function<void(std::optional<peer_version_reply>)>& done);
   void PollPeersOnOutage(const std::function<void(outage_verdict)>& done);
   // Failure detection for the owner's process.
@@ -146,7 +146,7 @@
   site_settings settings_;
   Platform& platform_;
   http_client& peer_client_;
-  traffic_meter& link_;
+  traffic_counter& link_;
   site_metrics metrics_;
   site_log log_;
   event_loop loop_;
@@ -180,7 +180,7 @@
 
 template <site_platform Platform>
 site_node<Platform>::site_node(site_settings settings, Platform& platform, http_client& peer_client,
-                               http_client& start_client, traffic_meter& link)
+                               http_client& start_client, traffic_counter& link)
     : settings_(std::move(settings)),
       platform_(platform),
       peer_client_(peer_client),
@@ -263,9 +263,9 @@
   version_hooks hooks;
   hooks.changed = [this] { OnVersion(); };
   hooks.store_up = [this] { return store_health_.State(BootNow()) == store_state::kUp; };
-  hooks.ask_peer = [this](uint64_t have, bool text, byte_counter arrived,
+  hooks.ask_peer = [this](uint64_t have, bool text, byte_counter received_bytes,
                           const std::function<void(std::optional<peer_version_reply>)>& done) {
-    VersionFromPeer(have, text, std::move(arrived), done);
+    VersionFromPeer(have, text, std::move(received_bytes), done);
   };
   return hooks;
 }
@@ -766,12 +766,12 @@
 
 template <site_platform Platform>
 void site_node<Platform>::QueryPeer(const site_entry& peer, const std::string& path_and_query,
-                                    peer_callback done, byte_counter arrived) {
+                                    peer_callback done, byte_counter received_bytes) {
   http_call call;
   call.url = absl::StrCat("http://", peer.address, path_and_query);
   call.timeout = kPeerTimeout;
-  call.stall = kPeerStall;
-  call.arrived = std::move(arrived);
+  call.stall_timeout = kPeerStall;
+  call.received_bytes = std::move(received_bytes);
   const monotonic_time asked = BootNow();
   peer_client_.Send(std::move(call), [this, asked, name = peer.name,
                                       done = std::move(done)](http_result result) {
@@ -861,7 +861,7 @@
 
 template <site_platform Platform>
 void site_node<Platform>::VersionFromPeer(
-    uint64_t have, bool text, byte_counter arrived,
+    uint64_t have, bool text, byte_counter received_bytes,
     const std::function<void(std::optional<peer_version_reply>)>& done) {
   query_strong_peer_ = !query_strong_peer_;
   const auto peer = PickPeer(membership_.View(), settings_.name, query_strong_peer_,
@@ -872,7 +872,7 @@
       [done](const std::optional<std::string>& answer) {
         done(answer ? PeerVersionReplyFromText(*answer) : std::nullopt);
       },
-      std::move(arrived));
+      std::move(received_bytes));
 }
 
 template <site_platform Platform>
--- a/src/process/site/site_owner.h
+++ b/src/process/site/site_owner.h
@@ -203,10 +203,10 @@
   // may all be dead, and each would cost a timeout.
   void ReadPages(const std::string& prefix, const std::string& after,
                  std::function<void(self_type&, const store_reply&)> take,
-                 std::function<void(self_type&)> done, const read_way& way = {}) {
+                 std::function<void(self_type&)> done, const read_options& way = {}) {
     platform_.Store().Range(prefix, after, OnReply([=](self_type& self, const store_reply& reply) {
                               if (reply.status != store_status::kDone) {
-                                read_way fresh;
+                                read_options fresh;
                                 fresh.fresh_connection = true;
                                 self.RunAfter(kRetry, [=](self_type& again) {
                                   again.ReadPages(prefix, after, take, done, fresh);
@@ -360,7 +360,7 @@
       if (!reply.items.empty() || BootNow() - sent >= kIdleWatchPause) return WatchInbox(next);
       return RunAfter(kIdleWatchPause, [next](self_type& self) { self.WatchInbox(next); });
     }
-    if (reply.status != store_status::kHistoryGone) {
+    if (reply.status != store_status::kHistoryCompacted) {
       return RunAfter(kRetry, [after](self_type& self) { self.WatchInbox(after); });
     }
     // The watch missed changes, so the whole inbox is read again; known jobs are left as they are.
--- a/src/process/site/text_rate_limiter.h
+++ b/src/process/site/text_rate_limiter.h
@@ -7,7 +7,7 @@
 #include <chrono>
 #include <cstddef>
 
-#include "connection/traffic_meter.h"
+#include "connection/traffic_counter.h"
 #include "request/job_request.h"
 
 namespace catkinford {
@@ -15,7 +15,7 @@
 class text_rate_limiter {
  public:
   explicit text_rate_limiter(double link_mbps)
-      : bytes_per_second_(kShare * link_mbps * kBytesInMegabit) {}
+      : bytes_per_second_(kShare * link_mbps * kBytesPerMegabit) {}
 
   // Returns true if `bytes` may be sent now, and then counts them as sent.
   bool Take(size_t bytes, monotonic_time now) {
--- a/src/process/site/version_follower.h
+++ b/src/process/site/version_follower.h
@@ -33,7 +33,7 @@
   std::function<bool()> store_up;
   // Queries another entry for a version newer than `have`, with its text if `text` is set. The
   // callback runs once, with nothing if there is no answer. `arrived` counts bytes received.
-  std::function<void(uint64_t have, bool text, byte_counter arrived,
+  std::function<void(uint64_t have, bool text, byte_counter received_bytes,
                      std::function<void(std::optional<peer_version_reply>)>)>
       ask_peer;
 };
@@ -87,7 +87,7 @@
         return "done";
       case store_status::kAbsent:
         return "absent";
-      case store_status::kHistoryGone:
+      case store_status::kHistoryCompacted:
         return "history_gone";
       case store_status::kUnknown:
         return "broken_off";
@@ -124,9 +124,9 @@
   }
 
   void Send(const version_query& query) {
-    read_way options;
+    read_options options;
     options.fresh_connection = query.fresh_connection;
-    options.arrived = Count(query.id);
+    options.received_bytes = Count(query.id);
     const store_callback done = [this, query](store_reply reply) {
       loop_.Post([this, query, reply = std::move(reply)] {
         received_.erase(query.id);
--- a/src/process/site/version_refresh.cc
+++ b/src/process/site/version_refresh.cc
@@ -95,7 +95,7 @@
   if (!is_main) return;
   // After a long outage a watch would return every version stored meanwhile, one after the other.
   const bool behind = now - as_of_ > propagation_limit_;
-  next_is_read_ = revision_ == 0 || behind || reply.status == store_status::kHistoryGone;
+  next_is_read_ = revision_ == 0 || behind || reply.status == store_status::kHistoryCompacted;
   const bool no_reply = reply.status == store_status::kUnknown;
   next_is_fresh_ = no_reply;
   next_call_at_ = no_reply ? std::max(now, query.sent + kRetryInterval) : now + kRetryInterval;
--- a/test/owner_budget_test.cc
+++ b/test/owner_budget_test.cc
@@ -41,10 +41,10 @@
     owner_budget_fixture,
     "owner budget, burst of wide jobs on a narrow link, busy while half the link is free") {
   owner_budget budget(kNarrowMbps, kFullProcessor);
-  Send(budget, kNarrowMbps * kBytesInMegabit / 10, seconds(3));
+  Send(budget, kNarrowMbps * kBytesPerMegabit / 10, seconds(3));
   CHECK_FALSE(budget.Busy());
   CHECK(budget.ListingPause(kUsualPause) == kUsualPause);
-  Send(budget, kNarrowMbps * kBytesInMegabit / 2, seconds(3));
+  Send(budget, kNarrowMbps * kBytesPerMegabit / 2, seconds(3));
   CHECK(budget.Busy());
   CHECK(budget.ListingPause(kUsualPause) > kUsualPause * 3 / 2);
   CHECK(budget.ListingPause(kUsualPause) <= kUsualPause * 3);
@@ -55,7 +55,7 @@
 // Guards against needless forwarding, which costs each start an extra hop.
 TEST_CASE_METHOD(owner_budget_fixture, "owner budget, same load on a wide link, not busy") {
   owner_budget budget(kWideMbps, kFullProcessor);
-  Send(budget, kNarrowMbps * kBytesInMegabit, seconds(3));
+  Send(budget, kNarrowMbps * kBytesPerMegabit, seconds(3));
   CHECK_FALSE(budget.Busy());
 }
 
@@ -82,7 +82,7 @@
   owner_budget narrow(kNarrowMbps, kFullProcessor);
   constexpr size_t kStartBytes = 1500;
   for (int i = 0; i < 500; ++i) narrow.OnStart(kStartBytes);
-  const auto most = static_cast<uint64_t>(kNarrowMbps * kBytesInMegabit / 10);
+  const auto most = static_cast<uint64_t>(kNarrowMbps * kBytesPerMegabit / 10);
   CHECK(narrow.StartsInFlight(160) * kStartBytes <= most);
   CHECK(narrow.RecordBytesPerCommit() <= most);
   // More of the smaller ones fit.
--- a/test/version_refresh_test.cc
+++ b/test/version_refresh_test.cc
@@ -172,7 +172,7 @@
       if (store != store_mode::kWatchesSilent || mode == store || call.lost || call.arrives ||
           !watch)
         continue;
-      call.reply.status = store_status::kHistoryGone;
+      call.reply.status = store_status::kHistoryCompacted;
       call.arrives = now;
     }
     store = mode;
