--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -324,7 +324,7 @@
 void fleet::Silence(const std::string& link) {
   const std::string prefix = link + ":";
   for (const auto& [name, known] : links_) {
-    if (name.compare(0, prefix.size(), prefix) == 0) proxy_.SilenceOpenConnections(known.index);
+    if (name.compare(0, prefix.size(), prefix) == 0) proxy_.BlackholeOpenConnections(known.index);
   }
 }
 
--- a/bench/scenario_faults.cc
+++ b/bench/scenario_faults.cc
@@ -39,7 +39,7 @@
 
 // A partition either loses what is sent or delivers it late; both happen.
 link_rule PickCut(scenario_run& run) {
-  constexpr std::array kStates = {link_state::kSwallow, link_state::kHold, link_state::kCut};
+  constexpr std::array kStates = {link_state::kBlackhole, link_state::kStall, link_state::kCut};
   link_rule rule;
   rule.state = kStates[run.Random()() % kStates.size()];
   return rule;
--- a/standin/command.cc
+++ b/standin/command.cc
@@ -38,8 +38,8 @@
 namespace catkinford {
 namespace {
 
-constexpr int kBadUse = 2;
-constexpr int kPortTaken = 3;
+constexpr int kUsageError = 2;
+constexpr int kPortInUse = 3;
 constexpr const char* kUsage =
     "Stand-ins for the platform, each a real process that speaks docs/PROTOCOL.md.\n"
     "  catkinford-standin endpoint --names ep-0..ep-16 --port 9101\n"
@@ -47,15 +47,15 @@
     "  catkinford-standin instances --port 9001 --lag_ms 500 --file list.json\n";
 
 // "ep-0..ep-16" gives 17 names; a text without ".." is a name itself.
-void AppendRange(const std::string& text, std::vector<std::string>& names) {
-  const std::vector<std::string> ends = absl::StrSplit(text, "..");
-  const size_t digits_at = ends[0].find_last_not_of("0123456789") + 1;
-  const std::string prefix = ends[0].substr(0, digits_at);
+void AppendNames(const std::string& text, std::vector<std::string>& names) {
+  const std::vector<std::string> range_ends = absl::StrSplit(text, "..");
+  const size_t digits_at = range_ends[0].find_last_not_of("0123456789") + 1;
+  const std::string prefix = range_ends[0].substr(0, digits_at);
   uint32_t first = 0;
   uint32_t last = 0;
-  const bool is_range = ends.size() == 2 && ends[1].size() > digits_at &&
-                        absl::SimpleAtoi(ends[0].substr(digits_at), &first) &&
-                        absl::SimpleAtoi(ends[1].substr(digits_at), &last);
+  const bool is_range = range_ends.size() == 2 && range_ends[1].size() > digits_at &&
+                        absl::SimpleAtoi(range_ends[0].substr(digits_at), &first) &&
+                        absl::SimpleAtoi(range_ends[1].substr(digits_at), &last);
   if (!is_range) {
     names.push_back(text);
     return;
@@ -65,10 +65,10 @@
 
 std::vector<std::string> EndpointNames() {
   std::vector<std::string> names;
-  const std::string given = absl::GetFlag(FLAGS_names);
-  if (!given.empty()) {
-    const std::vector<std::string> parts = absl::StrSplit(given, ',');
-    for (const std::string& part : parts) AppendRange(part, names);
+  const std::string names_flag = absl::GetFlag(FLAGS_names);
+  if (!names_flag.empty()) {
+    const std::vector<std::string> parts = absl::StrSplit(names_flag, ',');
+    for (const std::string& part : parts) AppendNames(part, names);
   }
   for (uint32_t i = 0; i < absl::GetFlag(FLAGS_count); ++i) {
     names.push_back(absl::StrCat(absl::GetFlag(FLAGS_prefix), "-", i));
@@ -85,20 +85,20 @@
 }
 
 template <typename Server>
-int Serve(Server& server, const sigset_t& ending) {
+int Serve(Server& server, const sigset_t& stop_signals) {
   if (!server.Start()) {
     std::fprintf(stderr, "port is taken\n");
-    return kPortTaken;
+    return kPortInUse;
   }
   std::printf("ready %u\n", static_cast<unsigned>(server.Port()));
   std::fflush(stdout);
   int signal = 0;
-  sigwait(&ending, &signal);
+  sigwait(&stop_signals, &signal);
   server.Stop();
   return 0;
 }
 
-int RunEndpoints(uint16_t port, const sigset_t& ending) {
+int RunEndpoints(uint16_t port, const sigset_t& stop_signals) {
   endpoint_server_options options;
   options.port = port;
   options.names = EndpointNames();
@@ -106,56 +106,56 @@
   options.incarnation = absl::GetFlag(FLAGS_incarnation);
   if (options.names.empty() || !ParseShape(absl::GetFlag(FLAGS_shape), options.shape)) {
     std::fprintf(stderr, "endpoint: --names or --count, and a --shape of four numbers, please\n");
-    return kBadUse;
+    return kUsageError;
   }
   endpoint_server server(std::move(options));
-  return Serve(server, ending);
+  return Serve(server, stop_signals);
 }
 
-int RunStore(uint16_t port, const sigset_t& ending) {
+int RunStore(uint16_t port, const sigset_t& stop_signals) {
   store_options options;
   options.read_rate = absl::GetFlag(FLAGS_read_rate);
   options.write_rate = absl::GetFlag(FLAGS_write_rate);
   options.freeze_leases_while_down = absl::GetFlag(FLAGS_freeze_leases);
   options.seed = absl::GetFlag(FLAGS_seed);
   store_server server(port, options);
-  return Serve(server, ending);
+  return Serve(server, stop_signals);
 }
 
-int RunInstances(uint16_t port, const sigset_t& ending) {
+int RunInstances(uint16_t port, const sigset_t& stop_signals) {
   nlohmann::json instances = nlohmann::json::array();
   if (const std::string file = absl::GetFlag(FLAGS_file); !file.empty()) {
     std::ifstream in(file);
-    const nlohmann::json read = nlohmann::json::parse(in, nullptr, false, true);
-    instances = read.is_object() ? ChildOf(read, "instances") : read;
+    const nlohmann::json parsed = nlohmann::json::parse(in, nullptr, false, true);
+    instances = parsed.is_object() ? ChildOf(parsed, "instances") : parsed;
     if (!instances.is_array()) {
       std::fprintf(stderr, "instances: --file does not hold a list\n");
-      return kBadUse;
+      return kUsageError;
     }
   }
   instance_server server(port, std::chrono::milliseconds{absl::GetFlag(FLAGS_lag_ms)},
                          std::move(instances));
-  return Serve(server, ending);
+  return Serve(server, stop_signals);
 }
 
 }  // namespace
 
 int RunStandin(int argc, char** argv) {
   absl::SetProgramUsageMessage(kUsage);
-  const std::vector<char*> words = absl::ParseCommandLine(argc, argv);
-  const std::string kind = words.size() > 1 ? words[1] : "";
+  const std::vector<char*> positional = absl::ParseCommandLine(argc, argv);
+  const std::string subcommand = positional.size() > 1 ? positional[1] : "";
   // Blocked before any thread starts, so that sigwait() alone gets them.
-  sigset_t ending;
-  sigemptyset(&ending);
-  sigaddset(&ending, SIGTERM);
-  sigaddset(&ending, SIGINT);
-  pthread_sigmask(SIG_BLOCK, &ending, nullptr);
+  sigset_t stop_signals;
+  sigemptyset(&stop_signals);
+  sigaddset(&stop_signals, SIGTERM);
+  sigaddset(&stop_signals, SIGINT);
+  pthread_sigmask(SIG_BLOCK, &stop_signals, nullptr);
   const auto port = static_cast<uint16_t>(absl::GetFlag(FLAGS_port));
-  if (kind == "endpoint") return RunEndpoints(port, ending);
-  if (kind == "store") return RunStore(port, ending);
-  if (kind == "instances") return RunInstances(port, ending);
+  if (subcommand == "endpoint") return RunEndpoints(port, stop_signals);
+  if (subcommand == "store") return RunStore(port, stop_signals);
+  if (subcommand == "instances") return RunInstances(port, stop_signals);
   std::fputs(kUsage, stderr);
-  return kBadUse;
+  return kUsageError;
 }
 
 }  // namespace catkinford
--- a/standin/endpoint_model.cc
+++ b/standin/endpoint_model.cc
@@ -11,13 +11,14 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kStopTime{5};         // from a stop to the end of the task
-constexpr milliseconds kLongestWait{60000};  // of one sync
-constexpr milliseconds kDropHeld{30000};  // how long the connection of an unanswered call is kept
-constexpr milliseconds kUsageLag{500};    // usage reports are about this old
-constexpr size_t kWorkLength = 64;        // of the caller's own mark that goes into the record
+constexpr milliseconds kStopDuration{5};     // from a stop to the end of the task
+constexpr milliseconds kMaxSyncWait{60000};  // of one sync
+constexpr milliseconds kUnansweredHoldTime{
+    30000};                                 // how long the connection of an unanswered call is kept
+constexpr milliseconds kUsageAge{500};      // usage reports are about this old
+constexpr size_t kMaxWorkLabelLength = 64;  // of the caller's own mark that goes into the record
 constexpr milliseconds kDefaultLease{10000};
-constexpr milliseconds kDefaultRetain{30000};
+constexpr milliseconds kDefaultRetention{30000};
 
 nlohmann::json StatusOf(const std::string& id, const nlohmann::json& spec, const char* state) {
   nlohmann::json status = ToJson(ResourcesOf(spec));
@@ -53,20 +54,20 @@
 
 void endpoint_model::Handle(const std::string& verb, http_server::token token,
                             const nlohmann::json& body, monotonic_time now, due_replies& replies) {
-  if (Deaf()) return Drop(token, 503, now);
+  if (Unresponsive()) return HoldUnanswered(token, 503, now);
   Tick(now, replies);
   if (waiting_.size() >= options_.connections) {
     replies.emplace_back(token, ErrorReply(503, "connections"));
     return;
   }
   if (verb == "sync") return Sync(token, body, now, replies);
-  http_response answer = Answer(verb, body, now, replies);
-  if (mode_ == endpoint_mode::kLoseReplies) return Drop(token, 504, now);
+  http_response answer = Dispatch(verb, body, now, replies);
+  if (mode_ == endpoint_mode::kLoseReplies) return HoldUnanswered(token, 504, now);
   replies.emplace_back(token, std::move(answer));
 }
 
-http_response endpoint_model::Answer(const std::string& verb, const nlohmann::json& body,
-                                     monotonic_time now, due_replies& replies) {
+http_response endpoint_model::Dispatch(const std::string& verb, const nlohmann::json& body,
+                                       monotonic_time now, due_replies& replies) {
   if (verb == "list") return List(now);
   const auto epoch = static_cast<uint64_t>(IntOf(body, "epoch", 0));
   if (Fenced(epoch)) {
@@ -130,7 +131,7 @@
   nlohmann::json results = nlohmann::json::array();
   for (const nlohmann::json& task : ChildOf(body, "tasks")) {
     const std::string id = TextOf(task, "id", "");
-    const std::string result = StartOne(task, epoch, now);
+    const std::string result = StartTask(task, epoch, now);
     if (result != "started") Record(now, "refuse", id, epoch, task, result);
     results.push_back({{"id", id}, {"result", result}});
   }
@@ -138,10 +139,10 @@
   return JsonReply(200, {{"results", std::move(results)}});
 }
 
-std::string endpoint_model::StartOne(const nlohmann::json& task, uint64_t epoch,
-                                     monotonic_time now) {
+std::string endpoint_model::StartTask(const nlohmann::json& task, uint64_t epoch,
+                                      monotonic_time now) {
   const std::string id = TextOf(task, "id", "");
-  if (running_.contains(id) || finished_at_.contains(id)) return "already";
+  if (running_.contains(id) || finished_seq_.contains(id)) return "already";
   if (IntOf(task, "not_after_ms", 1) <= 0) return "late";
   if (mode_ == endpoint_mode::kBroken) return "broken";
   const resources amount = ResourcesOf(task);
@@ -151,7 +152,7 @@
   running_task run;
   run.spec = task;
   run.spec.erase("payload");
-  run.spec["work"] = TextOf(work, "echo", "").substr(0, kWorkLength);
+  run.spec["work"] = TextOf(work, "echo", "").substr(0, kMaxWorkLabelLength);
   run.amount = amount;
   run.epoch = epoch;
   run.started = now;
@@ -161,9 +162,9 @@
   run.ends = mode_ == endpoint_mode::kFailAll
                  ? now
                  : now + MillisecondsOf(work, "run_ms", milliseconds{0});
-  run.checkpoint = MillisecondsOf(work, "checkpoint_ms", kStopTime);
+  run.checkpoint = MillisecondsOf(work, "checkpoint_ms", kStopDuration);
   run.lease_until = now + MillisecondsOf(task, "lease_ms", kDefaultLease);
-  run.retain = MillisecondsOf(task, "retain_ms", kDefaultRetain);
+  run.retention = MillisecondsOf(task, "retain_ms", kDefaultRetention);
   used_ += amount;
   Record(now, "start", id, epoch, run.spec, "started");
   running_.emplace(id, std::move(run));
@@ -178,13 +179,13 @@
     const char* result = "absent";
     if (const auto found = running_.find(id); found != running_.end()) {
       running_task& run = found->second;
-      const monotonic_time stopped = now + (checkpoint ? run.checkpoint : kStopTime);
+      const monotonic_time stopped = now + (checkpoint ? run.checkpoint : kStopDuration);
       if (stopped < run.ends) {
         run.ends = stopped;
         run.result = checkpoint ? "checkpointed" : "stopped";
       }
       result = "stopping";
-    } else if (finished_at_.contains(id)) {
+    } else if (finished_seq_.contains(id)) {
       result = "finished";
     }
     results.push_back({{"id", id}, {"result", result}});
@@ -208,16 +209,17 @@
   }
   RaiseEpoch(epoch, replies);
   // A cursor of another life says nothing about this one.
-  const bool same_life = static_cast<uint64_t>(IntOf(body, "incarnation", 0)) == incarnation_;
-  const uint64_t cursor = same_life ? static_cast<uint64_t>(IntOf(body, "cursor", 0)) : 0;
+  const bool same_incarnation =
+      static_cast<uint64_t>(IntOf(body, "incarnation", 0)) == incarnation_;
+  const uint64_t cursor = same_incarnation ? static_cast<uint64_t>(IntOf(body, "cursor", 0)) : 0;
   Acknowledge(cursor);
-  Forget(now);
+  EvictFinished(now);
   const monotonic_time lease_until = now + MillisecondsOf(body, "lease_ms", kDefaultLease);
   for (auto& [id, task] : running_) task.lease_until = std::max(task.lease_until, lease_until);
-  if (mode_ == endpoint_mode::kLoseReplies) return Drop(token, 504, now);
+  if (mode_ == endpoint_mode::kLoseReplies) return HoldUnanswered(token, 504, now);
   const milliseconds wait =
-      std::min(MillisecondsOf(body, "wait_ms", milliseconds{0}), kLongestWait);
-  if (!same_life || last_seq_ > cursor || wait <= milliseconds{0}) {
+      std::min(MillisecondsOf(body, "wait_ms", milliseconds{0}), kMaxSyncWait);
+  if (!same_incarnation || last_seq_ > cursor || wait <= milliseconds{0}) {
     replies.emplace_back(token, SyncReply(cursor, now));
     return;
   }
@@ -243,7 +245,7 @@
                          {"usage",
                           {{"cpu_milli", used_.cpu_milli},
                            {"memory_mb", used_.memory_mb},
-                           {"age_ms", kUsageLag.count()}}},
+                           {"age_ms", kUsageAge.count()}}},
                          {"leaving", mode_ == endpoint_mode::kLeaving}});
 }
 
@@ -251,15 +253,15 @@
   acknowledged_ = std::max(acknowledged_, std::min(cursor, last_seq_));
 }
 
-void endpoint_model::Forget(monotonic_time now) {
+void endpoint_model::EvictFinished(monotonic_time now) {
   while (!finished_.empty() && finished_.front().seq <= acknowledged_ &&
-         finished_.front().forget_at <= now) {
-    finished_at_.erase(finished_.front().id);
+         finished_.front().evictable_at <= now) {
+    finished_seq_.erase(finished_.front().id);
     finished_.pop_front();
   }
 }
 
-void endpoint_model::AnswerWaiting(monotonic_time now, due_replies& replies) {
+void endpoint_model::AnswerWaitingSyncs(monotonic_time now, due_replies& replies) {
   std::erase_if(waiting_, [&](const waiting_sync& sync) {
     if (last_seq_ <= sync.cursor && sync.until > now) return false;
     replies.emplace_back(sync.token, SyncReply(sync.cursor, now));
@@ -267,7 +269,8 @@
   });
 }
 
-void endpoint_model::End(const std::string& id, const std::string& result, monotonic_time now) {
+void endpoint_model::FinishTask(const std::string& id, const std::string& result,
+                                monotonic_time now) {
   const auto found = running_.find(id);
   running_task task = std::move(found->second);
   running_.erase(found);
@@ -275,27 +278,27 @@
   Record(now, "end", id, task.epoch, task.spec, result);
   finished_.push_back({id, ++last_seq_, result, std::move(task.answer),
                        MillisecondsBetween(task.started, now), std::move(task.spec),
-                       now + task.retain});
-  finished_at_[id] = last_seq_;
+                       now + task.retention});
+  finished_seq_[id] = last_seq_;
 }
 
 void endpoint_model::Tick(monotonic_time now, due_replies& replies) {
-  std::erase_if(dropped_, [&](const dropped_call& call) {
-    if (call.free_at > now) return false;
+  std::erase_if(unanswered_, [&](const unanswered_call& call) {
+    if (call.respond_at > now) return false;
     replies.emplace_back(call.token, ErrorReply(call.status, "dropped"));
     return true;
   });
-  std::vector<std::pair<monotonic_time, std::string>> over;
+  std::vector<std::pair<monotonic_time, std::string>> due_tasks;
   for (const auto& [id, task] : running_) {
     const monotonic_time end = std::min(task.ends, task.lease_until);
-    if (end <= now) over.emplace_back(end, id);
+    if (end <= now) due_tasks.emplace_back(end, id);
   }
-  std::sort(over.begin(), over.end());
-  for (const auto& [end, id] : over) {
+  std::sort(due_tasks.begin(), due_tasks.end());
+  for (const auto& [end, id] : due_tasks) {
     const running_task& task = running_.at(id);
-    End(id, task.lease_until < task.ends ? "lease_lapsed" : task.result, now);
+    FinishTask(id, task.lease_until < task.ends ? "lease_lapsed" : task.result, now);
   }
-  if (!Deaf()) AnswerWaiting(now, replies);
+  if (!Unresponsive()) AnswerWaitingSyncs(now, replies);
 }
 
 monotonic_time endpoint_model::NextWake() const {
@@ -304,12 +307,12 @@
     next = std::min(next, std::min(task.ends, task.lease_until));
   }
   for (const waiting_sync& sync : waiting_) next = std::min(next, sync.until);
-  for (const dropped_call& call : dropped_) next = std::min(next, call.free_at);
+  for (const unanswered_call& call : unanswered_) next = std::min(next, call.respond_at);
   return next;
 }
 
-void endpoint_model::Drop(http_server::token token, int status, monotonic_time now) {
-  dropped_.push_back({token, now + kDropHeld, status});
+void endpoint_model::HoldUnanswered(http_server::token token, int status, monotonic_time now) {
+  unanswered_.push_back({token, now + kUnansweredHoldTime, status});
 }
 
 void endpoint_model::SetMode(endpoint_mode mode, monotonic_time now, due_replies& replies) {
@@ -318,11 +321,11 @@
   if (mode == endpoint_mode::kDead) {
     std::vector<std::string> ids;
     for (const auto& [id, task] : running_) ids.push_back(id);
-    for (const std::string& id : ids) End(id, "killed", now);
+    for (const std::string& id : ids) FinishTask(id, "killed", now);
   }
   if (mode == endpoint_mode::kDead || mode == endpoint_mode::kSilent ||
       mode == endpoint_mode::kLoseReplies) {
-    for (const waiting_sync& sync : waiting_) Drop(sync.token, 503, now);
+    for (const waiting_sync& sync : waiting_) HoldUnanswered(sync.token, 503, now);
     waiting_.clear();
   }
   if (mode_ == endpoint_mode::kDead) {
@@ -332,11 +335,11 @@
     last_seq_ = 0;
     acknowledged_ = 0;
     finished_.clear();
-    finished_at_.clear();
+    finished_seq_.clear();
   }
   mode_ = mode;
   Record(now, mode == endpoint_mode::kLeaving ? "leaving" : "mode", "", epoch_, {}, "");
-  AnswerWaiting(now, replies);
+  AnswerWaitingSyncs(now, replies);
 }
 
 }  // namespace catkinford
--- a/standin/endpoint_model.h
+++ b/standin/endpoint_model.h
@@ -62,7 +62,7 @@
     monotonic_time started;
     monotonic_time ends;
     monotonic_time lease_until;
-    std::chrono::milliseconds retain{0};
+    std::chrono::milliseconds retention{0};
     std::chrono::milliseconds checkpoint{0};  // how long it would write at one
     std::string result;                       // with which it will end
     std::string answer;
@@ -74,7 +74,7 @@
     std::string answer;
     int64_t ran_ms = 0;
     nlohmann::json spec;
-    monotonic_time forget_at;
+    monotonic_time evictable_at;
   };
   struct waiting_sync {
     http_server::token token = 0;
@@ -83,31 +83,33 @@
     monotonic_time until;
   };
   // A call that is never answered in time: held so that its connection can be freed later.
-  struct dropped_call {
+  struct unanswered_call {
     http_server::token token = 0;
-    monotonic_time free_at;
+    monotonic_time respond_at;
     int status = 503;
   };
 
-  http_response Answer(const std::string& verb, const nlohmann::json& body, monotonic_time now,
-                       due_replies& replies);
+  http_response Dispatch(const std::string& verb, const nlohmann::json& body, monotonic_time now,
+                         due_replies& replies);
   bool Fenced(uint64_t epoch) const { return options_.fencing && epoch < epoch_; }
   http_response FencedReply() const;
   void RaiseEpoch(uint64_t epoch, due_replies& replies);
   http_response List(monotonic_time now) const;
   http_response Start(const nlohmann::json& body, monotonic_time now, due_replies& replies);
-  std::string StartOne(const nlohmann::json& task, uint64_t epoch, monotonic_time now);
+  std::string StartTask(const nlohmann::json& task, uint64_t epoch, monotonic_time now);
   http_response Stop(const nlohmann::json& body, monotonic_time now);
   http_response Throttle(const nlohmann::json& body);
   void Sync(http_server::token token, const nlohmann::json& body, monotonic_time now,
             due_replies& replies);
   http_response SyncReply(uint64_t cursor, monotonic_time now) const;
   void Acknowledge(uint64_t cursor);
-  void AnswerWaiting(monotonic_time now, due_replies& replies);
-  void End(const std::string& id, const std::string& result, monotonic_time now);
-  void Forget(monotonic_time now);
-  void Drop(http_server::token token, int status, monotonic_time now);
-  bool Deaf() const { return mode_ == endpoint_mode::kDead || mode_ == endpoint_mode::kSilent; }
+  void AnswerWaitingSyncs(monotonic_time now, due_replies& replies);
+  void FinishTask(const std::string& id, const std::string& result, monotonic_time now);
+  void EvictFinished(monotonic_time now);
+  void HoldUnanswered(http_server::token token, int status, monotonic_time now);
+  bool Unresponsive() const {
+    return mode_ == endpoint_mode::kDead || mode_ == endpoint_mode::kSilent;
+  }
   void Record(monotonic_time now, const char* event, const std::string& id, uint64_t epoch,
               const nlohmann::json& spec, const std::string& result);
 
@@ -120,10 +122,10 @@
   uint64_t acknowledged_ = 0;
   resources used_;
   absl::flat_hash_map<std::string, running_task> running_;
-  std::deque<finished_task> finished_;                      // by seq
-  absl::flat_hash_map<std::string, uint64_t> finished_at_;  // id to seq
+  std::deque<finished_task> finished_;                       // by seq
+  absl::flat_hash_map<std::string, uint64_t> finished_seq_;  // id to seq
   std::vector<waiting_sync> waiting_;
-  std::vector<dropped_call> dropped_;
+  std::vector<unanswered_call> unanswered_;
 };
 
 }  // namespace catkinford
--- a/standin/endpoint_server.cc
+++ b/standin/endpoint_server.cc
@@ -45,7 +45,7 @@
       timer_([this] { return OnWake(); }) {
   for (const std::string& name : options_.names) {
     endpoint_options endpoint{name, options_.shape, 64, options_.fencing, options_.incarnation};
-    index_[name] = endpoints_.size();
+    index_by_name_[name] = endpoints_.size();
     endpoints_.push_back({std::make_unique<endpoint_model>(std::move(endpoint), record_)});
   }
 }
@@ -84,8 +84,8 @@
     const std::vector<std::string> parts = absl::StrSplit(request.path, '/');
     const bool well_formed = parts.size() == 5 && parts[1] == "v1" && parts[2] == "endpoints";
     const std::lock_guard lock(mutex_);
-    const auto found = well_formed ? index_.find(parts[3]) : index_.end();
-    if (found == index_.end()) {
+    const auto found = well_formed ? index_by_name_.find(parts[3]) : index_by_name_.end();
+    if (found == index_by_name_.end()) {
       replies.emplace_back(token, ErrorReply(404, "no_such_endpoint"));
     } else {
       endpoints_[found->second].model->Handle(parts[4], token, body, steady_clock::now(), replies);
@@ -96,9 +96,9 @@
 }
 
 http_response endpoint_server::Control(const nlohmann::json& body, due_replies& replies) {
-  const auto found = index_.find(TextOf(body, "endpoint", ""));
+  const auto found = index_by_name_.find(TextOf(body, "endpoint", ""));
   const std::optional<endpoint_mode> mode = ParseMode(TextOf(body, "mode", ""));
-  if (found == index_.end() || !mode) return ErrorReply(422, "bad_field");
+  if (found == index_by_name_.end() || !mode) return ErrorReply(422, "bad_field");
   endpoints_[found->second].model->SetMode(*mode, steady_clock::now(), replies);
   Schedule(found->second);
   return JsonReply(200, nlohmann::json::object());
@@ -108,9 +108,9 @@
 void endpoint_server::Schedule(size_t index) {
   scheduled_endpoint& endpoint = endpoints_[index];
   const monotonic_time next = endpoint.model->NextWake();
-  if (next >= endpoint.wake) return;
-  endpoint.wake = next;
-  wakes_.emplace(next, index);
+  if (next >= endpoint.next_wake) return;
+  endpoint.next_wake = next;
+  wake_queue_.emplace(next, index);
   timer_.WakeBy(next);
 }
 
@@ -120,16 +120,16 @@
   {
     const std::lock_guard lock(mutex_);
     const monotonic_time now = steady_clock::now();
-    while (!wakes_.empty() && wakes_.top().first <= now) {
-      const auto [at, index] = wakes_.top();
-      wakes_.pop();
+    while (!wake_queue_.empty() && wake_queue_.top().first <= now) {
+      const auto [at, index] = wake_queue_.top();
+      wake_queue_.pop();
       scheduled_endpoint& endpoint = endpoints_[index];
-      if (endpoint.wake != at) continue;
-      endpoint.wake = monotonic_time::max();
+      if (endpoint.next_wake != at) continue;
+      endpoint.next_wake = monotonic_time::max();
       endpoint.model->Tick(now, replies);
       Schedule(index);
     }
-    if (!wakes_.empty()) next = wakes_.top().first;
+    if (!wake_queue_.empty()) next = wake_queue_.top().first;
   }
   Send(replies);
   return next;
--- a/standin/endpoint_server.h
+++ b/standin/endpoint_server.h
@@ -40,7 +40,7 @@
  private:
   struct scheduled_endpoint {
     std::unique_ptr<endpoint_model> model;
-    monotonic_time wake = monotonic_time::max();  // of its entry in `wakes_` that counts
+    monotonic_time next_wake = monotonic_time::max();  // of its entry in `wakes_` that counts
   };
   using wake_entry = std::pair<monotonic_time, size_t>;
 
@@ -54,8 +54,8 @@
   std::mutex mutex_;  // guards all below, up to http_
   run_record record_;
   std::vector<scheduled_endpoint> endpoints_;
-  absl::flat_hash_map<std::string, size_t> index_;
-  std::priority_queue<wake_entry, std::vector<wake_entry>, std::greater<>> wakes_;
+  absl::flat_hash_map<std::string, size_t> index_by_name_;
+  std::priority_queue<wake_entry, std::vector<wake_entry>, std::greater<>> wake_queue_;
   http_server http_;
   timer_thread timer_;
 };
--- a/standin/fault_proxy.cc
+++ b/standin/fault_proxy.cc
@@ -25,11 +25,11 @@
 using std::chrono::steady_clock;
 using time_point = steady_clock::time_point;
 
-constexpr size_t kChunk = size_t{64} << 10;
+constexpr size_t kReadChunkBytes = size_t{64} << 10;
 constexpr size_t kBacklogBytes = size_t{4} << 20;  // then the sender is not read any further
 // On a link with a rate: what is passed on at once, and what waits for it at most.
-constexpr size_t kPacedBytes = size_t{4} << 10;
-constexpr size_t kPacedBacklogBytes = size_t{32} << 10;
+constexpr size_t kRateLimitedSendBytes = size_t{4} << 10;
+constexpr size_t kRateLimitedBacklogBytes = size_t{32} << 10;
 
 sockaddr_in Loopback(uint16_t port) {
   sockaddr_in address{};
@@ -82,9 +82,9 @@
 struct stream {
   int from = -1;
   int to = -1;
-  bool swallow = false;  // by the link's present rule
-  bool ended = false;    // the sender closed its side
-  bool shut = false;     // and that was passed on
+  bool discard = false;        // by the link's present rule
+  bool ended = false;          // the sender closed its side
+  bool end_forwarded = false;  // and that was passed on
   std::deque<delayed_bytes> waiting;
   size_t waiting_bytes = 0;
 };
@@ -93,7 +93,7 @@
   size_t link = 0;
   std::array<stream, 2> streams;  // to the target, and back
   uint64_t bytes = 0;
-  bool silent = false;
+  bool blackholed = false;
   bool broken = false;
 };
 
@@ -102,25 +102,25 @@
   uint16_t port = 0;
   uint16_t target = 0;
   link_rule rule;
-  uint64_t passed = 0;
-  std::array<time_point, 2> free_at{};  // when each way of a link with a rate takes more
+  uint64_t forwarded_bytes = 0;
+  std::array<time_point, 2> next_send_at{};  // when each way of a link with a rate takes more
 
-  bool Busy(size_t way, time_point now) const {
-    return rule.bytes_per_second != 0 && free_at[way] > now;
+  bool RateLimited(size_t way, time_point now) const {
+    return rule.bytes_per_second != 0 && next_send_at[way] > now;
   }
-  void Pass(size_t way, size_t bytes, time_point now) {
+  void ConsumeRate(size_t way, size_t bytes, time_point now) {
     if (rule.bytes_per_second == 0) return;
-    const std::chrono::duration<double> takes(static_cast<double>(bytes) /
-                                              static_cast<double>(rule.bytes_per_second));
-    free_at[way] =
-        std::max(free_at[way], now) + std::chrono::duration_cast<std::chrono::nanoseconds>(takes);
+    const std::chrono::duration<double> duration_s(static_cast<double>(bytes) /
+                                                   static_cast<double>(rule.bytes_per_second));
+    next_send_at[way] = std::max(next_send_at[way], now) +
+                        std::chrono::duration_cast<std::chrono::nanoseconds>(duration_s);
   }
 };
 
-void SetSwallow(proxied_connection& connection, link_state state) {
-  const bool both = state == link_state::kSwallow;
-  connection.streams[0].swallow = both || state == link_state::kOtherWay;
-  connection.streams[1].swallow = both || state == link_state::kOneWay;
+void SetDiscard(proxied_connection& connection, link_state state) {
+  const bool both = state == link_state::kBlackhole;
+  connection.streams[0].discard = both || state == link_state::kDropRequests;
+  connection.streams[1].discard = both || state == link_state::kDropResponses;
 }
 
 }  // namespace
@@ -133,14 +133,14 @@
   void CollectPolls(time_point now, int& timeout_ms);
   void Wake() const {
     const uint64_t one = 1;
-    [[maybe_unused]] const ssize_t written = write(wake, &one, sizeof(one));
+    [[maybe_unused]] const ssize_t written = write(wake_fd, &one, sizeof(one));
   }
 
   std::mutex mutex;
   std::vector<proxy_link> links;
   std::list<proxied_connection> connections;
   std::vector<pollfd> polls;
-  int wake = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
+  int wake_fd = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   bool stopping = false;
   std::thread thread;
 };
@@ -161,28 +161,28 @@
     connection.link = index;
     connection.streams[0].from = connection.streams[1].to = client;
     connection.streams[0].to = connection.streams[1].from = target;
-    SetSwallow(connection, link.rule.state);
+    SetDiscard(connection, link.rule.state);
     connections.push_back(std::move(connection));
   }
 }
 
 void fault_proxy::impl::Read(proxied_connection& connection, stream& way, time_point now) {
-  std::string chunk(kChunk, '\0');
-  const ssize_t got = recv(way.from, chunk.data(), chunk.size(), 0);
-  if (got < 0) {
+  std::string chunk(kReadChunkBytes, '\0');
+  const ssize_t received = recv(way.from, chunk.data(), chunk.size(), 0);
+  if (received < 0) {
     if (errno != EAGAIN && errno != EINTR) connection.broken = true;
     return;
   }
-  if (got == 0) {
+  if (received == 0) {
     way.ended = true;
     return;
   }
   proxy_link& link = links[connection.link];
-  connection.bytes += static_cast<uint64_t>(got);
-  if (connection.bytes > link.rule.silent_after_bytes) connection.silent = true;
-  if (connection.silent || way.swallow) return;
-  link.passed += static_cast<uint64_t>(got);
-  chunk.resize(static_cast<size_t>(got));
+  connection.bytes += static_cast<uint64_t>(received);
+  if (connection.bytes > link.rule.blackhole_after_bytes) connection.blackholed = true;
+  if (connection.blackholed || way.discard) return;
+  link.forwarded_bytes += static_cast<uint64_t>(received);
+  chunk.resize(static_cast<size_t>(received));
   way.waiting_bytes += chunk.size();
   way.waiting.push_back({now + link.rule.delay, std::move(chunk)});
 }
@@ -190,47 +190,50 @@
 void fault_proxy::impl::Write(proxied_connection& connection, size_t direction, time_point now) {
   stream& way = connection.streams[direction];
   proxy_link& link = links[connection.link];
-  const size_t most =
-      link.rule.bytes_per_second == 0 ? std::numeric_limits<size_t>::max() : kPacedBytes;
-  while (!way.waiting.empty() && way.waiting.front().due <= now && !link.Busy(direction, now)) {
+  const size_t max_bytes =
+      link.rule.bytes_per_second == 0 ? std::numeric_limits<size_t>::max() : kRateLimitedSendBytes;
+  while (!way.waiting.empty() && way.waiting.front().due <= now &&
+         !link.RateLimited(direction, now)) {
     std::string& bytes = way.waiting.front().bytes;
-    const ssize_t sent = send(way.to, bytes.data(), std::min(most, bytes.size()), MSG_NOSIGNAL);
+    const ssize_t sent =
+        send(way.to, bytes.data(), std::min(max_bytes, bytes.size()), MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno != EAGAIN && errno != EINTR) connection.broken = true;
       return;
     }
-    link.Pass(direction, static_cast<size_t>(sent), now);
+    link.ConsumeRate(direction, static_cast<size_t>(sent), now);
     way.waiting_bytes -= static_cast<size_t>(sent);
     bytes.erase(0, static_cast<size_t>(sent));
     if (bytes.empty()) way.waiting.pop_front();
   }
   // The end of a swallowed stream is swallowed as well: a silent connection does not close.
-  const bool pass_end = !connection.silent && !way.swallow;
-  if (way.ended && !way.shut && way.waiting.empty() && pass_end) {
+  const bool forward_end = !connection.blackholed && !way.discard;
+  if (way.ended && !way.end_forwarded && way.waiting.empty() && forward_end) {
     shutdown(way.to, SHUT_WR);
-    way.shut = true;
+    way.end_forwarded = true;
   }
 }
 
 void fault_proxy::impl::CollectPolls(time_point now, int& timeout_ms) {
   polls.clear();
-  polls.push_back({wake, POLLIN, 0});
+  polls.push_back({wake_fd, POLLIN, 0});
   for (const proxy_link& link : links) polls.push_back({link.listener, POLLIN, 0});
   for (proxied_connection& connection : connections) {
     const proxy_link& link = links[connection.link];
-    const size_t backlog = link.rule.bytes_per_second == 0 ? kBacklogBytes : kPacedBacklogBytes;
+    const size_t backlog =
+        link.rule.bytes_per_second == 0 ? kBacklogBytes : kRateLimitedBacklogBytes;
     for (size_t direction = 0; direction < connection.streams.size(); ++direction) {
       const stream& way = connection.streams[direction];
       // A held stream stays in the system's buffers, as sent packets stay with a sender that
       // goes on retransmitting them through a partition.
-      const bool held = link.rule.state == link_state::kHold;
+      const bool held = link.rule.state == link_state::kStall;
       const bool reads = !held && !way.ended && way.waiting_bytes < backlog;
       polls.push_back({reads ? way.from : -1, POLLIN, 0});
       bool writes = false;
       if (!way.waiting.empty()) {
-        const time_point free_at =
-            link.rule.bytes_per_second == 0 ? time_point::min() : link.free_at[direction];
-        const auto left = std::max(way.waiting.front().due, free_at) - now;
+        const time_point next_send_at =
+            link.rule.bytes_per_second == 0 ? time_point::min() : link.next_send_at[direction];
+        const auto left = std::max(way.waiting.front().due, next_send_at) - now;
         writes = left <= milliseconds{0};
         if (!writes) {
           const auto wait = std::chrono::ceil<milliseconds>(left).count();
@@ -253,13 +256,13 @@
     poll(ready.data(), ready.size(), timeout_ms);
     lock.lock();
     uint64_t drained = 0;
-    [[maybe_unused]] const ssize_t count = read(wake, &drained, sizeof(drained));
+    [[maybe_unused]] const ssize_t count = read(wake_fd, &drained, sizeof(drained));
     const time_point now = steady_clock::now();
-    size_t at = 1 + known_links;
+    size_t poll_index = 1 + known_links;
     for (proxied_connection& connection : connections) {
       for (size_t direction = 0; direction < connection.streams.size(); ++direction) {
-        if (ready[at++].revents != 0) Read(connection, connection.streams[direction], now);
-        ++at;
+        if (ready[poll_index++].revents != 0) Read(connection, connection.streams[direction], now);
+        ++poll_index;
         Write(connection, direction, now);
       }
     }
@@ -270,18 +273,19 @@
       if (ready[1 + link].revents != 0) Accept(link);
     }
     connections.remove_if([](const proxied_connection& connection) {
-      const auto& [there, back] = connection.streams;
+      const auto& [to_target, to_client] = connection.streams;
       if (connection.broken) {
-        Reset(there.from);
-        Reset(there.to);
+        Reset(to_target.from);
+        Reset(to_target.to);
         return true;
       }
       // Both sides have closed; or the client closed a connection that is silent anyway.
-      const bool silent_end =
-          (connection.silent || there.swallow || back.swallow) && (there.ended || back.ended);
-      if (!(there.shut && back.shut) && !silent_end) return false;
-      close(there.from);
-      close(there.to);
+      const bool blackhole_ended =
+          (connection.blackholed || to_target.discard || to_client.discard) &&
+          (to_target.ended || to_client.ended);
+      if (!(to_target.end_forwarded && to_client.end_forwarded) && !blackhole_ended) return false;
+      close(to_target.from);
+      close(to_target.to);
       return true;
     });
   }
@@ -315,24 +319,24 @@
     if (state == link_state::kCut) connection.broken = true;
     // Bytes that a partition swallowed are lost to the stream: it cannot go on afterwards.
     if (state == link_state::kPass &&
-        (connection.streams[0].swallow || connection.streams[1].swallow)) {
-      connection.silent = true;
+        (connection.streams[0].discard || connection.streams[1].discard)) {
+      connection.blackholed = true;
     }
-    SetSwallow(connection, state);
+    SetDiscard(connection, state);
   }
   impl_->Wake();
 }
 
-void fault_proxy::SilenceOpenConnections(link_index link) {
+void fault_proxy::BlackholeOpenConnections(link_index link) {
   const std::lock_guard lock(impl_->mutex);
   for (proxied_connection& connection : impl_->connections) {
-    if (connection.link == link) connection.silent = true;
+    if (connection.link == link) connection.blackholed = true;
   }
 }
 
-uint64_t fault_proxy::BytesPassed(link_index link) const {
+uint64_t fault_proxy::BytesForwarded(link_index link) const {
   const std::lock_guard lock(impl_->mutex);
-  return impl_->links[link].passed;
+  return impl_->links[link].forwarded_bytes;
 }
 
 void fault_proxy::Start() {
@@ -353,8 +357,8 @@
   impl_->connections.clear();
   for (const proxy_link& link : impl_->links) close(link.listener);
   impl_->links.clear();
-  if (impl_->wake >= 0) close(impl_->wake);
-  impl_->wake = -1;
+  if (impl_->wake_fd >= 0) close(impl_->wake_fd);
+  impl_->wake_fd = -1;
 }
 
 }  // namespace catkinford
--- a/standin/fault_proxy.h
+++ b/standin/fault_proxy.h
@@ -13,18 +13,18 @@
 
 enum class link_state : uint8_t {
   kPass,
-  kCut,       // open connections are reset, new ones at once after their accept
-  kSwallow,   // connections open, what is sent is lost, and they are silent for good afterwards
-  kHold,      // nothing passes; what was sent arrives late, when the link passes again
-  kOneWay,    // what the client sends arrives, no answer comes back
-  kOtherWay,  // answers pass, what the client sends does not arrive
+  kCut,        // open connections are reset, new ones at once after their accept
+  kBlackhole,  // connections open, what is sent is lost, and they are silent for good afterwards
+  kStall,      // nothing passes; what was sent arrives late, when the link passes again
+  kDropResponses,  // what the client sends arrives, no answer comes back
+  kDropRequests,   // answers pass, what the client sends does not arrive
 };
 
 struct link_rule {
   link_state state = link_state::kPass;
   std::chrono::milliseconds delay{0};  // each way
   // After so many bytes a connection goes silent for good; another one starts at zero.
-  uint64_t silent_after_bytes = std::numeric_limits<uint64_t>::max();
+  uint64_t blackhole_after_bytes = std::numeric_limits<uint64_t>::max();
   // Each way, shared by the link's connections; 0: as fast as the machine.
   uint64_t bytes_per_second = 0;
 };
@@ -45,8 +45,8 @@
   uint16_t PortOf(link_index link) const;
   void SetRule(link_index link, const link_rule& rule);
   // The connections that are open now go silent for good, in both directions; new ones work.
-  void SilenceOpenConnections(link_index link);
-  uint64_t BytesPassed(link_index link) const;
+  void BlackholeOpenConnections(link_index link);
+  uint64_t BytesForwarded(link_index link) const;
 
   void Start();
   void Stop();
--- a/standin/instance_server.cc
+++ b/standin/instance_server.cc
@@ -14,21 +14,21 @@
   versions_.push_back({monotonic_time::min(), std::move(instances)});
 }
 
-nlohmann::json instance_list::Seen(monotonic_time now) {
+nlohmann::json instance_list::Visible(monotonic_time now) {
   while (versions_.size() > 1 && versions_[1].at + lag_ <= now) versions_.pop_front();
   return {{"age_ms", lag_.count()}, {"instances", versions_.front().instances}};
 }
 
-bool instance_list::Change(const nlohmann::json& change, monotonic_time now) {
+bool instance_list::Apply(const nlohmann::json& change, monotonic_time now) {
   nlohmann::json next = versions_.back().instances;
   if (const nlohmann::json& all = ChildOf(change, "instances"); all.is_array()) {
     next = all;
-  } else if (const std::string gone = TextOf(change, "remove", ""); !gone.empty()) {
-    nlohmann::json kept = nlohmann::json::array();
+  } else if (const std::string removed_name = TextOf(change, "remove", ""); !removed_name.empty()) {
+    nlohmann::json remaining = nlohmann::json::array();
     for (const nlohmann::json& instance : next) {
-      if (TextOf(instance, "name", "") != gone) kept.push_back(instance);
+      if (TextOf(instance, "name", "") != removed_name) remaining.push_back(instance);
     }
-    next = std::move(kept);
+    next = std::move(remaining);
   } else if (const std::string name = TextOf(change, "name", ""); !name.empty()) {
     for (nlohmann::json& instance : next) {
       if (TextOf(instance, "name", "") == name) instance["state"] = TextOf(change, "state", "live");
@@ -62,12 +62,12 @@
   http_response answer = ErrorReply(404, "no_such_call");
   if (request.path == "/v1/instances") {
     const std::lock_guard lock(mutex_);
-    answer = JsonReply(200, list_.Seen(steady_clock::now()));
+    answer = JsonReply(200, list_.Visible(steady_clock::now()));
   } else if (request.path == "/control") {
     const nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
     const std::lock_guard lock(mutex_);
-    answer = list_.Change(body, steady_clock::now()) ? JsonReply(200, nlohmann::json::object())
-                                                     : ErrorReply(422, "bad_field");
+    answer = list_.Apply(body, steady_clock::now()) ? JsonReply(200, nlohmann::json::object())
+                                                    : ErrorReply(422, "bad_field");
   }
   http_.Respond(token, std::move(answer));
 }
--- a/standin/instance_server.h
+++ b/standin/instance_server.h
@@ -20,9 +20,9 @@
   instance_list(std::chrono::milliseconds lag, nlohmann::json instances);
 
   // What a reader sees: {age_ms, instances}.
-  nlohmann::json Seen(monotonic_time now);
+  nlohmann::json Visible(monotonic_time now);
   // {"instances":[...]}, {"name":N,"state":S} or {"remove":N}; false when it is none of them.
-  bool Change(const nlohmann::json& change, monotonic_time now);
+  bool Apply(const nlohmann::json& change, monotonic_time now);
 
  private:
   struct version {
--- a/standin/store_model.h
+++ b/standin/store_model.h
@@ -37,20 +37,20 @@
 // Calls a second, with a second's worth in hand.
 class token_bucket {
  public:
-  explicit token_bucket(double rate) : rate_(rate), level_(rate) {}
-  bool Take(monotonic_time now);
+  explicit token_bucket(double rate) : rate_(rate), tokens_(rate) {}
+  bool TryTake(monotonic_time now);
 
  private:
   double rate_;
-  double level_;
+  double tokens_;
   monotonic_time last_{};
 };
 
 struct store_call {
   std::string method;
   std::string path;
-  std::string key;     // or prefix
-  uint64_t after = 0;  // of a watch
+  std::string key;              // or prefix
+  uint64_t after_revision = 0;  // of a watch
   std::chrono::milliseconds wait{0};
   nlohmann::json body;
 };
@@ -62,8 +62,8 @@
   explicit store_model(store_options options);
 
   void Handle(http_server::token token, store_call call, monotonic_time now, due_replies& replies);
-  void SetMode(store_mode mode, std::chrono::milliseconds delay, double ratio, monotonic_time now,
-               due_replies& replies);
+  void SetMode(store_mode mode, std::chrono::milliseconds delay, double lost_reply_ratio,
+               monotonic_time now, due_replies& replies);
   void Tick(monotonic_time now, due_replies& replies);
   monotonic_time NextWake() const;
   nlohmann::json Counters() const;
@@ -76,51 +76,51 @@
   };
   struct stored_lease {
     std::chrono::milliseconds ttl{0};
-    monotonic_time until;
+    monotonic_time expires_at;
   };
   struct waiting_watch {
     http_server::token token = 0;
     std::string prefix;
-    uint64_t after = 0;
-    monotonic_time until;
+    uint64_t after_revision = 0;
+    monotonic_time expires_at;
   };
   struct delayed_call {
     monotonic_time due;
     http_server::token token = 0;
     store_call call;
   };
-  struct held_token {
-    monotonic_time free_at;
+  struct unanswered_call {
+    monotonic_time respond_at;
     http_server::token token = 0;
   };
 
-  void Do(http_server::token token, const store_call& call, monotonic_time now,
-          due_replies& replies);
+  void Execute(http_server::token token, const store_call& call, monotonic_time now,
+               due_replies& replies);
   http_response Get(const std::string& key) const;
-  http_response Range(const std::string& prefix, uint64_t after) const;
-  bool ChangedBelow(const std::string& prefix, uint64_t after) const;
+  http_response Range(const std::string& prefix, uint64_t after_revision) const;
+  bool ChangedUnderPrefix(const std::string& prefix, uint64_t after_revision) const;
   http_response CompareAndSwap(const nlohmann::json& body);
   http_response GrantLease(const nlohmann::json& body, monotonic_time now);
-  http_response KeepLease(const nlohmann::json& body, monotonic_time now);
-  void Lapse(monotonic_time now);
+  http_response RenewLease(const nlohmann::json& body, monotonic_time now);
+  void ExpireLeases(monotonic_time now);
   void AnswerWatches(monotonic_time now, due_replies& replies);
 
   store_options options_;
   store_mode mode_ = store_mode::kUp;
-  std::chrono::milliseconds delay_{0};
-  double ratio_ = 0;
+  std::chrono::milliseconds call_delay_{0};
+  double lost_reply_ratio_ = 0;
   monotonic_time down_since_{};
-  token_bucket reads_;
-  token_bucket writes_;
+  token_bucket read_bucket_;
+  token_bucket write_bucket_;
   std::mt19937_64 random_;
   uint64_t revision_ = 0;
   uint64_t next_lease_ = 1;
   std::map<std::string, stored_value> values_;
-  std::map<std::string, uint64_t> deleted_;  // revision of each key's latest deletion
+  std::map<std::string, uint64_t> deletion_revisions_;  // revision of each key's latest deletion
   std::map<std::string, stored_lease> leases_;
   std::vector<waiting_watch> watches_;
   std::vector<delayed_call> delayed_;
-  std::vector<held_token> held_;
+  std::vector<unanswered_call> unanswered_;
   std::map<std::string, uint64_t> counters_;
 };
 
--- a/standin/store_server.cc
+++ b/standin/store_server.cc
@@ -39,7 +39,7 @@
   call.method = request.method;
   call.path = request.path;
   call.key = request.path == "/v1/kv" ? request.Query("key") : request.Query("prefix");
-  call.after = NumberIn(request, "after");
+  call.after_revision = NumberIn(request, "after");
   call.wait = milliseconds{NumberIn(request, "wait_ms")};
   call.body = std::move(body);
   return call;
--- a/standin/timer_thread.cc
+++ b/standin/timer_thread.cc
@@ -16,10 +16,10 @@
 void timer_thread::WakeBy(monotonic_time at) {
   {
     const std::lock_guard lock(mutex_);
-    if (at >= next_) return;
-    next_ = at;
+    if (at >= next_wake_) return;
+    next_wake_ = at;
   }
-  changed_.notify_one();
+  wake_condition_.notify_one();
 }
 
 void timer_thread::Stop() {
@@ -27,24 +27,24 @@
     const std::lock_guard lock(mutex_);
     stopping_ = true;
   }
-  changed_.notify_one();
+  wake_condition_.notify_one();
   if (thread_.joinable()) thread_.join();
 }
 
 void timer_thread::Run() {
   std::unique_lock lock(mutex_);
   while (!stopping_) {
-    if (std::chrono::steady_clock::now() < next_) {
+    if (std::chrono::steady_clock::now() < next_wake_) {
       // Not wait_until(max): its conversion to the system's time would overflow.
       const auto bound = std::chrono::steady_clock::now() + std::chrono::seconds{1};
-      changed_.wait_until(lock, std::min(next_, bound));
+      wake_condition_.wait_until(lock, std::min(next_wake_, bound));
       continue;
     }
-    next_ = monotonic_time::max();
+    next_wake_ = monotonic_time::max();
     lock.unlock();
-    const monotonic_time wanted = on_wake_();
+    const monotonic_time requested_wake = on_wake_();
     lock.lock();
-    next_ = std::min(next_, wanted);
+    next_wake_ = std::min(next_wake_, requested_wake);
   }
 }
 
--- a/standin/timer_thread.h
+++ b/standin/timer_thread.h
@@ -31,8 +31,8 @@
 
   callback on_wake_;
   std::mutex mutex_;
-  std::condition_variable changed_;
-  monotonic_time next_ = monotonic_time::max();
+  std::condition_variable wake_condition_;
+  monotonic_time next_wake_ = monotonic_time::max();
   bool stopping_ = false;
   std::thread thread_;
 };
--- a/test/carried_starts_fleet_test.cc
+++ b/test/carried_starts_fleet_test.cc
@@ -63,7 +63,7 @@
   const auto owner = static_cast<size_t>(Owner());
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
   CHECK(instances_.Starts().size() == kJobs * kTasks);
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
   CHECK(Eventually([&] { return StartsGiven(owner) > 0; }));
 }
 
@@ -75,7 +75,7 @@
   SubmitAll(taker);
   entries_[taker]->process.Kill();
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // Guards against a start that a paused entry still holds, and sends when its task runs elsewhere.
@@ -89,7 +89,7 @@
   entries_[taker]->process.Signal(SIGCONT);
   REQUIRE(Call(owner, "POST", Path(kJobs), WideJob()).code == 200);
   CHECK(Eventually([&] { return AllCompleted(owner, kJobs, kJobs + 1); }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 }  // namespace
--- a/test/examples_test.cc
+++ b/test/examples_test.cc
@@ -33,7 +33,7 @@
 constexpr milliseconds kStartLimit{30000};
 
 struct example {
-  std::string whose;  // team, operator, or empty
+  std::string caller;  // team, operator, or empty
   std::string method;
   std::string path;
   std::string body;
@@ -103,9 +103,9 @@
   void RunOne(const example& each, const std::string& url) {
     http_call call;
     call.method = each.method;
-    call.url = url + Filled(each.path);
-    call.body = Filled(each.body);
-    call.bearer = keys_[each.whose];
+    call.url = url + Substitute(each.path);
+    call.body = Substitute(each.body);
+    call.bearer = keys_[each.caller];
     call.timeout = milliseconds{20000};
     const http_result result = http_.SendAndWait(call);
     INFO(each.method << " " << call.url << " " << call.body << "\n" << result.body);
@@ -114,40 +114,40 @@
     if (each.answer.empty()) return;
     const json wanted = json::parse(each.answer, nullptr, false);
     REQUIRE(!wanted.is_discarded());
-    CHECK(Fits(wanted, json::parse(result.body, nullptr, false)));
+    CHECK(Matches(wanted, json::parse(result.body, nullptr, false)));
   }
 
   // All known names in their places.
-  std::string Filled(std::string text) const {
+  std::string Substitute(std::string text) const {
     for (const auto& [name, value] : values_) {
-      const std::string bare = value.is_string() ? value.get<std::string>() : value.dump();
-      text = absl::StrReplaceAll(text, {{name, bare}});
+      const std::string replacement = value.is_string() ? value.get<std::string>() : value.dump();
+      text = absl::StrReplaceAll(text, {{name, replacement}});
     }
     return text;
   }
 
-  bool FitsText(const std::string& wanted, const json& answer) {
+  bool MatchesText(const std::string& wanted, const json& answer) {
     if (wanted == "…") return true;
     if (!wanted.empty() && wanted[0] == '$') {
       const auto [at, is_new] = values_.emplace(wanted, answer);
       return is_new || at->second == answer;
     }
-    return answer.is_string() && answer.get<std::string>() == Filled(wanted);
+    return answer.is_string() && answer.get<std::string>() == Substitute(wanted);
   }
 
-  bool Fits(const json& wanted, const json& answer) {
-    if (wanted.is_string()) return FitsText(wanted.get<std::string>(), answer);
+  bool Matches(const json& wanted, const json& answer) {
+    if (wanted.is_string()) return MatchesText(wanted.get<std::string>(), answer);
     if (wanted.is_object()) {
       if (!answer.is_object()) return false;
       for (const auto& [name, value] : wanted.items()) {
-        if (!answer.contains(name) || !Fits(value, answer[name])) return false;
+        if (!answer.contains(name) || !Matches(value, answer[name])) return false;
       }
       return true;
     }
     if (!wanted.is_array()) return wanted == answer;
     if (!answer.is_array() || wanted.size() != answer.size()) return false;
     for (size_t i = 0; i < wanted.size(); ++i) {
-      if (!Fits(wanted[i], answer[i])) return false;
+      if (!Matches(wanted[i], answer[i])) return false;
     }
     return true;
   }
--- a/test/fault_proxy_test.cc
+++ b/test/fault_proxy_test.cc
@@ -20,7 +20,7 @@
  public:
   fault_proxy_fixture()
       : server_({}, [this](http_server::token token, const http_request& request) {
-          ++seen_;
+          ++requests_received_;
           server_.Respond(token, {200, request.body});
         }) {
     REQUIRE(server_.Start());
@@ -43,7 +43,7 @@
     return client_.SendAndWait(call);
   }
 
-  std::atomic<int> seen_ = 0;
+  std::atomic<int> requests_received_ = 0;
   http_server server_;
   fault_proxy proxy_;
   link_index link_ = 0;
@@ -84,37 +84,37 @@
 TEST_CASE_METHOD(fault_proxy_fixture, "link, connection silenced, works only on a fresh one",
                  "[proxy]") {
   CHECK(Call("a").body == "a");
-  proxy_.SilenceOpenConnections(link_);
+  proxy_.BlackholeOpenConnections(link_);
   CHECK(Call("b").status == transfer_status::kMaybeSent);
   CHECK(Call("c", true).body == "c");
-  CHECK(seen_ == 2);
+  CHECK(requests_received_ == 2);
 }
 
 TEST_CASE_METHOD(fault_proxy_fixture, "link, one way, does the call and loses the answer",
                  "[proxy]") {
-  proxy_.SetRule(link_, {link_state::kOneWay});
+  proxy_.SetRule(link_, {link_state::kDropResponses});
   CHECK(Call("a").status == transfer_status::kMaybeSent);
-  CHECK(seen_ == 1);
+  CHECK(requests_received_ == 1);
 }
 
 TEST_CASE_METHOD(fault_proxy_fixture, "link, silent after some bytes, passes those", "[proxy]") {
   link_rule rule;
-  rule.silent_after_bytes = 1000;
+  rule.blackhole_after_bytes = 1000;
   proxy_.SetRule(link_, rule);
   CHECK(Call("a").body == "a");
   CHECK(Call(std::string(2000, 'x'), true).status == transfer_status::kMaybeSent);
-  CHECK(seen_ == 1);
+  CHECK(requests_received_ == 1);
 }
 
 // A call that a partition held up is delivered when the partition ends, long after its caller gave
 // up: what it asks for may still happen then.
 TEST_CASE_METHOD(fault_proxy_fixture, "link, held and let go, delivers the call late", "[proxy]") {
-  proxy_.SetRule(link_, {link_state::kHold});
+  proxy_.SetRule(link_, {link_state::kStall});
   http_call call{"POST", absl::StrCat("http://127.0.0.1:", proxy_.PortOf(link_), "/"), "late"};
   call.timeout = milliseconds{10000};
   std::promise<std::string> answer;
   client_.Send(call, [&](const http_result& result) { answer.set_value(result.body); });
-  CHECK(seen_ == 0);
+  CHECK(requests_received_ == 0);
   proxy_.SetRule(link_, {});
   CHECK(answer.get_future().get() == "late");
 }
--- a/test/http_test.cc
+++ b/test/http_test.cc
@@ -116,7 +116,7 @@
 TEST_CASE_METHOD(http_large_answer_fixture,
                  "http call with a stall limit, answer stops, is given up", "[http]") {
   link_rule rule;
-  rule.silent_after_bytes = GENERATE(0, 100'000);
+  rule.blackhole_after_bytes = GENERATE(0, 100'000);
   proxy_.SetRule(link_, rule);
   const http_result result = Call(milliseconds{300});
   CHECK(result.status == transfer_status::kMaybeSent);
--- a/test/narrow_link_test.cc
+++ b/test/narrow_link_test.cc
@@ -84,7 +84,7 @@
   const auto nowhere = [this] { return Call(0, "POST", "/nowhere/" + JobId(1), TwoSteps()).code; };
   CHECK(nowhere() == 404);
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "other").code == 401);
-  for (const link_index link : links_) proxy_.SetRule(link, {link_state::kHold});
+  for (const link_index link : links_) proxy_.SetRule(link, {link_state::kStall});
   CHECK(Eventually([&] { return nowhere() == 503; }));
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "other").code == 503);
   CHECK_FALSE(Ready(0));
--- a/test/pages_test.cc
+++ b/test/pages_test.cc
@@ -118,14 +118,14 @@
     INFO(name);
     CHECK(events.contains(name));
   }
-  site_metrics numbers;
-  numbers.CountAnswer("submit", 200, std::chrono::microseconds(1));
-  numbers.CountStoreCall("commit", "done");
-  numbers.CountOrder("start", "done");
-  numbers.CountEnd("done");
-  numbers.CountVersionRead("store", "done");
-  numbers.CountTraffic("peer/state", {1, 200, 300});
-  const std::string text = numbers.Text();
+  site_metrics exported_metrics;
+  exported_metrics.CountAnswer("submit", 200, std::chrono::microseconds(1));
+  exported_metrics.CountStoreCall("commit", "done");
+  exported_metrics.CountOrder("start", "done");
+  exported_metrics.CountEnd("done");
+  exported_metrics.CountVersionRead("store", "done");
+  exported_metrics.CountTraffic("peer/state", {1, 200, 300});
+  const std::string text = exported_metrics.Text();
   for (const std::string& name : Find(page, "`(catkinford_site_[a-z_]+)`")) {
     INFO(name);
     CHECK(text.find(name) != std::string::npos);
--- a/test/peer_mailbox_test.cc
+++ b/test/peer_mailbox_test.cc
@@ -159,7 +159,7 @@
   from_.SetPeer("to", absl::StrCat("http://127.0.0.1:", proxy.PortOf(link)));
   Ask(1);
   REQUIRE(WaitFor([this] { return batches_.size() == 1; }));
-  proxy.SilenceOpenConnections(link);
+  proxy.BlackholeOpenConnections(link);
   Ask(2);
   CHECK(WaitFor([this] { return batches_.size() == 2; }));
   CHECK(lost_ == 0);
--- a/test/platform_standin.cc
+++ b/test/platform_standin.cc
@@ -13,10 +13,10 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kTick{5};
-constexpr milliseconds kHeartbeat{300};
-constexpr milliseconds kStopTakes{50};
-constexpr int64_t kLongestLease = 6000;
+constexpr milliseconds kTickInterval{5};
+constexpr milliseconds kHeartbeatInterval{300};
+constexpr milliseconds kStopDuration{50};
+constexpr int64_t kMaxLeaseMs = 6000;
 
 monotonic_time Now() { return std::chrono::steady_clock::now(); }
 
@@ -55,7 +55,7 @@
       [this](http_server::token token, const http_request& request) { Handle(token, request); });
   ticker_ = std::thread([this] {
     while (!stop_) {
-      std::this_thread::sleep_for(kTick);
+      std::this_thread::sleep_for(kTickInterval);
       Tick();
     }
   });
@@ -123,14 +123,14 @@
 
 http_response standin_metadata_store::Change(const json& body) {
   json present = json::array();
-  bool holds = true;
+  bool matches = true;
   for (const json& row : body.at("expected-rev")) {
     const auto key = row.at("key").get<std::string>();
     const json now = ItemOf(key);
-    holds = holds && now.at("revision") == row.at("revision");
+    matches = matches && now.at("revision") == row.at("revision");
     present.push_back(now);
   }
-  if (!holds) return Answer(412, {{"items", present}});
+  if (!matches) return Answer(412, {{"items", present}});
   for (const json& put : body.at("puts")) {
     const uint64_t lease = put.value("lease", uint64_t{0});
     if (lease != 0 && !leases_.contains(lease)) return Answer(404, json::object());
@@ -178,7 +178,7 @@
   if (request.path == "/v1/kv-txn") {
     const http_response response = Change(json::parse(request.body));
     // Done, and nobody hears of it: the caller's own time limit ends its wait.
-    if (response.status == 200 && lose_ > 0 && lose_-- > 0) return;
+    if (response.status == 200 && responses_to_drop_ > 0 && responses_to_drop_-- > 0) return;
     return server_->Respond(token, response);
   }
   if (request.path == "/v1/kv-lease") {
@@ -211,11 +211,11 @@
       ++lease;
       continue;
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> expired_keys;
     for (const auto& [key, value] : items_) {
-      if (value.lease == lease->first) gone.push_back(key);
+      if (value.lease == lease->first) expired_keys.push_back(key);
     }
-    for (const std::string& key : gone) Write(key, std::nullopt, 0);
+    for (const std::string& key : expired_keys) Write(key, std::nullopt, 0);
     lease = leases_.erase(lease);
   }
   for (size_t i = 0; i < watches_.size();) {
@@ -237,26 +237,26 @@
                                      milliseconds run_time)
     : store_(store), run_time_(run_time) {
   for (size_t i = 0; i < count; ++i) {
-    auto made = std::make_unique<instance>();
-    made->id = absl::StrCat("i-", i);
-    made->server = Serve([this, i](http_server::token token, const http_request& request) {
+    auto created = std::make_unique<instance>();
+    created->id = absl::StrCat("i-", i);
+    created->server = Serve([this, i](http_server::token token, const http_request& request) {
       Handle(i, token, request);
     });
-    made->address = LoopbackAddress(*made->server);
-    Register(*made);
-    instances_.push_back(std::move(made));
+    created->address = LoopbackAddress(*created->server);
+    Register(*created);
+    instances_.push_back(std::move(created));
   }
   advice_ = Serve([this](http_server::token token, const http_request& request) {
     json allowed = json::array();
-    const json asked = json::parse(request.body);
-    for (const json& id : asked.at("workers")) {
+    const json query = json::parse(request.body);
+    for (const json& id : query.at("workers")) {
       allowed.push_back({id, "ticket"});
     }
     advice_->Respond(token, Answer(200, {{"allowed", allowed}, {"valid-ms", 2000}}));
   });
   ticker_ = std::thread([this] {
     while (!stop_) {
-      std::this_thread::sleep_for(kTick);
+      std::this_thread::sleep_for(kTickInterval);
       Tick();
     }
   });
@@ -276,17 +276,17 @@
   return starts_;
 }
 
-std::vector<std::string> standin_instances::Doubles() {
+std::vector<std::string> standin_instances::DuplicateRuns() {
   const std::lock_guard lock(mutex_);
-  return doubles_;
+  return duplicate_runs_;
 }
 
 std::vector<std::string> standin_instances::StartsAfterDone() {
   const std::lock_guard lock(mutex_);
-  return after_done_;
+  return starts_after_done_;
 }
 
-void standin_instances::RegisterAs(size_t at, const std::string& address) {
+void standin_instances::SetRegisteredAddress(size_t at, const std::string& address) {
   const std::lock_guard lock(mutex_);
   instances_[at]->address = address;
   Register(*instances_[at]);
@@ -299,9 +299,9 @@
   return count;
 }
 
-void standin_instances::Register(instance& here) {
+void standin_instances::Register(instance& target) {
   const json entry{{"service", "svc"},
-                   {"address", here.address},
+                   {"address", target.address},
                    {"zone", "zone-a"},
                    {"version", "v1"},
                    {"slots", 8},
@@ -311,126 +311,128 @@
                    {"labels", {"a", "r1-1"}},
                    {"clock-ms", ClockMs()},
                    {"born", 1},
-                   {"seq-no", ++here.heartbeats}};
-  store_.Put("servers/" + here.id, entry.dump());
+                   {"seq-no", ++target.heartbeats}};
+  store_.Put("servers/" + target.id, entry.dump());
 }
 
-void standin_instances::End(instance& here, const std::string& task, const char* how) {
-  const auto found = here.runs.find(task);
-  here.ended.push_back({++here.last_end, task, found->second.number, how, ""});
-  here.over[task] = std::max(here.over[task], found->second.number);
-  here.runs.erase(found);
+void standin_instances::End(instance& target, const std::string& task, const char* result) {
+  const auto found = target.runs.find(task);
+  target.ended.push_back({++target.last_end, task, found->second.number, result, ""});
+  target.last_ended_run[task] = std::max(target.last_ended_run[task], found->second.number);
+  target.runs.erase(found);
 }
 
-void standin_instances::Advance(instance& here) {
+void standin_instances::Advance(instance& target) {
   std::vector<std::pair<std::string, const char*>> ends;
-  for (const auto& [task, each] : here.runs) {
-    if (ClockMs() > here.lease_until) {
+  for (const auto& [task, each] : target.runs) {
+    if (ClockMs() > target.lease_until) {
       ends.emplace_back(task, "lapsed");
     } else if (each.ends <= Now()) {
       ends.emplace_back(task, each.stopping ? "stopped" : "done");
     }
   }
-  for (const auto& [task, how] : ends) End(here, task, how);
+  for (const auto& [task, result] : ends) End(target, task, result);
 }
 
-json standin_instances::Start(instance& here, const json& body, int& status) {
+json standin_instances::Start(instance& target, const json& body, int& status) {
   const auto task = body.at("task").get<std::string>();
   const auto number = body.at("run-id").get<uint32_t>();
-  const auto until = body.at("deadline-ms").get<int64_t>();
-  const auto refuse = [&](const char* why) {
+  const auto deadline_ms = body.at("deadline-ms").get<int64_t>();
+  const auto reject = [&](const char* why) {
     status = 409;
     return json{{"clock-ms", ClockMs()}, {"reason", why}};
   };
-  if (body.value("ticket", std::string()) != "ticket") return refuse("ticket");
-  const auto running = here.runs.find(task);
-  if (running != here.runs.end() && running->second.number == number) {
+  if (body.value("ticket", std::string()) != "ticket") return reject("ticket");
+  const auto running = target.runs.find(task);
+  if (running != target.runs.end() && running->second.number == number) {
     return {{"clock-ms", ClockMs()}};
   }
-  if (here.over.contains(task) && number <= here.over[task]) return refuse("old");
-  if (until <= ClockMs()) return refuse("late");
+  if (target.last_ended_run.contains(task) && number <= target.last_ended_run[task])
+    return reject("old");
+  if (deadline_ms <= ClockMs()) return reject("late");
   for (const auto& other : instances_) {
     Advance(*other);
-    if (other->runs.contains(task)) doubles_.push_back(task);
+    if (other->runs.contains(task)) duplicate_runs_.push_back(task);
   }
-  if (done_.contains(task)) after_done_.push_back(task);
-  here.lease_until = std::max(here.lease_until, std::min(until, ClockMs() + kLongestLease));
-  here.runs[task] = {task, number, Now() + run_time_, false};
-  starts_.push_back({task, number, here.id});
+  if (done_.contains(task)) starts_after_done_.push_back(task);
+  target.lease_until = std::max(target.lease_until, std::min(deadline_ms, ClockMs() + kMaxLeaseMs));
+  target.runs[task] = {task, number, Now() + run_time_, false};
+  starts_.push_back({task, number, target.id});
   return {{"clock-ms", ClockMs()}};
 }
 
-json standin_instances::Stop(instance& here, const json& body) {
+json standin_instances::Stop(instance& target, const json& body) {
   const auto task = body.at("task").get<std::string>();
   const auto number = body.at("run-id").get<uint32_t>();
-  here.over[task] = std::max(here.over[task], number);
-  const auto found = here.runs.find(task);
-  if (found != here.runs.end() && found->second.number <= number) {
+  target.last_ended_run[task] = std::max(target.last_ended_run[task], number);
+  const auto found = target.runs.find(task);
+  if (found != target.runs.end() && found->second.number <= number) {
     found->second.stopping = true;
-    found->second.ends = Now() + kStopTakes;
+    found->second.ends = Now() + kStopDuration;
   }
   return {{"clock-ms", ClockMs()}};
 }
 
-json standin_instances::Listing(instance& here) {
+json standin_instances::Listing(instance& target) {
   json running = json::array();
-  for (const auto& [task, each] : here.runs) running.push_back({task, each.number, "", 50, 0});
-  return {{"clock-ms", ClockMs()}, {"born", 1}, {"running", running}, {"ended", here.ended}};
+  for (const auto& [task, each] : target.runs) running.push_back({task, each.number, "", 50, 0});
+  return {{"clock-ms", ClockMs()}, {"born", 1}, {"running", running}, {"ended", target.ended}};
 }
 
 void standin_instances::Handle(size_t at, http_server::token token, const http_request& request) {
   const std::lock_guard lock(mutex_);
-  instance& here = *instances_[at];
+  instance& target = *instances_[at];
   const json body = json::parse(request.body);
   const auto fence = body.at("fencing-token").get<uint64_t>();
-  if (fence < here.fence) {
-    const json refusal{{"clock-ms", ClockMs()}, {"reason", "fence"}};
-    return here.server->Respond(token, Answer(409, refusal));
+  if (fence < target.fence) {
+    const json rejection{{"clock-ms", ClockMs()}, {"reason", "fence"}};
+    return target.server->Respond(token, Answer(409, rejection));
   }
-  here.fence = fence;
-  Advance(here);
+  target.fence = fence;
+  Advance(target);
   int status = 200;
   json answer;
   if (request.path == "/v1/run-start") {
-    answer = Start(here, body, status);
-    if (lose_ > 0 && lose_-- > 0) return;
+    answer = Start(target, body, status);
+    if (responses_to_drop_ > 0 && responses_to_drop_-- > 0) return;
   } else if (request.path == "/v1/run-stop") {
-    answer = Stop(here, body);
+    answer = Stop(target, body);
   } else if (request.path == "/v1/hold") {
-    const auto seen = body.at("last-seen").get<uint64_t>();
-    while (!here.ended.empty() && here.ended[0][0].get<uint64_t>() <= seen) {
-      if (here.ended[0][3] == "done") done_.insert(here.ended[0][1].get<std::string>());
-      here.ended.erase(0);
+    const auto acknowledged = body.at("last-seen").get<uint64_t>();
+    while (!target.ended.empty() && target.ended[0][0].get<uint64_t>() <= acknowledged) {
+      if (target.ended[0][3] == "done") done_.insert(target.ended[0][1].get<std::string>());
+      target.ended.erase(0);
     }
     if (body.contains("deadline-ms")) {
-      here.lease_until = std::max(here.lease_until, std::min(body.at("deadline-ms").get<int64_t>(),
-                                                             ClockMs() + kLongestLease));
+      target.lease_until =
+          std::max(target.lease_until,
+                   std::min(body.at("deadline-ms").get<int64_t>(), ClockMs() + kMaxLeaseMs));
     }
-    holds_.push_back({at, token, Now() + milliseconds(body.value("wait-ms", int64_t{0}))});
+    pending_polls_.push_back({at, token, Now() + milliseconds(body.value("wait-ms", int64_t{0}))});
     return;
   } else {
     status = 404;
   }
-  here.server->Respond(token, Answer(status, answer));
+  target.server->Respond(token, Answer(status, answer));
 }
 
 void standin_instances::Tick() {
   const std::lock_guard lock(mutex_);
   static thread_local monotonic_time next_heartbeat{};
-  const bool beat = Now() >= next_heartbeat;
-  if (beat) next_heartbeat = Now() + kHeartbeat;
+  const bool heartbeat_due = Now() >= next_heartbeat;
+  if (heartbeat_due) next_heartbeat = Now() + kHeartbeatInterval;
   for (const auto& each : instances_) {
     Advance(*each);
-    if (beat) Register(*each);
+    if (heartbeat_due) Register(*each);
   }
-  for (size_t i = 0; i < holds_.size();) {
-    instance& here = *instances_[holds_[i].at];
-    if (here.ended.empty() && Now() < holds_[i].ends) {
+  for (size_t i = 0; i < pending_polls_.size();) {
+    instance& target = *instances_[pending_polls_[i].at];
+    if (target.ended.empty() && Now() < pending_polls_[i].ends) {
       ++i;
       continue;
     }
-    here.server->Respond(holds_[i].token, Answer(200, Listing(here)));
-    holds_.erase(holds_.begin() + static_cast<std::ptrdiff_t>(i));
+    target.server->Respond(pending_polls_[i].token, Answer(200, Listing(target)));
+    pending_polls_.erase(pending_polls_.begin() + static_cast<std::ptrdiff_t>(i));
   }
 }
 
--- a/test/platform_standin.h
+++ b/test/platform_standin.h
@@ -38,11 +38,11 @@
   // Every call is answered 503; leases run out meanwhile.
   void SetDown(bool down) { down_ = down; }
   // The next so many changes are done and answered only after every caller has given up.
-  void LoseAnswers(int changes) { lose_ = changes; }
+  void DropResponses(int changes) { responses_to_drop_ = changes; }
   uint64_t Calls() const { return calls_; }
 
  private:
-  struct kept_item {
+  struct stored_item {
     std::string value;
     uint64_t revision = 0;
     uint64_t lease = 0;
@@ -51,7 +51,7 @@
     uint64_t revision;
     std::string key;
   };
-  struct kept_lease {
+  struct stored_lease {
     std::chrono::milliseconds ttl{0};
     monotonic_time ends{};
   };
@@ -70,13 +70,13 @@
   void Tick();
 
   std::mutex mutex_;
-  std::map<std::string, kept_item> items_;
+  std::map<std::string, stored_item> items_;
   std::vector<key_change> changes_;
-  std::map<uint64_t, kept_lease> leases_;
+  std::map<uint64_t, stored_lease> leases_;
   std::vector<waiting_watch> watches_;
   uint64_t revision_ = 1;
   std::atomic<bool> down_{false};
-  std::atomic<int> lose_{0};
+  std::atomic<int> responses_to_drop_{0};
   std::atomic<uint64_t> calls_{0};
   std::atomic<bool> stop_{false};
   std::unique_ptr<http_server> server_;
@@ -100,18 +100,18 @@
   std::string AdviceAddress() const;
   std::vector<standin_start> Starts();
   // Tasks of which two runs were there at the same time.
-  std::vector<std::string> Doubles();
+  std::vector<std::string> DuplicateRuns();
   // Tasks that started again after an end `done` of theirs was acknowledged.
   std::vector<std::string> StartsAfterDone();
   size_t Running();
   uint16_t PortOf(size_t at) const { return instances_[at]->server->Port(); }
   // The address that the instance registers: that of a proxy before it.
-  void RegisterAs(size_t at, const std::string& address);
+  void SetRegisteredAddress(size_t at, const std::string& address);
   // The next so many starts are carried out and never answered.
-  void LoseStartAnswers(int starts) { lose_ = starts; }
+  void DropStartResponses(int starts) { responses_to_drop_ = starts; }
 
  private:
-  struct live_task {
+  struct running_task {
     std::string task;
     uint32_t number = 0;
     monotonic_time ends{};
@@ -121,39 +121,39 @@
     std::string id;
     std::unique_ptr<http_server> server;
     std::string address;
-    std::map<std::string, live_task> runs;  // by task
-    std::map<std::string, uint32_t> over;
+    std::map<std::string, running_task> runs;  // by task
+    std::map<std::string, uint32_t> last_ended_run;
     nlohmann::json ended = nlohmann::json::array();
     uint64_t last_end = 0;
     uint64_t fence = 0;
     int64_t lease_until = 0;
     uint64_t heartbeats = 0;
   };
-  struct hold {
+  struct pending_poll {
     size_t at;
     http_server::token token;
     monotonic_time ends;
   };
 
   void Handle(size_t at, http_server::token token, const http_request& request);
-  nlohmann::json Start(instance& here, const nlohmann::json& body, int& status);
-  nlohmann::json Stop(instance& here, const nlohmann::json& body);
-  nlohmann::json Listing(instance& here);
-  void Advance(instance& here);
-  void End(instance& here, const std::string& task, const char* how);
-  void Register(instance& here);
+  nlohmann::json Start(instance& target, const nlohmann::json& body, int& status);
+  nlohmann::json Stop(instance& target, const nlohmann::json& body);
+  nlohmann::json Listing(instance& target);
+  void Advance(instance& target);
+  void End(instance& target, const std::string& task, const char* result);
+  void Register(instance& target);
   void Tick();
 
   standin_metadata_store& store_;
   std::chrono::milliseconds run_time_;
   std::mutex mutex_;
   std::vector<std::unique_ptr<instance>> instances_;
-  std::vector<hold> holds_;
+  std::vector<pending_poll> pending_polls_;
   std::vector<standin_start> starts_;
-  std::vector<std::string> doubles_;
+  std::vector<std::string> duplicate_runs_;
   std::set<std::string> done_;  // tasks whose end was acknowledged
-  std::vector<std::string> after_done_;
-  std::atomic<int> lose_{0};
+  std::vector<std::string> starts_after_done_;
+  std::atomic<int> responses_to_drop_{0};
   std::atomic<bool> stop_{false};
   std::unique_ptr<http_server> advice_;
   std::thread ticker_;
--- a/test/site_fleet_test.cc
+++ b/test/site_fleet_test.cc
@@ -17,7 +17,7 @@
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(StateOf(0, "/keyed/" + JobId(1)) == "completed");
   CHECK(instances_.Starts().size() == 5);
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // A caller that got no answer sends its job again, to whichever entry the balancer picks: the buyer
@@ -95,7 +95,7 @@
   for (uint32_t i = 0; i < 8; ++i) {
     CHECK(Eventually([&] { return StateOf(other, "/keyed/" + JobId(i)) == "completed"; }));
   }
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
   CHECK(Owner() == static_cast<int>(other));
 }
 
@@ -109,13 +109,13 @@
   CHECK(Eventually([&] { return Owner() == static_cast<int>(other); }));
   CHECK(Eventually([&] { return StateOf(other, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(entries_[owner]->process.WaitFor(kGenerousLimit) == 0);
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // The store does a change and its answer is lost. The entry may say neither "taken" nor "refused"
 // before it knows: it asks again, and the condition of the change tells.
 TEST_CASE_METHOD(site_fixture, "site, answer of the store lost, job is taken once") {
-  store_.LoseAnswers(1);
+  store_.DropResponses(1);
   const http_result result = Call(0, "POST", "/keyed/" + JobId(1), TwoSteps());
   CHECK((result.code == 200 || result.code == 504));
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
@@ -125,10 +125,10 @@
 // Answers to starts are lost: the tasks may run. They are found in the listings or stopped before
 // they start elsewhere.
 TEST_CASE_METHOD(site_fixture, "site, answers to starts lost, no task runs twice at a time") {
-  instances_.LoseStartAnswers(3);
+  instances_.DropStartResponses(3);
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   CHECK(Eventually([this] { return StateOf(0, "/keyed/" + JobId(1)) == "completed"; }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // The store is away: nothing can be kept, so nothing is taken, and callers are told when to come
@@ -143,7 +143,7 @@
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(Call(0, "POST", "/keyed/" + JobId(2), TwoSteps()).code == 200);
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(2)) == "completed"; }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // Every process dies at once, also right after a job was taken: it is in the store, and the next
@@ -153,7 +153,7 @@
   for (auto& entry : entries_) entry->process.Kill();
   for (auto& entry : entries_) Start(*entry);
   CHECK(Eventually([this] { return StateOf(0, "/keyed/" + JobId(1)) == "completed"; }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 TEST_CASE_METHOD(site_fixture, "site, finished job, its way is in the logs and the metrics") {
--- a/test/site_soak.cc
+++ b/test/site_soak.cc
@@ -59,7 +59,8 @@
   http_.Start();
   for (size_t i = 0; i < kInstances; ++i) {
     instance_links_.push_back(proxy_.AddLink(instances_.PortOf(i)));
-    instances_.RegisterAs(i, absl::StrCat("127.0.0.1:", proxy_.PortOf(instance_links_[i])));
+    instances_.SetRegisteredAddress(i,
+                                    absl::StrCat("127.0.0.1:", proxy_.PortOf(instance_links_[i])));
   }
   ChangeVersion();
   for (size_t i = 0; i < kEntries; ++i) {
@@ -269,23 +270,25 @@
 }
 
 void site_soak::FaultOfStoreLink(entry& one) {
-  constexpr link_state kStates[] = {link_state::kPass, link_state::kPass,   link_state::kCut,
-                                    link_state::kHold, link_state::kOneWay, link_state::kOtherWay};
+  constexpr link_state kStates[] = {link_state::kPass,          link_state::kPass,
+                                    link_state::kCut,           link_state::kStall,
+                                    link_state::kDropResponses, link_state::kDropRequests};
   link_rule rule;
   rule.state = kStates[Pick(std::size(kStates))];
   if (Pick(4) == 0) rule.delay = milliseconds(Pick(150));
   if (PickVersion(3) == 0) rule.bytes_per_second = 150'000 + PickVersion(600'000);
   proxy_.SetRule(one.store_link, rule);
-  if (Pick(4) == 0) proxy_.SilenceOpenConnections(one.store_link);
+  if (Pick(4) == 0) proxy_.BlackholeOpenConnections(one.store_link);
 }
 
 void site_soak::FaultOfInstance() {
   const link_index link = instance_links_[Pick(kInstances)];
-  constexpr link_state kStates[] = {link_state::kPass, link_state::kCut, link_state::kOneWay};
+  constexpr link_state kStates[] = {link_state::kPass, link_state::kCut,
+                                    link_state::kDropResponses};
   link_rule rule;
   rule.state = kStates[Pick(std::size(kStates))];
   proxy_.SetRule(link, rule);
-  if (Pick(3) == 0) proxy_.SilenceOpenConnections(link);
+  if (Pick(3) == 0) proxy_.BlackholeOpenConnections(link);
 }
 
 void site_soak::FaultOfStore() {
@@ -293,9 +296,9 @@
     case 0:
       return store_.SetDown(Pick(2) == 0);
     case 1:
-      return store_.LoseAnswers(static_cast<int>(1 + Pick(3)));
+      return store_.DropResponses(static_cast<int>(1 + Pick(3)));
     default:
-      return instances_.LoseStartAnswers(static_cast<int>(1 + Pick(3)));
+      return instances_.DropStartResponses(static_cast<int>(1 + Pick(3)));
   }
 }
 
@@ -364,7 +367,7 @@
 
 void site_soak::CheckAtEnd() {
   if (!AllFollow()) broken_.push_back("an entry never follows the newest version");
-  for (const std::string& task : instances_.Doubles()) {
+  for (const std::string& task : instances_.DuplicateRuns()) {
     broken_.push_back(absl::StrCat(task, ": two runs at the same time"));
   }
   for (const std::string& task : instances_.StartsAfterDone()) {
--- a/test/standin_test.cc
+++ b/test/standin_test.cc
@@ -231,9 +231,9 @@
 
 TEST_CASE("instance list, changed, shows it only after the lag", "[standin]") {
   instance_list list(milliseconds{500}, json::parse(R"([{"name":"e1","state":"live"}])"));
-  REQUIRE(list.Change({{"name", "e1"}, {"state", "leaving"}}, kStart));
-  CHECK(list.Seen(kStart + milliseconds{499})["instances"][0]["state"] == "live");
-  CHECK(list.Seen(kStart + milliseconds{500})["instances"][0]["state"] == "leaving");
+  REQUIRE(list.Apply({{"name", "e1"}, {"state", "leaving"}}, kStart));
+  CHECK(list.Visible(kStart + milliseconds{499})["instances"][0]["state"] == "live");
+  CHECK(list.Visible(kStart + milliseconds{500})["instances"][0]["state"] == "leaving");
 }
 
 TEST_CASE("endpoint server, many starts over HTTP, runs and records each once", "[standin]") {
