--- a/standin/command.cc
+++ b/standin/command.cc
@@ -18,22 +18,23 @@
 #include "standin/json_fields.h"
 #include "standin/store_server.h"
 
-ABSL_FLAG(uint32_t, port, 0, "port to listen on; 0: the system picks one");
+ABSL_FLAG(uint32_t, port, 0, "port to listen on; 0: chosen by the system");
 ABSL_FLAG(std::string, names, "",
-          "endpoint: names, separated by commas; ep-0..ep-16 stands for ep-0, ep-1 ... ep-16");
-ABSL_FLAG(uint32_t, count, 0, "endpoint: how many, named PREFIX-0, PREFIX-1 ...");
+          "endpoint: comma-separated names; ep-0..ep-16 expands to ep-0, ep-1 ... ep-16");
+ABSL_FLAG(uint32_t, count, 0, "endpoint: number of endpoints, named PREFIX-0, PREFIX-1 ...");
 ABSL_FLAG(std::string, prefix, "ep", "endpoint: prefix of the names");
 ABSL_FLAG(std::string, shape, "16000,32768,0,8",
-          "endpoint: milli-processors, megabytes, accelerators, slots of each");
-ABSL_FLAG(bool, fencing, true, "endpoint: refuses an epoch that is too low");
-ABSL_FLAG(uint64_t, incarnation, 1, "endpoint: number of this life; a restarted one needs another");
-ABSL_FLAG(double, read_rate, 2000, "store: reads a second");
-ABSL_FLAG(double, write_rate, 500, "store: writes a second");
+          "endpoint: capacity of each: millicores, memory in MB, accelerators, slots");
+ABSL_FLAG(bool, fencing, true, "endpoint: reject calls with an epoch below the highest seen");
+ABSL_FLAG(uint64_t, incarnation, 1,
+          "endpoint: incarnation number; a restarted process needs a different one");
+ABSL_FLAG(double, read_rate, 2000, "store: reads per second");
+ABSL_FLAG(double, write_rate, 500, "store: writes per second");
 ABSL_FLAG(bool, freeze_leases, false,
-          "store: time of leases stands still while the store is down; else all may have lapsed");
-ABSL_FLAG(uint64_t, seed, 1, "store: which replies are lost");
-ABSL_FLAG(uint32_t, lag_ms, 500, "instances: age of what readers see");
-ABSL_FLAG(std::string, file, "", "instances: JSON list of the first instances");
+          "store: lease time does not advance while the store is down; else all leases may expire");
+ABSL_FLAG(uint64_t, seed, 1, "store: random seed that selects the lost replies");
+ABSL_FLAG(uint32_t, lag_ms, 500, "instances: age in ms of the list that readers see");
+ABSL_FLAG(std::string, file, "", "instances: file with the initial instances, a JSON list");
 
 namespace catkinford {
 namespace {
@@ -41,12 +42,12 @@
 constexpr int kUsageError = 2;
 constexpr int kPortInUse = 3;
 constexpr const char* kUsage =
-    "Stand-ins for the platform, each a real process that speaks docs/PROTOCOL.md.\n"
+    "Stand-ins for the platform's services; each process implements docs/PROTOCOL.md.\n"
     "  catkinford-standin endpoint --names ep-0..ep-16 --port 9101\n"
     "  catkinford-standin store --port 9000 --read_rate 2000 --write_rate 500\n"
     "  catkinford-standin instances --port 9001 --lag_ms 500 --file list.json\n";
 
-// "ep-0..ep-16" gives 17 names; a text without ".." is a name itself.
+// "ep-0..ep-16" appends 17 names; any other text is appended as one name.
 void AppendNames(const std::string& text, std::vector<std::string>& names) {
   const std::vector<std::string> range_ends = absl::StrSplit(text, "..");
   const size_t digits_at = range_ends[0].find_last_not_of("0123456789") + 1;
@@ -87,7 +88,7 @@
 template <typename Server>
 int Serve(Server& server, const sigset_t& stop_signals) {
   if (!server.Start()) {
-    std::fprintf(stderr, "port is taken\n");
+    std::fprintf(stderr, "cannot listen: port is in use\n");
     return kPortInUse;
   }
   std::printf("ready %u\n", static_cast<unsigned>(server.Port()));
@@ -105,7 +106,7 @@
   options.fencing = absl::GetFlag(FLAGS_fencing);
   options.incarnation = absl::GetFlag(FLAGS_incarnation);
   if (options.names.empty() || !ParseShape(absl::GetFlag(FLAGS_shape), options.shape)) {
-    std::fprintf(stderr, "endpoint: --names or --count, and a --shape of four numbers, please\n");
+    std::fprintf(stderr, "endpoint: needs --names or --count, and a --shape of four numbers\n");
     return kUsageError;
   }
   endpoint_server server(std::move(options));
@@ -129,7 +130,7 @@
     const nlohmann::json parsed = nlohmann::json::parse(in, nullptr, false, true);
     instances = parsed.is_object() ? ChildOf(parsed, "instances") : parsed;
     if (!instances.is_array()) {
-      std::fprintf(stderr, "instances: --file does not hold a list\n");
+      std::fprintf(stderr, "instances: --file does not contain a JSON list of instances\n");
       return kUsageError;
     }
   }
@@ -144,7 +145,7 @@
   absl::SetProgramUsageMessage(kUsage);
   const std::vector<char*> positional = absl::ParseCommandLine(argc, argv);
   const std::string subcommand = positional.size() > 1 ? positional[1] : "";
-  // Blocked before any thread starts, so that sigwait() alone gets them.
+  // Blocked before any thread starts, so that the signals are delivered only to sigwait().
   sigset_t stop_signals;
   sigemptyset(&stop_signals);
   sigaddset(&stop_signals, SIGTERM);
--- a/standin/endpoint_model.cc
+++ b/standin/endpoint_model.cc
@@ -11,12 +11,11 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kStopDuration{5};     // from a stop to the end of the task
-constexpr milliseconds kMaxSyncWait{60000};  // of one sync
-constexpr milliseconds kUnansweredHoldTime{
-    30000};                                 // how long the connection of an unanswered call is kept
-constexpr milliseconds kUsageAge{500};      // usage reports are about this old
-constexpr size_t kMaxWorkLabelLength = 64;  // of the caller's own mark that goes into the record
+constexpr milliseconds kStopDuration{5};            // from a stop command to the end of the task
+constexpr milliseconds kMaxSyncWait{60000};         // longest wait of one sync
+constexpr milliseconds kUnansweredHoldTime{30000};  // until an unanswered call gets its late error
+constexpr milliseconds kUsageAge{500};              // reported as the age of the usage figures
+constexpr size_t kMaxWorkLabelLength = 64;          // of the caller's label that is recorded
 constexpr milliseconds kDefaultLease{10000};
 constexpr milliseconds kDefaultRetention{30000};
 
@@ -90,8 +89,8 @@
   return JsonReply(409, {{"error", "fenced"}, {"epoch", epoch_}});
 }
 
-// A higher epoch ends the waiting syncs of lower ones: the former owner hears of its successor at
-// once and not when its sync would have ended.
+// Ends the waiting syncs of lower epochs, so that a former owner learns of its successor at once
+// and not only when its sync times out.
 void endpoint_model::RaiseEpoch(uint64_t epoch, due_replies& replies) {
   if (epoch <= epoch_) return;
   epoch_ = epoch;
@@ -208,7 +207,7 @@
     return;
   }
   RaiseEpoch(epoch, replies);
-  // A cursor of another life says nothing about this one.
+  // A cursor of another incarnation is meaningless here.
   const bool same_incarnation =
       static_cast<uint64_t>(IntOf(body, "incarnation", 0)) == incarnation_;
   const uint64_t cursor = same_incarnation ? static_cast<uint64_t>(IntOf(body, "cursor", 0)) : 0;
@@ -228,7 +227,7 @@
 
 http_response endpoint_model::SyncReply(uint64_t cursor, monotonic_time /*now*/) const {
   nlohmann::json finished = nlohmann::json::array();
-  // Newest at the back: only the part after the cursor is looked at.
+  // Sorted by seq: scans backwards, so that only entries after the cursor are visited.
   auto first = finished_.end();
   while (first != finished_.begin() && std::prev(first)->seq > cursor) --first;
   for (auto task = first; task != finished_.end(); ++task) {
@@ -329,7 +328,7 @@
     waiting_.clear();
   }
   if (mode_ == endpoint_mode::kDead) {
-    // Its memory is gone: epoch, retained tasks and sequence begin anew.
+    // A restart loses all state: epoch, retained tasks and sequence numbers start again.
     ++incarnation_;
     epoch_ = 0;
     last_seq_ = 0;
--- a/standin/endpoint_model.h
+++ b/standin/endpoint_model.h
@@ -1,6 +1,7 @@
-// One endpoint as the platform would offer it: capacity, leases, fencing, retention, faults.
+// Model of one platform endpoint: capacity, leases, fencing, retention of finished tasks, faults.
 //
-// Pure: the present time comes in, answers go out. One lock outside guards it.
+// Does no I/O and reads no clock: the caller passes the time and sends the replies. Not
+// thread-safe; the caller holds a lock.
 #ifndef CATKINFORD_STANDIN_ENDPOINT_MODEL_H_
 #define CATKINFORD_STANDIN_ENDPOINT_MODEL_H_
 
@@ -21,33 +22,33 @@
 
 enum class endpoint_mode : uint8_t {
   kUp,
-  kDead,         // nothing runs, nothing is answered; kUp afterwards is a new incarnation
-  kSilent,       // calls are neither done nor answered; what runs goes on
-  kLoseReplies,  // calls are done and not answered
-  kFailAll,      // starts everything, and everything fails at once
-  kBroken,       // starts nothing: each start is answered `broken`
-  kLeaving       // says that it is leaving; takes whatever it is given
+  kDead,         // runs nothing, answers nothing; a later kUp starts a new incarnation
+  kSilent,       // calls are neither executed nor answered; running tasks continue
+  kLoseReplies,  // calls are executed but not answered
+  kFailAll,      // every task starts and fails immediately
+  kBroken,       // starts no task: each start is answered `broken`
+  kLeaving       // reports that it is leaving; still accepts all starts
 };
 
 struct endpoint_options {
   std::string name;
   resources shape;
-  uint32_t connections = 64;  // calls open at once, waiting syncs included
+  uint32_t connections = 64;  // most syncs that may wait at once; above it, calls get 503
   bool fencing = true;
-  uint64_t incarnation = 1;  // of the first life; each restart adds one
+  uint64_t incarnation = 1;  // initial value; each restart increments it
 };
 
-// Answers that became due: a waiting call and what it gets.
+// Replies to send now: the call's token and its response.
 using due_replies = std::vector<std::pair<http_server::token, http_response>>;
 
 class endpoint_model {
  public:
   endpoint_model(endpoint_options options, run_record& record);
 
-  // One call of docs/PROTOCOL.md; `verb` is the last part of its path.
+  // Handles one call of docs/PROTOCOL.md; `verb` is the last segment of its path.
   void Handle(const std::string& verb, http_server::token token, const nlohmann::json& body,
               monotonic_time now, due_replies& replies);
-  // Ends tasks whose run time or lease is over, answers syncs that waited long enough.
+  // Ends tasks whose run time or lease has expired, and answers syncs whose wait is over.
   void Tick(monotonic_time now, due_replies& replies);
   monotonic_time NextWake() const;
   void SetMode(endpoint_mode mode, monotonic_time now, due_replies& replies);
@@ -63,8 +64,8 @@
     monotonic_time ends;
     monotonic_time lease_until;
     std::chrono::milliseconds retention{0};
-    std::chrono::milliseconds checkpoint{0};  // how long it would write at one
-    std::string result;                       // with which it will end
+    std::chrono::milliseconds checkpoint{0};  // time that writing a checkpoint takes
+    std::string result;                       // reported when the task ends
     std::string answer;
   };
   struct finished_task {
@@ -82,7 +83,7 @@
     uint64_t cursor = 0;
     monotonic_time until;
   };
-  // A call that is never answered in time: held so that its connection can be freed later.
+  // A call left unanswered on purpose. It gets a late error so that its connection is released.
   struct unanswered_call {
     http_server::token token = 0;
     monotonic_time respond_at;
@@ -122,8 +123,8 @@
   uint64_t acknowledged_ = 0;
   resources used_;
   absl::flat_hash_map<std::string, running_task> running_;
-  std::deque<finished_task> finished_;                       // by seq
-  absl::flat_hash_map<std::string, uint64_t> finished_seq_;  // id to seq
+  std::deque<finished_task> finished_;                       // in order of seq
+  absl::flat_hash_map<std::string, uint64_t> finished_seq_;  // task id to seq
   std::vector<waiting_sync> waiting_;
   std::vector<unanswered_call> unanswered_;
 };
--- a/standin/endpoint_server.cc
+++ b/standin/endpoint_server.cc
@@ -104,7 +104,8 @@
   return JsonReply(200, nlohmann::json::object());
 }
 
-// Under the lock. An entry whose time is not the endpoint's `wake` any more counts for nothing.
+// Requires mutex_. Queue entries whose time differs from the endpoint's `next_wake` are stale and
+// are skipped by OnWake().
 void endpoint_server::Schedule(size_t index) {
   scheduled_endpoint& endpoint = endpoints_[index];
   const monotonic_time next = endpoint.model->NextWake();
--- a/standin/endpoint_server.h
+++ b/standin/endpoint_server.h
@@ -1,4 +1,4 @@
-// Many endpoints behind one port.
+// HTTP server that hosts many endpoint models on one port.
 #ifndef CATKINFORD_STANDIN_ENDPOINT_SERVER_H_
 #define CATKINFORD_STANDIN_ENDPOINT_SERVER_H_
 
@@ -40,7 +40,7 @@
  private:
   struct scheduled_endpoint {
     std::unique_ptr<endpoint_model> model;
-    monotonic_time next_wake = monotonic_time::max();  // of its entry in `wakes_` that counts
+    monotonic_time next_wake = monotonic_time::max();  // time of its valid entry in `wake_queue_`
   };
   using wake_entry = std::pair<monotonic_time, size_t>;
 
@@ -51,7 +51,7 @@
   void Send(due_replies& replies);
 
   endpoint_server_options options_;
-  std::mutex mutex_;  // guards all below, up to http_
+  std::mutex mutex_;  // guards the members from here to http_
   run_record record_;
   std::vector<scheduled_endpoint> endpoints_;
   absl::flat_hash_map<std::string, size_t> index_by_name_;
--- a/standin/fault_proxy.cc
+++ b/standin/fault_proxy.cc
@@ -26,8 +26,8 @@
 using time_point = steady_clock::time_point;
 
 constexpr size_t kReadChunkBytes = size_t{64} << 10;
-constexpr size_t kBacklogBytes = size_t{4} << 20;  // then the sender is not read any further
-// On a link with a rate: what is passed on at once, and what waits for it at most.
+constexpr size_t kBacklogBytes = size_t{4} << 20;  // above it, the sender is not read
+// On a rate-limited link: most bytes sent in one call, and most bytes queued per stream.
 constexpr size_t kRateLimitedSendBytes = size_t{4} << 10;
 constexpr size_t kRateLimitedBacklogBytes = size_t{32} << 10;
 
@@ -57,7 +57,8 @@
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
   const sockaddr_in address = Loopback(port);
-  // On loopback it connects or fails by the time that the call returns or the socket is writable.
+  // On loopback the connect completes or fails by the time that the call returns or the socket is
+  // writable.
   if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 &&
       errno != EINPROGRESS) {
     close(fd);
@@ -66,7 +67,7 @@
   return fd;
 }
 
-// A close that the other side sees as a reset and not as an orderly end.
+// Closes with a TCP reset instead of an orderly shutdown.
 void Reset(int fd) {
   const linger hard{1, 0};
   setsockopt(fd, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
@@ -82,16 +83,16 @@
 struct stream {
   int from = -1;
   int to = -1;
-  bool discard = false;        // by the link's present rule
+  bool discard = false;        // by the link's current rule
   bool ended = false;          // the sender closed its side
-  bool end_forwarded = false;  // and that was passed on
+  bool end_forwarded = false;  // that close was forwarded to the receiver
   std::deque<delayed_bytes> waiting;
   size_t waiting_bytes = 0;
 };
 
 struct proxied_connection {
   size_t link = 0;
-  std::array<stream, 2> streams;  // to the target, and back
+  std::array<stream, 2> streams;  // client to target, target to client
   uint64_t bytes = 0;
   bool blackholed = false;
   bool broken = false;
@@ -103,7 +104,8 @@
   uint16_t target = 0;
   link_rule rule;
   uint64_t forwarded_bytes = 0;
-  std::array<time_point, 2> next_send_at{};  // when each way of a link with a rate takes more
+  std::array<time_point, 2>
+      next_send_at{};  // when each direction of a rate-limited link may send again
 
   bool RateLimited(size_t way, time_point now) const {
     return rule.bytes_per_second != 0 && next_send_at[way] > now;
@@ -206,7 +208,7 @@
     bytes.erase(0, static_cast<size_t>(sent));
     if (bytes.empty()) way.waiting.pop_front();
   }
-  // The end of a swallowed stream is swallowed as well: a silent connection does not close.
+  // A discarded stream discards its end too: a dead connection does not close.
   const bool forward_end = !connection.blackholed && !way.discard;
   if (way.ended && !way.end_forwarded && way.waiting.empty() && forward_end) {
     shutdown(way.to, SHUT_WR);
@@ -224,8 +226,8 @@
         link.rule.bytes_per_second == 0 ? kBacklogBytes : kRateLimitedBacklogBytes;
     for (size_t direction = 0; direction < connection.streams.size(); ++direction) {
       const stream& way = connection.streams[direction];
-      // A held stream stays in the system's buffers, as sent packets stay with a sender that
-      // goes on retransmitting them through a partition.
+      // The bytes of a stalled stream stay in the kernel's buffers, like packets that a sender
+      // retransmits throughout a partition.
       const bool held = link.rule.state == link_state::kStall;
       const bool reads = !held && !way.ended && way.waiting_bytes < backlog;
       polls.push_back({reads ? way.from : -1, POLLIN, 0});
@@ -266,7 +268,7 @@
         Write(connection, direction, now);
       }
     }
-    // The connections of a link with a rate take turns.
+    // Rotates the list, so that the connections of a rate-limited link send round robin.
     if (!connections.empty())
       connections.splice(connections.end(), connections, connections.begin());
     for (size_t link = 0; link < known_links; ++link) {
@@ -279,7 +281,7 @@
         Reset(to_target.to);
         return true;
       }
-      // Both sides have closed; or the client closed a connection that is silent anyway.
+      // Both sides have closed, or one side closed a connection that is dead.
       const bool blackhole_ended =
           (connection.blackholed || to_target.discard || to_client.discard) &&
           (to_target.ended || to_client.ended);
@@ -317,7 +319,7 @@
   for (proxied_connection& connection : impl_->connections) {
     if (connection.link != link) continue;
     if (state == link_state::kCut) connection.broken = true;
-    // Bytes that a partition swallowed are lost to the stream: it cannot go on afterwards.
+    // Bytes discarded during a partition are lost to the stream, so it cannot resume afterwards.
     if (state == link_state::kPass &&
         (connection.streams[0].discard || connection.streams[1].discard)) {
       connection.blackholed = true;
--- a/standin/instance_server.cc
+++ b/standin/instance_server.cc
@@ -10,7 +10,7 @@
 using std::chrono::steady_clock;
 
 instance_list::instance_list(milliseconds lag, nlohmann::json instances) : lag_(lag) {
-  // The first list has been there for ever.
+  // The initial list is visible from the start.
   versions_.push_back({monotonic_time::min(), std::move(instances)});
 }
 
--- a/standin/instance_server.h
+++ b/standin/instance_server.h
@@ -1,4 +1,4 @@
-// The platform's list of instances, which shows each change only after a lag.
+// The platform's list of instances, which shows each change only after a fixed lag.
 #ifndef CATKINFORD_STANDIN_INSTANCE_SERVER_H_
 #define CATKINFORD_STANDIN_INSTANCE_SERVER_H_
 
@@ -14,14 +14,15 @@
 
 namespace catkinford {
 
-// The true list and the earlier ones that readers may still see. Pure.
+// The current list and the earlier versions that readers may still see. Does no I/O and reads no
+// clock.
 class instance_list {
  public:
   instance_list(std::chrono::milliseconds lag, nlohmann::json instances);
 
-  // What a reader sees: {age_ms, instances}.
+  // The version visible to readers: {age_ms, instances}.
   nlohmann::json Visible(monotonic_time now);
-  // {"instances":[...]}, {"name":N,"state":S} or {"remove":N}; false when it is none of them.
+  // {"instances":[...]}, {"name":N,"state":S} or {"remove":N}; false for anything else.
   bool Apply(const nlohmann::json& change, monotonic_time now);
 
  private:
@@ -31,7 +32,7 @@
   };
 
   std::chrono::milliseconds lag_;
-  std::deque<version> versions_;  // the first is the one that is seen
+  std::deque<version> versions_;  // oldest first; the first is visible to readers
 };
 
 class instance_server {
--- a/standin/json_fields.h
+++ b/standin/json_fields.h
@@ -1,4 +1,4 @@
-// Reading fields of calls without exceptions: a missing or wrong field reads as the fallback.
+// Reads JSON fields without exceptions: a missing field or one of another type gives the fallback.
 #ifndef CATKINFORD_STANDIN_JSON_FIELDS_H_
 #define CATKINFORD_STANDIN_JSON_FIELDS_H_
 
@@ -18,7 +18,7 @@
 bool BoolOf(const nlohmann::json& object, const char* name, bool fallback);
 std::chrono::milliseconds MillisecondsOf(const nlohmann::json& object, const char* name,
                                          std::chrono::milliseconds fallback);
-// The value below `name`, or null.
+// The member `name` of `object`, or null.
 const nlohmann::json& ChildOf(const nlohmann::json& object, const char* name);
 
 resources ResourcesOf(const nlohmann::json& object);
--- a/standin/run_record.h
+++ b/standin/run_record.h
@@ -1,5 +1,5 @@
-// The append-only record of what really ran at the endpoints of one process. Checkers judge from
-// it, never from the scheduler's opinion.
+// Append-only record of what ran on the endpoints of one process. Checkers verify against it and
+// not against the scheduler's own state.
 #ifndef CATKINFORD_STANDIN_RUN_RECORD_H_
 #define CATKINFORD_STANDIN_RUN_RECORD_H_
 
@@ -13,10 +13,10 @@
 
 class run_record {
  public:
-  // Adds one line, with the time of the event by the monotonic clock, which all processes of one
+  // Appends one line, with the event's time by the monotonic clock, which all processes of one
   // machine share.
   void Append(monotonic_time now, nlohmann::json event);
-  // All lines so far.
+  // All lines so far, one JSON object each.
   const std::string& Text() const { return text_; }
 
  private:
--- a/standin/store_model.cc
+++ b/standin/store_model.cc
@@ -15,7 +15,7 @@
 constexpr size_t kMaxValueBytes = size_t{1} << 20;
 constexpr milliseconds kMaxWatchWait{60000};
 constexpr milliseconds kLostReplyHoldTime{
-    30000};  // how long the connection of a lost reply is kept
+    30000};  // until a call with a lost reply gets its late error
 
 bool IsWrite(const store_call& call) { return call.method == "POST"; }
 
--- a/standin/store_model.h
+++ b/standin/store_model.h
@@ -1,6 +1,7 @@
-// The platform's store: compare-and-swap, leases, watches, rates, and its outages.
+// Model of the platform's store: compare-and-swap, leases, watches, rate limits and outages.
 //
-// Pure: the present time comes in, answers go out. One lock outside guards it.
+// Does no I/O and reads no clock: the caller passes the time and sends the replies. Not
+// thread-safe; the caller holds a lock.
 #ifndef CATKINFORD_STANDIN_STORE_MODEL_H_
 #define CATKINFORD_STANDIN_STORE_MODEL_H_
 
@@ -20,21 +21,21 @@
 
 enum class store_mode : uint8_t {
   kUp,
-  kDown,        // everything is answered 503
-  kSlow,        // each call is done only after `delay`, also when its caller has long given up
-  kLoseReplies  // a part of the writes is done and never answered
+  kDown,        // every call is answered 503
+  kSlow,        // each call is executed after `delay`, even if its caller has given up
+  kLoseReplies  // a share of the writes is executed but not answered
 };
 
 struct store_options {
-  double read_rate = 2000;  // calls a second; a waiting watch is one call
+  double read_rate = 2000;  // calls per second; a waiting watch is one call
   double write_rate = 500;
-  // While the store is down, the time of leases goes on and all may have lapsed when it is back;
-  // or it stands still. Platforms differ; the first is the harder one.
+  // True: lease time does not advance while the store is down. False: it does, so all leases may
+  // have expired when the store is back. Platforms differ; false is the harder case.
   bool freeze_leases_while_down = false;
   uint64_t seed = 1;
 };
 
-// Calls a second, with a second's worth in hand.
+// Token bucket: refills at `rate` calls per second and holds at most one second's worth.
 class token_bucket {
  public:
   explicit token_bucket(double rate) : rate_(rate), tokens_(rate) {}
@@ -49,8 +50,8 @@
 struct store_call {
   std::string method;
   std::string path;
-  std::string key;              // or prefix
-  uint64_t after_revision = 0;  // of a watch
+  std::string key;              // or prefix, for ranges and watches
+  uint64_t after_revision = 0;  // last revision that a watch has seen
   std::chrono::milliseconds wait{0};
   nlohmann::json body;
 };
--- a/standin/store_server.h
+++ b/standin/store_server.h
@@ -1,4 +1,4 @@
-// The store stand-in behind a port.
+// HTTP server for the store model.
 #ifndef CATKINFORD_STANDIN_STORE_SERVER_H_
 #define CATKINFORD_STANDIN_STORE_SERVER_H_
 
--- a/standin/timer_thread.cc
+++ b/standin/timer_thread.cc
@@ -35,7 +35,7 @@
   std::unique_lock lock(mutex_);
   while (!stopping_) {
     if (std::chrono::steady_clock::now() < next_wake_) {
-      // Not wait_until(max): its conversion to the system's time would overflow.
+      // Bounded, because wait_until(max) overflows when it is converted to system time.
       const auto bound = std::chrono::steady_clock::now() + std::chrono::seconds{1};
       wake_condition_.wait_until(lock, std::min(next_wake_, bound));
       continue;
--- a/standin/timer_thread.h
+++ b/standin/timer_thread.h
@@ -1,4 +1,4 @@
-// One thread that calls back at the earliest time asked for.
+// Thread that runs a callback at the earliest requested time.
 #ifndef CATKINFORD_STANDIN_TIMER_THREAD_H_
 #define CATKINFORD_STANDIN_TIMER_THREAD_H_
 
@@ -13,7 +13,7 @@
 
 class timer_thread {
  public:
-  // Does what is due and returns when it wants to be called next.
+  // Returns the time of the next call that it needs.
   using callback = std::function<monotonic_time()>;
 
   explicit timer_thread(callback on_wake);
@@ -22,7 +22,7 @@
   timer_thread& operator=(const timer_thread&) = delete;
 
   void Start();
-  // The callback is wanted at `at` at the latest.
+  // Requests a callback no later than `at`.
   void WakeBy(monotonic_time at);
   void Stop();
 
