--- a/test/examples_test.cc
+++ b/test/examples_test.cc
@@ -1,5 +1,4 @@
-// The examples of the pages, run as they stand: an engineer copies them, and one that is wrong
-// costs an afternoon.
+// Runs the examples of the documentation as written, because engineers copy them.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cstdio>
@@ -33,11 +32,11 @@
 constexpr milliseconds kStartLimit{30000};
 
 struct example {
-  std::string caller;  // team, operator, or empty
+  std::string caller;  // whose key is sent: team, operator, or empty for none
   std::string method;
   std::string path;
   std::string body;
-  std::string status;  // "…" for any
+  std::string status;  // "…": any
   std::string answer;  // empty: any
 };
 
@@ -47,7 +46,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// The text of each block of the page that is fenced as ```KIND.
+// The text of each code block of the page that is fenced as ```KIND.
 std::vector<std::string> Blocks(const std::string& page, const std::string& kind) {
   std::vector<std::string> blocks;
   std::istringstream lines(page);
@@ -117,7 +116,7 @@
     CHECK(Matches(wanted, json::parse(result.body, nullptr, false)));
   }
 
-  // All known names in their places.
+  // Replaces all known names by their values.
   std::string Substitute(std::string text) const {
     for (const auto& [name, value] : values_) {
       const std::string replacement = value.is_string() ? value.get<std::string>() : value.dump();
@@ -159,7 +158,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(examples_fixture, "examples of the endpoint's calls, run, are right",
+TEST_CASE_METHOD(examples_fixture,
+                 "examples of the endpoint's calls, run, give the documented answers",
                  "[examples]") {
   endpoint_server_options options;
   options.names = {"worker-0"};
@@ -168,13 +168,15 @@
   RunAll("endpoint", absl::StrCat("http://127.0.0.1:", endpoint.Port()));
 }
 
-TEST_CASE_METHOD(examples_fixture, "examples of the store's calls, run, are right", "[examples]") {
+TEST_CASE_METHOD(examples_fixture,
+                 "examples of the store's calls, run, give the documented answers", "[examples]") {
   store_server store(0, {});
   REQUIRE(store.Start());
   RunAll("store", absl::StrCat("http://127.0.0.1:", store.Port()));
 }
 
-TEST_CASE_METHOD(examples_fixture, "examples of the instance list's calls, run, are right",
+TEST_CASE_METHOD(examples_fixture,
+                 "examples of the instance list's calls, run, give the documented answers",
                  "[examples]") {
   const json shape = {
       {"cpu_milli", 16000}, {"memory_mb", 32768}, {"accelerators", 0}, {"slots", 8}};
@@ -196,7 +198,8 @@
   RunAll("instances", absl::StrCat("http://127.0.0.1:", instances.Port()));
 }
 
-TEST_CASE_METHOD(examples_fixture, "examples of callers' and operators' calls, run, are right",
+TEST_CASE_METHOD(examples_fixture,
+                 "examples of callers' and operators' calls, run, give the documented answers",
                  "[examples][fleet]") {
   fleet_options options;
   options.entries_per_domain = 1;
@@ -210,8 +213,8 @@
   RunAll("entry", running.UrlOf(0));
 }
 
-// Every call that the tables of the page name has an example, so that none is only a shape.
-TEST_CASE_METHOD(examples_fixture, "examples, compared with the tables, leave out no call",
+// Guards against a call that the page's tables list without an example to run.
+TEST_CASE_METHOD(examples_fixture, "examples, compared with the tables, cover every call",
                  "[examples]") {
   std::set<std::string> shown;
   for (const char* kind : {"endpoint", "store", "instances", "entry"}) {
@@ -235,7 +238,7 @@
   CHECK(rows > 15);
 }
 
-TEST_CASE_METHOD(examples_fixture, "examples of contracts, checked as operators do, are good",
+TEST_CASE_METHOD(examples_fixture, "examples of contracts, checked by check-config, are valid",
                  "[examples]") {
   const std::vector<std::string> blocks = Blocks(Page("docs/CONTRACTS.md"), "json");
   REQUIRE(!blocks.empty());
--- a/test/fault_proxy_test.cc
+++ b/test/fault_proxy_test.cc
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-// A server that echoes, behind one link.
+// An echo server behind one link.
 class fault_proxy_fixture {
  public:
   fault_proxy_fixture()
@@ -52,7 +52,8 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link with a rate, carries whole bodies no faster",
+TEST_CASE_METHOD(fault_proxy_fixture,
+                 "link, rate-limited, forwards complete bodies at no more than its rate",
                  "[proxy]") {
   const std::string large(50000, 'x');
   link_rule rule;
@@ -60,17 +61,17 @@
   proxy_.SetRule(link_, rule);
   const auto begun = std::chrono::steady_clock::now();
   CHECK(Call(large, false, milliseconds{30000}).body == large);
-  // There and back, one after the other: the server answers what it has read whole.
+  // Request and response follow one another: the server answers once it has read the full body.
   CHECK(std::chrono::steady_clock::now() - begun > milliseconds{950});
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, passing, carries whole bodies", "[proxy]") {
+TEST_CASE_METHOD(fault_proxy_fixture, "link, passing, forwards complete bodies", "[proxy]") {
   const std::string large(500000, 'x');
   CHECK(Call("a").body == "a");
   CHECK(Call(large, false, milliseconds{5000}).body == large);
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, cut and mended, ends calls and works again",
+TEST_CASE_METHOD(fault_proxy_fixture, "link, cut and restored, fails calls and works again",
                  "[proxy]") {
   CHECK(Call("a").body == "a");
   proxy_.SetRule(link_, {link_state::kCut});
@@ -79,9 +80,9 @@
   CHECK(Call("c").body == "c");
 }
 
-// Something between the two ends has lost track of an open connection: nothing that is sent on it
-// arrives any more, though new connections work. A caller that tries again on it waits for ever.
-TEST_CASE_METHOD(fault_proxy_fixture, "link, connection silenced, works only on a fresh one",
+// A middlebox has lost the state of an open connection: nothing sent on it arrives any more, while
+// new connections work. A caller that retries on the same connection never gets an answer.
+TEST_CASE_METHOD(fault_proxy_fixture, "link, open connection dead, works on a new connection",
                  "[proxy]") {
   CHECK(Call("a").body == "a");
   proxy_.BlackholeOpenConnections(link_);
@@ -90,14 +91,15 @@
   CHECK(requests_received_ == 2);
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, one way, does the call and loses the answer",
-                 "[proxy]") {
+TEST_CASE_METHOD(fault_proxy_fixture,
+                 "link, responses dropped, delivers the call and loses the response", "[proxy]") {
   proxy_.SetRule(link_, {link_state::kDropResponses});
   CHECK(Call("a").status == transfer_status::kMaybeSent);
   CHECK(requests_received_ == 1);
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, silent after some bytes, passes those", "[proxy]") {
+TEST_CASE_METHOD(fault_proxy_fixture, "link, dead after a byte limit, forwards the bytes before it",
+                 "[proxy]") {
   link_rule rule;
   rule.blackhole_after_bytes = 1000;
   proxy_.SetRule(link_, rule);
@@ -106,9 +108,10 @@
   CHECK(requests_received_ == 1);
 }
 
-// A call that a partition held up is delivered when the partition ends, long after its caller gave
-// up: what it asks for may still happen then.
-TEST_CASE_METHOD(fault_proxy_fixture, "link, held and let go, delivers the call late", "[proxy]") {
+// A call delayed by a partition is delivered when the partition ends, possibly after its caller has
+// timed out, and may still take effect then.
+TEST_CASE_METHOD(fault_proxy_fixture, "link, stalled and released, delivers the call late",
+                 "[proxy]") {
   proxy_.SetRule(link_, {link_state::kStall});
   http_call call{"POST", absl::StrCat("http://127.0.0.1:", proxy_.PortOf(link_), "/"), "late"};
   call.timeout = milliseconds{10000};
--- a/test/pages_test.cc
+++ b/test/pages_test.cc
@@ -1,4 +1,5 @@
-// The pages against the code: what an operator reads exists, and what exists is on a page.
+// Compares the documentation with the code: every documented name exists, and the generated tables
+// are current.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <fstream>
@@ -52,7 +53,7 @@
   }
 }
 
-TEST_CASE_METHOD(pages_fixture, "capacity page, worked out again from its slopes, is the same",
+TEST_CASE_METHOD(pages_fixture, "capacity page, recomputed from its slopes, is the same",
                  "[pages]") {
   const auto report = ParseSlopes(Page("bench/slopes.json"));
   REQUIRE(report.has_value());
@@ -61,8 +62,8 @@
   CHECK(*section == CapacityPage(*report));
 }
 
-// An operator searches a page for a metric that an alert names; a name that is only on the page,
-// or was changed in the code alone, sends the search astray.
+// Guards against a metric that was renamed in the code only: an operator who looks up the metric of
+// an alert would not find it.
 TEST_CASE_METHOD(pages_fixture, "pages, metric named in prose, exists in the code", "[pages]") {
   std::set<std::string> known;
   const metrics all;
@@ -106,8 +107,8 @@
   }
 }
 
-// The page leads from a failed request to its cause by events and metrics; one that was renamed in
-// the code leads nowhere.
+// Guards against an event or metric that was renamed in the code only: the page's way from a failed
+// request to its cause relies on these names.
 TEST_CASE_METHOD(pages_fixture, "operations page, event or metric named, exists", "[pages]") {
   const std::string page = Page("docs/OPERATIONS.md");
   std::set<std::string> events;
@@ -132,7 +133,7 @@
   }
 }
 
-// An engineer follows a promise to its test and its command; a name that is gone proves nothing.
+// Guards against a promise that refers to a test or scenario which no longer exists.
 TEST_CASE_METHOD(pages_fixture, "promises, test or scenario named, exists", "[pages]") {
   const std::string page = Page("docs/PROMISES.md");
   const auto tests = Find(page, "`(test/[a-z_]+\\.cc)`");
--- a/test/platform_standin.cc
+++ b/test/platform_standin.cc
@@ -141,7 +141,7 @@
     Write(put.at("key").get<std::string>(), value, put.value("lease", uint64_t{0}));
   }
   for (const json& key : body.at("deletes")) Write(key.get<std::string>(), std::nullopt, 0);
-  // One revision for the whole change.
+  // All puts of a transaction share one revision.
   for (const json& put : body.at("puts")) {
     items_[put.at("key").get<std::string>()].revision = revision_;
     changes_.push_back({revision_, put.at("key").get<std::string>()});
@@ -177,7 +177,7 @@
   }
   if (request.path == "/v1/kv-txn") {
     const http_response response = Change(json::parse(request.body));
-    // Done, and nobody hears of it: the caller's own time limit ends its wait.
+    // Applied but not answered: the caller's timeout ends its wait.
     if (response.status == 200 && responses_to_drop_ > 0 && responses_to_drop_-- > 0) return;
     return server_->Respond(token, response);
   }
--- a/test/platform_standin.h
+++ b/test/platform_standin.h
@@ -1,6 +1,6 @@
-// A small stand-in of the users' platform for tests with real processes: its store (keys, watches,
-// conditional changes, leases), instances that run tasks under leases, and the service that speaks
-// for queues' policies, all over the platform's own wire on loopback.
+// In-process stand-in for the users' platform, for tests with real processes: the store (keys,
+// watches, transactions, leases), instances that run tasks under leases, and the service that
+// answers queues' advice queries. All speak the platform's wire protocol on loopback.
 #ifndef CATKINFORD_TEST_PLATFORM_STANDIN_H_
 #define CATKINFORD_TEST_PLATFORM_STANDIN_H_
 
@@ -31,13 +31,13 @@
 
   std::string Address() const;
   uint16_t Port() const;
-  // As the operator or an instance does.
+  // Writes without a condition, as an operator or an instance does.
   void Put(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
   std::optional<std::string> Value(const std::string& key);
-  // Every call is answered 503; leases run out meanwhile.
+  // While down, every call is answered 503; leases still expire.
   void SetDown(bool down) { down_ = down; }
-  // The next so many changes are done and answered only after every caller has given up.
+  // Applies the next `changes` transactions without answering them, so that their callers time out.
   void DropResponses(int changes) { responses_to_drop_ = changes; }
   uint64_t Calls() const { return calls_; }
 
@@ -83,14 +83,15 @@
   std::thread ticker_;
 };
 
-// One start that an instance carried out.
+// One start that an instance executed.
 struct standin_start {
   std::string task;
   uint32_t run = 0;
   std::string instance;
 };
 
-// Instances that run every task for `run_time`, and the service that allows every instance.
+// Instances that run every task for `run_time`, and the advice service, which allows every
+// instance.
 class standin_instances {
  public:
   standin_instances(standin_metadata_store& store, size_t count,
@@ -99,15 +100,15 @@
 
   std::string AdviceAddress() const;
   std::vector<standin_start> Starts();
-  // Tasks of which two runs were there at the same time.
+  // Tasks that had two runs at the same time.
   std::vector<std::string> DuplicateRuns();
-  // Tasks that started again after an end `done` of theirs was acknowledged.
+  // Tasks that started again after their end `done` had been acknowledged.
   std::vector<std::string> StartsAfterDone();
   size_t Running();
   uint16_t PortOf(size_t at) const { return instances_[at]->server->Port(); }
-  // The address that the instance registers: that of a proxy before it.
+  // Sets the address that the instance registers, for example that of a proxy in front of it.
   void SetRegisteredAddress(size_t at, const std::string& address);
-  // The next so many starts are carried out and never answered.
+  // Executes the next `starts` starts without answering them.
   void DropStartResponses(int starts) { responses_to_drop_ = starts; }
 
  private:
@@ -151,7 +152,7 @@
   std::vector<pending_poll> pending_polls_;
   std::vector<standin_start> starts_;
   std::vector<std::string> duplicate_runs_;
-  std::set<std::string> done_;  // tasks whose end was acknowledged
+  std::set<std::string> done_;  // tasks whose end `done` was acknowledged
   std::vector<std::string> starts_after_done_;
   std::atomic<int> responses_to_drop_{0};
   std::atomic<bool> stop_{false};
--- a/test/property.h
+++ b/test/property.h
@@ -1,4 +1,4 @@
-// Properties by rapidcheck with a fixed seed, so that every run tries the same cases.
+// Runs rapidcheck properties with a fixed seed, so that every run tests the same cases.
 #ifndef CATKINFORD_TEST_PROPERTY_H_
 #define CATKINFORD_TEST_PROPERTY_H_
 
@@ -14,10 +14,10 @@
 struct property_run {
   uint64_t seed = 1;
   int cases = 200;
-  int size = 200;  // of the largest case
+  int size = 200;  // rapidcheck size of the largest case
 };
 
-// True when the property held for all cases; prints the smallest case that breaks it.
+// True if the property holds for all cases; else prints the smallest failing case.
 template <typename Property>
 bool Holds(const property_run& run, Property&& property) {
   rc::detail::TestParams params;
--- a/test/standin_test.cc
+++ b/test/standin_test.cc
@@ -27,7 +27,7 @@
           {"kind", "batch"}, {"team", "a"},       {"payload", json{{"run_ms", run_ms}}.dump()}};
 }
 
-// One endpoint of two slots, called directly with virtual time.
+// One endpoint with two slots, called directly with virtual time.
 class endpoint_fixture {
  protected:
   json Call(const std::string& verb, const json& body, milliseconds at) {
@@ -107,7 +107,7 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(endpoint_fixture, "endpoint, asked for more than it holds, answers no_room",
+TEST_CASE_METHOD(endpoint_fixture, "endpoint, start beyond its capacity, answers no_room",
                  "[standin]") {
   CHECK(StartOne("a", 100, 1, milliseconds{0})["results"][0]["result"] == "started");
   CHECK(StartOne("b", 100, 1, milliseconds{0})["results"][0]["result"] == "started");
@@ -116,9 +116,9 @@
   CHECK(StartOne("c", 100, 1, milliseconds{101})["results"][0]["result"] == "started");
 }
 
-// A former owner was paused while a successor fenced the endpoint; it wakes up and starts work.
-// Without the refusal a caller would find its booking made twice.
-TEST_CASE_METHOD(endpoint_fixture, "endpoint, fenced, refuses and records a lower epoch",
+// Guards against a task that runs twice: a former owner, paused while a successor fenced the
+// endpoint, resumes and sends a start.
+TEST_CASE_METHOD(endpoint_fixture, "endpoint, fenced, rejects and records a lower epoch",
                  "[standin]") {
   Call("sync", {{"epoch", 3}, {"incarnation", 1}, {"cursor", 0}, {"wait_ms", 5000}},
        milliseconds{0});
@@ -132,7 +132,8 @@
   CHECK(Results() == std::vector<std::string>{"a fenced"});
 }
 
-TEST_CASE_METHOD(endpoint_fixture, "endpoint, task over, answers the waiting sync and keeps it",
+TEST_CASE_METHOD(endpoint_fixture,
+                 "endpoint, task finished, answers the waiting sync and retains the task",
                  "[standin]") {
   StartOne("a", 100, 1, milliseconds{0});
   const json sync = {
@@ -142,7 +143,7 @@
   CHECK(over["finished"][0]["id"] == "a");
   CHECK(over["finished"][0]["result"] == "ok");
   CHECK(over["cursor"] == 1);
-  // Not acknowledged: still listed long after its retention.
+  // Not acknowledged: still listed long after its retention time.
   CHECK(Call("list", {}, milliseconds{5000})["tasks"].size() == 1);
   json acknowledging = sync;
   acknowledging["cursor"] = 1;
@@ -160,7 +161,7 @@
   CHECK(Results().back() == "a lease_lapsed");
 }
 
-TEST_CASE_METHOD(endpoint_fixture, "endpoint, died and came back, is a new incarnation",
+TEST_CASE_METHOD(endpoint_fixture, "endpoint, restarted after a crash, has a new incarnation",
                  "[standin]") {
   StartOne("a", 60000, 7, milliseconds{0});
   endpoint_.SetMode(endpoint_mode::kDead, kStart + milliseconds{5}, replies_);
@@ -172,7 +173,8 @@
   CHECK(Results()[1] == "a killed");
 }
 
-TEST_CASE_METHOD(store_fixture, "store, two writers of one revision, lets one through",
+TEST_CASE_METHOD(store_fixture,
+                 "store, two writes that expect the same revision, applies only the first",
                  "[standin]") {
   CHECK(Put("k", 0, "one", milliseconds{0})["revision"] == 1);
   const json second = Put("k", 0, "two", milliseconds{0});
@@ -181,7 +183,7 @@
   CHECK(Get("k", milliseconds{1})["value"] == "one");
 }
 
-TEST_CASE_METHOD(store_fixture, "store, lease not kept, deletes its keys and wakes the watch",
+TEST_CASE_METHOD(store_fixture, "store, lease expired, deletes its keys and answers the watch",
                  "[standin]") {
   const std::string lease = Lease(1000, milliseconds{0})["lease"];
   const uint64_t revision = Put("m/a", 0, "x", milliseconds{0}, lease)["revision"];
@@ -195,7 +197,7 @@
   CHECK(Get("m/a", milliseconds{1001})["status"] == 404);
 }
 
-TEST_CASE_METHOD(store_fixture, "store, back after longer than a lease, has dropped its keys",
+TEST_CASE_METHOD(store_fixture, "store, down for longer than a lease, has deleted the lease's keys",
                  "[standin]") {
   const std::string lease = Lease(1000, milliseconds{0})["lease"];
   Put("m/a", 0, "x", milliseconds{0}, lease);
@@ -205,14 +207,14 @@
   CHECK(Get("m/a", milliseconds{3001})["status"] == 404);
 }
 
-// The write took effect and its reply is lost: the writer must not conclude that it failed.
-TEST_CASE_METHOD(store_fixture, "store, reply lost, has done the write", "[standin]") {
+// A lost reply does not mean that the write failed: the store applied it.
+TEST_CASE_METHOD(store_fixture, "store, reply lost, has applied the write", "[standin]") {
   store_.SetMode(store_mode::kLoseReplies, milliseconds{0}, 1.0, kStart, replies_);
   CHECK(Put("k", 0, "one", milliseconds{0}).is_null());
   CHECK(Get("k", milliseconds{1})["value"] == "one");
 }
 
-TEST_CASE_METHOD(store_fixture, "store, slow, does a call after its delay", "[standin]") {
+TEST_CASE_METHOD(store_fixture, "store, slow, executes a call after its delay", "[standin]") {
   store_.SetMode(store_mode::kSlow, milliseconds{200}, 0, kStart, replies_);
   CHECK(Put("k", 0, "one", milliseconds{0}).is_null());
   const http_server::token put = token_;
@@ -221,7 +223,7 @@
   CHECK(ReplyTo(put)["revision"] == 1);
 }
 
-TEST_CASE_METHOD(store_fixture, "store, over its rate, refuses and counts", "[standin]") {
+TEST_CASE_METHOD(store_fixture, "store, over its rate limit, rejects and counts", "[standin]") {
   for (int i = 0; i < 20; ++i) Put(absl::StrCat("k", i), 0, "x", milliseconds{0});
   CHECK(Put("l", 0, "x", milliseconds{0})["status"] == 429);
   CHECK(Put("l", 0, "x", milliseconds{100})["status"] == 200);
@@ -229,7 +231,7 @@
   CHECK(store_.Counters()["rate_refused"] == 1);
 }
 
-TEST_CASE("instance list, changed, shows it only after the lag", "[standin]") {
+TEST_CASE("instance list, changed, shows the change only after the lag", "[standin]") {
   instance_list list(milliseconds{500}, json::parse(R"([{"name":"e1","state":"live"}])"));
   REQUIRE(list.Apply({{"name", "e1"}, {"state", "leaving"}}, kStart));
   CHECK(list.Visible(kStart + milliseconds{499})["instances"][0]["state"] == "live");
@@ -257,11 +259,10 @@
   client.Stop();
 }
 
-// A caller notes when it asks, an endpoint when it starts, and the checker compares the two. With
-// two clocks, one of them adjusted meanwhile, a start seems to come before the question for it, and
-// every request looks like work that nobody asked for: own_team was broken 2,151 times in a run
-// that held.
-TEST_CASE("endpoint record, beside its caller's clock, puts a start between question and answer") {
+// The checker compares a caller's request times with an endpoint's start times, so both must use
+// the same clock. With two clocks, one of them adjusted during the run, starts appeared to precede
+// their requests, and the checker reported 2,151 false violations of own_team.
+TEST_CASE("endpoint record, on its caller's clock, has a start between request and response") {
   endpoint_server_options options;
   options.names = {"ep-0"};
   endpoint_server server(options);
