--- a/standin/command.cc
+++ b/standin/command.cc
@@ -50,13 +50,13 @@
 // "ep-0..ep-16" appends 17 names; any other text is appended as one name.
 void AppendNames(const std::string& text, std::vector<std::string>& names) {
   const std::vector<std::string> range_ends = absl::StrSplit(text, "..");
-  const size_t digits_at = range_ends[0].find_last_not_of("0123456789") + 1;
-  const std::string prefix = range_ends[0].substr(0, digits_at);
+  const size_t digits_begin = range_ends[0].find_last_not_of("0123456789") + 1;
+  const std::string prefix = range_ends[0].substr(0, digits_begin);
   uint32_t first = 0;
   uint32_t last = 0;
-  const bool is_range = range_ends.size() == 2 && range_ends[1].size() > digits_at &&
-                        absl::SimpleAtoi(range_ends[0].substr(digits_at), &first) &&
-                        absl::SimpleAtoi(range_ends[1].substr(digits_at), &last);
+  const bool is_range = range_ends.size() == 2 && range_ends[1].size() > digits_begin &&
+                        absl::SimpleAtoi(range_ends[0].substr(digits_begin), &first) &&
+                        absl::SimpleAtoi(range_ends[1].substr(digits_begin), &last);
   if (!is_range) {
     names.push_back(text);
     return;
--- a/standin/endpoint_model.cc
+++ b/standin/endpoint_model.cc
@@ -55,7 +55,7 @@
                             const nlohmann::json& body, monotonic_time now, due_replies& replies) {
   if (Unresponsive()) return HoldUnanswered(token, 503, now);
   Tick(now, replies);
-  if (waiting_.size() >= options_.connections) {
+  if (waiting_.size() >= options_.connection_limit) {
     replies.emplace_back(token, ErrorReply(503, "connections"));
     return;
   }
--- a/standin/fault_proxy.cc
+++ b/standin/fault_proxy.cc
@@ -80,7 +80,7 @@
 };
 
 // One direction of a connection.
-struct stream {
+struct proxied_stream {
   int from = -1;
   int to = -1;
   bool discard = false;        // by the link's current rule
@@ -92,7 +92,7 @@
 
 struct proxied_connection {
   size_t link = 0;
-  std::array<stream, 2> streams;  // client to target, target to client
+  std::array<proxied_stream, 2> streams;  // client to target, target to client
   uint64_t bytes = 0;
   bool blackholed = false;
   bool broken = false;
@@ -130,7 +130,7 @@
 struct fault_proxy::impl {
   void Run();
   void Accept(size_t link);
-  void Read(proxied_connection& connection, stream& way, time_point now);
+  void Read(proxied_connection& connection, proxied_stream& way, time_point now);
   void Write(proxied_connection& connection, size_t direction, time_point now);
   void CollectPolls(time_point now, int& timeout_ms);
   void Wake() const {
@@ -168,7 +168,7 @@
   }
 }
 
-void fault_proxy::impl::Read(proxied_connection& connection, stream& way, time_point now) {
+void fault_proxy::impl::Read(proxied_connection& connection, proxied_stream& way, time_point now) {
   std::string chunk(kReadChunkBytes, '\0');
   const ssize_t received = recv(way.from, chunk.data(), chunk.size(), 0);
   if (received < 0) {
@@ -190,7 +190,7 @@
 }
 
 void fault_proxy::impl::Write(proxied_connection& connection, size_t direction, time_point now) {
-  stream& way = connection.streams[direction];
+  proxied_stream& way = connection.streams[direction];
   proxy_link& link = links[connection.link];
   const size_t max_bytes =
       link.rule.bytes_per_second == 0 ? std::numeric_limits<size_t>::max() : kRateLimitedSendBytes;
@@ -225,24 +225,24 @@
     const size_t backlog =
         link.rule.bytes_per_second == 0 ? kBacklogBytes : kRateLimitedBacklogBytes;
     for (size_t direction = 0; direction < connection.streams.size(); ++direction) {
-      const stream& way = connection.streams[direction];
+      const proxied_stream& way = connection.streams[direction];
       // The bytes of a stalled stream stay in the kernel's buffers, like packets that a sender
       // retransmits throughout a partition.
-      const bool held = link.rule.state == link_state::kStall;
-      const bool reads = !held && !way.ended && way.waiting_bytes < backlog;
-      polls.push_back({reads ? way.from : -1, POLLIN, 0});
-      bool writes = false;
+      const bool stalled = link.rule.state == link_state::kStall;
+      const bool wants_read = !stalled && !way.ended && way.waiting_bytes < backlog;
+      polls.push_back({wants_read ? way.from : -1, POLLIN, 0});
+      bool wants_write = false;
       if (!way.waiting.empty()) {
         const time_point next_send_at =
             link.rule.bytes_per_second == 0 ? time_point::min() : link.next_send_at[direction];
-        const auto left = std::max(way.waiting.front().due, next_send_at) - now;
-        writes = left <= milliseconds{0};
-        if (!writes) {
-          const auto wait = std::chrono::ceil<milliseconds>(left).count();
+        const auto remaining = std::max(way.waiting.front().due, next_send_at) - now;
+        wants_write = remaining <= milliseconds{0};
+        if (!wants_write) {
+          const auto wait = std::chrono::ceil<milliseconds>(remaining).count();
           timeout_ms = std::min(timeout_ms, static_cast<int>(wait));
         }
       }
-      polls.push_back({writes ? way.to : -1, POLLOUT, 0});
+      polls.push_back({wants_write ? way.to : -1, POLLOUT, 0});
     }
   }
 }
@@ -253,14 +253,14 @@
     int timeout_ms = 1000;
     CollectPolls(steady_clock::now(), timeout_ms);
     std::vector<pollfd> ready = polls;
-    const size_t known_links = links.size();
+    const size_t polled_links = links.size();
     lock.unlock();
     poll(ready.data(), ready.size(), timeout_ms);
     lock.lock();
     uint64_t drained = 0;
     [[maybe_unused]] const ssize_t count = read(wake_fd, &drained, sizeof(drained));
     const time_point now = steady_clock::now();
-    size_t poll_index = 1 + known_links;
+    size_t poll_index = 1 + polled_links;
     for (proxied_connection& connection : connections) {
       for (size_t direction = 0; direction < connection.streams.size(); ++direction) {
         if (ready[poll_index++].revents != 0) Read(connection, connection.streams[direction], now);
@@ -271,7 +271,7 @@
     // Rotates the list, so that the connections of a rate-limited link send round robin.
     if (!connections.empty())
       connections.splice(connections.end(), connections, connections.begin());
-    for (size_t link = 0; link < known_links; ++link) {
+    for (size_t link = 0; link < polled_links; ++link) {
       if (ready[1 + link].revents != 0) Accept(link);
     }
     connections.remove_if([](const proxied_connection& connection) {
--- a/standin/store_server.cc
+++ b/standin/store_server.cc
@@ -28,19 +28,19 @@
   return http;
 }
 
-uint64_t NumberIn(const http_request& request, const char* name) {
+uint64_t QueryNumber(const http_request& request, const char* name) {
   uint64_t number = 0;
   if (!absl::SimpleAtoi(request.Query(name), &number)) return 0;
   return number;
 }
 
-store_call CallOf(const http_request& request, nlohmann::json body) {
+store_call ParseCall(const http_request& request, nlohmann::json body) {
   store_call call;
   call.method = request.method;
   call.path = request.path;
   call.key = request.path == "/v1/kv" ? request.Query("key") : request.Query("prefix");
-  call.after_revision = NumberIn(request, "after");
-  call.wait = milliseconds{NumberIn(request, "wait_ms")};
+  call.after_revision = QueryNumber(request, "after");
+  call.wait = milliseconds{QueryNumber(request, "wait_ms")};
   call.body = std::move(body);
   return call;
 }
@@ -81,7 +81,7 @@
     } else if (request.path == "/control") {
       replies.emplace_back(token, Control(body, replies));
     } else {
-      model_.Handle(token, CallOf(request, std::move(body)), steady_clock::now(), replies);
+      model_.Handle(token, ParseCall(request, std::move(body)), steady_clock::now(), replies);
     }
     next = model_.NextWake();
   }
--- a/test/examples_test.cc
+++ b/test/examples_test.cc
@@ -40,14 +40,14 @@
   std::string answer;  // empty: any
 };
 
-std::string Page(const std::string& path) {
+std::string ReadPage(const std::string& path) {
   std::ifstream in(std::string(CATKINFORD_SOURCE_DIR) + "/" + path);
   REQUIRE(in.good());
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
 // The text of each code block of the page that is fenced as ```KIND.
-std::vector<std::string> Blocks(const std::string& page, const std::string& kind) {
+std::vector<std::string> CodeBlocks(const std::string& page, const std::string& kind) {
   std::vector<std::string> blocks;
   std::istringstream lines(page);
   std::string line;
@@ -65,11 +65,12 @@
   return blocks;
 }
 
-std::vector<example> Examples(const std::string& kind) {
+std::vector<example> ParseExamples(const std::string& kind) {
   static const std::regex call(R"(^> (?:\[(\w+)\] )?(\w+) (\S+) ?(.*)$)");
   static const std::regex answer(R"(^< (\d+|"…") ?(.*)$)");
   std::vector<example> list;
-  const std::vector<std::string> blocks = Blocks(Page("docs/PROTOCOL.md"), "examples " + kind);
+  const std::vector<std::string> blocks =
+      CodeBlocks(ReadPage("docs/PROTOCOL.md"), "examples " + kind);
   REQUIRE(blocks.size() == 1);
   std::istringstream lines(blocks[0]);
   std::string line;
@@ -94,12 +95,12 @@
 
  protected:
   void RunAll(const std::string& kind, const std::string& url) {
-    const std::vector<example> list = Examples(kind);
+    const std::vector<example> list = ParseExamples(kind);
     CHECK(!list.empty());
-    for (const example& each : list) RunOne(each, url);
+    for (const example& each : list) RunExample(each, url);
   }
 
-  void RunOne(const example& each, const std::string& url) {
+  void RunExample(const example& each, const std::string& url) {
     http_call call;
     call.method = each.method;
     call.url = url + Substitute(each.path);
@@ -111,9 +112,9 @@
     REQUIRE(result.status == transfer_status::kDone);
     if (each.status != "\"…\"") CHECK(std::to_string(result.code) == each.status);
     if (each.answer.empty()) return;
-    const json wanted = json::parse(each.answer, nullptr, false);
-    REQUIRE(!wanted.is_discarded());
-    CHECK(Matches(wanted, json::parse(result.body, nullptr, false)));
+    const json expected = json::parse(each.answer, nullptr, false);
+    REQUIRE(!expected.is_discarded());
+    CHECK(Matches(expected, json::parse(result.body, nullptr, false)));
   }
 
   // Replaces all known names by their values.
@@ -125,28 +126,28 @@
     return text;
   }
 
-  bool MatchesText(const std::string& wanted, const json& answer) {
-    if (wanted == "…") return true;
-    if (!wanted.empty() && wanted[0] == '$') {
-      const auto [at, is_new] = values_.emplace(wanted, answer);
+  bool MatchesText(const std::string& expected, const json& answer) {
+    if (expected == "…") return true;
+    if (!expected.empty() && expected[0] == '$') {
+      const auto [at, is_new] = values_.emplace(expected, answer);
       return is_new || at->second == answer;
     }
-    return answer.is_string() && answer.get<std::string>() == Substitute(wanted);
+    return answer.is_string() && answer.get<std::string>() == Substitute(expected);
   }
 
-  bool Matches(const json& wanted, const json& answer) {
-    if (wanted.is_string()) return MatchesText(wanted.get<std::string>(), answer);
-    if (wanted.is_object()) {
+  bool Matches(const json& expected, const json& answer) {
+    if (expected.is_string()) return MatchesText(expected.get<std::string>(), answer);
+    if (expected.is_object()) {
       if (!answer.is_object()) return false;
-      for (const auto& [name, value] : wanted.items()) {
+      for (const auto& [name, value] : expected.items()) {
         if (!answer.contains(name) || !Matches(value, answer[name])) return false;
       }
       return true;
     }
-    if (!wanted.is_array()) return wanted == answer;
-    if (!answer.is_array() || wanted.size() != answer.size()) return false;
-    for (size_t i = 0; i < wanted.size(); ++i) {
-      if (!Matches(wanted[i], answer[i])) return false;
+    if (!expected.is_array()) return expected == answer;
+    if (!answer.is_array() || expected.size() != answer.size()) return false;
+    for (size_t i = 0; i < expected.size(); ++i) {
+      if (!Matches(expected[i], answer[i])) return false;
     }
     return true;
   }
@@ -216,21 +217,21 @@
 // Guards against a call that the page's tables list without an example to run.
 TEST_CASE_METHOD(examples_fixture, "examples, compared with the tables, cover every call",
                  "[examples]") {
-  std::set<std::string> shown;
+  std::set<std::string> covered_calls;
   for (const char* kind : {"endpoint", "store", "instances", "entry"}) {
-    for (const example& each : Examples(kind)) {
-      shown.insert(each.method + " " + each.path.substr(0, each.path.find('?')));
+    for (const example& each : ParseExamples(kind)) {
+      covered_calls.insert(each.method + " " + each.path.substr(0, each.path.find('?')));
     }
   }
   static const std::regex row(R"(\n\| `(GET|POST|PUT) ([^`?\[]+))");
-  const std::string page = Page("docs/PROTOCOL.md");
+  const std::string page = ReadPage("docs/PROTOCOL.md");
   size_t rows = 0;
   for (std::sregex_iterator at(page.begin(), page.end(), row), end; at != end; ++at) {
     const std::string call = (*at)[1].str() + " " + (*at)[2].str();
     const std::string pattern = std::regex_replace(call, std::regex("\\b(NAME|ID)\\b"), "[^/]+");
-    const bool found = std::any_of(shown.begin(), shown.end(), [&](const std::string& each) {
-      return std::regex_match(each, std::regex(pattern));
-    });
+    const bool found = std::any_of(
+        covered_calls.begin(), covered_calls.end(),
+        [&](const std::string& each) { return std::regex_match(each, std::regex(pattern)); });
     INFO(call);
     CHECK(found);
     ++rows;
@@ -240,7 +241,7 @@
 
 TEST_CASE_METHOD(examples_fixture, "examples of contracts, checked by check-config, are valid",
                  "[examples]") {
-  const std::vector<std::string> blocks = Blocks(Page("docs/CONTRACTS.md"), "json");
+  const std::vector<std::string> blocks = CodeBlocks(ReadPage("docs/CONTRACTS.md"), "json");
   REQUIRE(!blocks.empty());
   for (const std::string& block : blocks) {
     const std::string file =
--- a/test/fault_proxy_test.cc
+++ b/test/fault_proxy_test.cc
@@ -59,10 +59,10 @@
   link_rule rule;
   rule.bytes_per_second = 100'000;
   proxy_.SetRule(link_, rule);
-  const auto begun = std::chrono::steady_clock::now();
+  const auto started_at = std::chrono::steady_clock::now();
   CHECK(Call(large, false, milliseconds{30000}).body == large);
   // Request and response follow one another: the server answers once it has read the full body.
-  CHECK(std::chrono::steady_clock::now() - begun > milliseconds{950});
+  CHECK(std::chrono::steady_clock::now() - started_at > milliseconds{950});
 }
 
 TEST_CASE_METHOD(fault_proxy_fixture, "link, passing, forwards complete bodies", "[proxy]") {
--- a/test/pages_test.cc
+++ b/test/pages_test.cc
@@ -26,13 +26,13 @@
 
 class pages_fixture {
  protected:
-  static std::string Page(const std::string& path) {
+  static std::string ReadPage(const std::string& path) {
     std::ifstream in(std::string(CATKINFORD_SOURCE_DIR) + "/" + path);
     REQUIRE(in.good());
     return {std::istreambuf_iterator<char>(in), {}};
   }
   // All matches of the first group of `pattern`.
-  static std::set<std::string> Find(const std::string& text, const std::string& pattern) {
+  static std::set<std::string> FindAll(const std::string& text, const std::string& pattern) {
     const std::regex expression(pattern);
     std::set<std::string> found;
     for (std::sregex_iterator it(text.begin(), text.end(), expression), end; it != end; ++it) {
@@ -47,7 +47,7 @@
 TEST_CASE_METHOD(pages_fixture, "page tables, compared with the code, are the same", "[pages]") {
   for (const page_table& table : AllPageTables()) {
     INFO("section " << table.name << " of " << table.page << ": run catkinford-bench tables");
-    const auto section = SectionOf(Page(std::string(table.page)), table.name);
+    const auto section = SectionOf(ReadPage(std::string(table.page)), table.name);
     REQUIRE(section.has_value());
     CHECK(*section == table.text());
   }
@@ -55,9 +55,9 @@
 
 TEST_CASE_METHOD(pages_fixture, "capacity page, recomputed from its slopes, is the same",
                  "[pages]") {
-  const auto report = ParseSlopes(Page("bench/slopes.json"));
+  const auto report = ParseSlopes(ReadPage("bench/slopes.json"));
   REQUIRE(report.has_value());
-  const auto section = SectionOf(Page("docs/CAPACITY.md"), kCapacitySection);
+  const auto section = SectionOf(ReadPage("docs/CAPACITY.md"), kCapacitySection);
   REQUIRE(section.has_value());
   CHECK(*section == CapacityPage(*report));
 }
@@ -72,7 +72,7 @@
     if (info.type == "histogram") known.insert(info.name + "_bucket");
   }
   for (const std::string page : {"docs/OPERATING.md", "docs/EVENTS.md", "docs/PROMISES.md"}) {
-    for (const std::string& name : Find(Page(page), "`(catkinford_[a-z_]+)[`{]")) {
+    for (const std::string& name : FindAll(ReadPage(page), "`(catkinford_[a-z_]+)[`{]")) {
       INFO(page << " names " << name);
       CHECK(known.contains(name));
     }
@@ -87,7 +87,7 @@
        {"docs/OPERATING.md", "docs/OPERATIONS.md", "docs/EVENTS.md", "docs/PROMISES.md"}) {
     const std::string pattern =
         "`((?:listen|platform|shards|timing|bounds|isolation|logs)\\.[a-z_]+)`";
-    for (const std::string& name : Find(Page(page), pattern)) {
+    for (const std::string& name : FindAll(ReadPage(page), pattern)) {
       INFO(page << " names " << name);
       CHECK(known.contains(name));
     }
@@ -100,7 +100,7 @@
     known.insert(std::to_string(static_cast<int>(info.code)) + " " + std::string(info.name));
   }
   for (const std::string page : {"docs/OPERATING.md", "docs/EVENTS.md", "docs/PROMISES.md"}) {
-    for (const std::string& name : Find(Page(page), "`([1-5][0-9][0-9] [a-z_]+)`")) {
+    for (const std::string& name : FindAll(ReadPage(page), "`([1-5][0-9][0-9] [a-z_]+)`")) {
       INFO(page << " names " << name);
       CHECK(known.contains(name));
     }
@@ -110,12 +110,12 @@
 // Guards against an event or metric that was renamed in the code only: the page's way from a failed
 // request to its cause relies on these names.
 TEST_CASE_METHOD(pages_fixture, "operations page, event or metric named, exists", "[pages]") {
-  const std::string page = Page("docs/OPERATIONS.md");
+  const std::string page = ReadPage("docs/OPERATIONS.md");
   std::set<std::string> events;
   for (const site_event_info& info : AllSiteEvents()) {
     events.insert(std::to_string(static_cast<int>(info.event)) + " " + std::string(info.name));
   }
-  for (const std::string& name : Find(page, "`(6[0-9][0-9] [a-z_]+)")) {
+  for (const std::string& name : FindAll(page, "`(6[0-9][0-9] [a-z_]+)")) {
     INFO(name);
     CHECK(events.contains(name));
   }
@@ -127,7 +127,7 @@
   exported_metrics.CountVersionRead("store", "done");
   exported_metrics.CountTraffic("peer/state", {1, 200, 300});
   const std::string text = exported_metrics.Text();
-  for (const std::string& name : Find(page, "`(catkinford_site_[a-z_]+)`")) {
+  for (const std::string& name : FindAll(page, "`(catkinford_site_[a-z_]+)`")) {
     INFO(name);
     CHECK(text.find(name) != std::string::npos);
   }
@@ -135,12 +135,12 @@
 
 // Guards against a promise that refers to a test or scenario which no longer exists.
 TEST_CASE_METHOD(pages_fixture, "promises, test or scenario named, exists", "[pages]") {
-  const std::string page = Page("docs/PROMISES.md");
-  const auto tests = Find(page, "`(test/[a-z_]+\\.cc)`");
-  const auto scenarios = Find(page, "catkinford-bench scenario ([a-z_]+)");
+  const std::string page = ReadPage("docs/PROMISES.md");
+  const auto tests = FindAll(page, "`(test/[a-z_]+\\.cc)`");
+  const auto scenarios = FindAll(page, "catkinford-bench scenario ([a-z_]+)");
   CHECK(!tests.empty());
   CHECK(!scenarios.empty());
-  for (const std::string& file : tests) Page(file);
+  for (const std::string& file : tests) ReadPage(file);
   for (const std::string& name : scenarios) {
     INFO(name);
     CHECK((name == "two_faults" || FindScenario(name) != nullptr));
@@ -148,7 +148,8 @@
 }
 
 TEST_CASE_METHOD(pages_fixture, "example settings of the pages, read, are accepted", "[pages]") {
-  const std::set<std::string> examples = Find(Page("docs/OPERATING.md"), "```jsonc\n([^`]*)```");
+  const std::set<std::string> examples =
+      FindAll(ReadPage("docs/OPERATING.md"), "```jsonc\n([^`]*)```");
   REQUIRE(!examples.empty());
   for (const std::string& example : examples) {
     INFO(example);
--- a/test/platform_standin.cc
+++ b/test/platform_standin.cc
@@ -338,9 +338,9 @@
   const auto task = body.at("task").get<std::string>();
   const auto number = body.at("run-id").get<uint32_t>();
   const auto deadline_ms = body.at("deadline-ms").get<int64_t>();
-  const auto reject = [&](const char* why) {
+  const auto reject = [&](const char* reason) {
     status = 409;
-    return json{{"clock-ms", ClockMs()}, {"reason", why}};
+    return json{{"clock-ms", ClockMs()}, {"reason", reason}};
   };
   if (body.value("ticket", std::string()) != "ticket") return reject("ticket");
   const auto running = target.runs.find(task);
--- a/test/standin_test.cc
+++ b/test/standin_test.cc
@@ -34,14 +34,14 @@
     replies_.clear();
     endpoint_.Handle(verb, ++token_, body, kStart + at, replies_);
     for (const auto& [token, response] : replies_) {
-      if (token == token_) return Read(response);
+      if (token == token_) return ParseReply(response);
     }
     return nullptr;
   }
   json StartOne(const std::string& id, int run_ms, uint64_t epoch, milliseconds at) {
     return Call("start", {{"epoch", epoch}, {"tasks", {TaskOf(id, run_ms)}}}, at);
   }
-  static json Read(const http_response& response) {
+  static json ParseReply(const http_response& response) {
     json body = json::parse(response.body);
     body["status"] = response.status;
     return body;
@@ -49,9 +49,9 @@
   json Tick(milliseconds at) {
     replies_.clear();
     endpoint_.Tick(kStart + at, replies_);
-    return replies_.empty() ? json(nullptr) : Read(replies_.back().second);
+    return replies_.empty() ? json(nullptr) : ParseReply(replies_.back().second);
   }
-  std::vector<std::string> Results() const {
+  std::vector<std::string> RecordedResults() const {
     std::vector<std::string> results;
     const std::vector<std::string> lines = absl::StrSplit(record_.Text(), '\n', absl::SkipEmpty());
     for (const std::string& line : lines) {
@@ -126,10 +126,10 @@
   CHECK(Call("fence", {{"epoch", 4}}, milliseconds{1})["epoch"] == 4);
   CHECK(replies_[0].first == waiting);
   CHECK(replies_[0].second.status == 409);
-  const json refused = StartOne("a", 100, 3, milliseconds{2});
-  CHECK(refused["status"] == 409);
-  CHECK(refused["epoch"] == 4);
-  CHECK(Results() == std::vector<std::string>{"a fenced"});
+  const json rejected = StartOne("a", 100, 3, milliseconds{2});
+  CHECK(rejected["status"] == 409);
+  CHECK(rejected["epoch"] == 4);
+  CHECK(RecordedResults() == std::vector<std::string>{"a fenced"});
 }
 
 TEST_CASE_METHOD(endpoint_fixture,
@@ -139,10 +139,10 @@
   const json sync = {
       {"epoch", 1}, {"incarnation", 1}, {"cursor", 0}, {"wait_ms", 5000}, {"lease_ms", 1000}};
   CHECK(Call("sync", sync, milliseconds{10}).is_null());
-  const json over = Tick(milliseconds{100});
-  CHECK(over["finished"][0]["id"] == "a");
-  CHECK(over["finished"][0]["result"] == "ok");
-  CHECK(over["cursor"] == 1);
+  const json finished_reply = Tick(milliseconds{100});
+  CHECK(finished_reply["finished"][0]["id"] == "a");
+  CHECK(finished_reply["finished"][0]["result"] == "ok");
+  CHECK(finished_reply["cursor"] == 1);
   // Not acknowledged: still listed long after its retention time.
   CHECK(Call("list", {}, milliseconds{5000})["tasks"].size() == 1);
   json acknowledging = sync;
@@ -156,9 +156,9 @@
   StartOne("a", 60000, 1, milliseconds{0});
   Call("sync", {{"epoch", 1}, {"incarnation", 1}, {"lease_ms", 1000}}, milliseconds{900});
   Tick(milliseconds{1899});
-  CHECK(Results().size() == 1);
+  CHECK(RecordedResults().size() == 1);
   Tick(milliseconds{1900});
-  CHECK(Results().back() == "a lease_lapsed");
+  CHECK(RecordedResults().back() == "a lease_lapsed");
 }
 
 TEST_CASE_METHOD(endpoint_fixture, "endpoint, restarted after a crash, has a new incarnation",
@@ -170,7 +170,7 @@
   const json list = Call("list", {}, milliseconds{8});
   CHECK(list["incarnation"] == 2);
   CHECK(list["tasks"].empty());
-  CHECK(Results()[1] == "a killed");
+  CHECK(RecordedResults()[1] == "a killed");
 }
 
 TEST_CASE_METHOD(store_fixture,
