--- a/standin/fault_proxy.cc
+++ b/standin/fault_proxy.cc
@@ -107,15 +107,15 @@
   std::array<time_point, 2>
       next_send_at{};  // when each direction of a rate-limited link may send again
 
-  bool RateLimited(size_t way, time_point now) const {
-    return rule.bytes_per_second != 0 && next_send_at[way] > now;
+  bool RateLimited(size_t stream, time_point now) const {
+    return rule.bytes_per_second != 0 && next_send_at[stream] > now;
   }
-  void ConsumeRate(size_t way, size_t bytes, time_point now) {
+  void ConsumeRate(size_t stream, size_t bytes, time_point now) {
     if (rule.bytes_per_second == 0) return;
     const std::chrono::duration<double> duration_s(static_cast<double>(bytes) /
                                                    static_cast<double>(rule.bytes_per_second));
-    next_send_at[way] = std::max(next_send_at[way], now) +
-                        std::chrono::duration_cast<std::chrono::nanoseconds>(duration_s);
+    next_send_at[stream] = std::max(next_send_at[stream], now) +
+                           std::chrono::duration_cast<std::chrono::nanoseconds>(duration_s);
   }
 };
 
@@ -130,7 +130,7 @@
 struct fault_proxy::impl {
   void Run();
   void Accept(size_t link);
-  void Read(proxied_connection& connection, proxied_stream& way, time_point now);
+  void Read(proxied_connection& connection, proxied_stream& stream, time_point now);
   void Write(proxied_connection& connection, size_t direction, time_point now);
   void CollectPolls(time_point now, int& timeout_ms);
   void Wake() const {
@@ -168,51 +168,52 @@
   }
 }
 
-void fault_proxy::impl::Read(proxied_connection& connection, proxied_stream& way, time_point now) {
+void fault_proxy::impl::Read(proxied_connection& connection, proxied_stream& stream,
+                             time_point now) {
   std::string chunk(kReadChunkBytes, '\0');
-  const ssize_t received = recv(way.from, chunk.data(), chunk.size(), 0);
+  const ssize_t received = recv(stream.from, chunk.data(), chunk.size(), 0);
   if (received < 0) {
     if (errno != EAGAIN && errno != EINTR) connection.broken = true;
     return;
   }
   if (received == 0) {
-    way.ended = true;
+    stream.ended = true;
     return;
   }
   proxy_link& link = links[connection.link];
   connection.bytes += static_cast<uint64_t>(received);
   if (connection.bytes > link.rule.blackhole_after_bytes) connection.blackholed = true;
-  if (connection.blackholed || way.discard) return;
+  if (connection.blackholed || stream.discard) return;
   link.forwarded_bytes += static_cast<uint64_t>(received);
   chunk.resize(static_cast<size_t>(received));
-  way.waiting_bytes += chunk.size();
-  way.waiting.push_back({now + link.rule.delay, std::move(chunk)});
+  stream.waiting_bytes += chunk.size();
+  stream.waiting.push_back({now + link.rule.delay, std::move(chunk)});
 }
 
 void fault_proxy::impl::Write(proxied_connection& connection, size_t direction, time_point now) {
-  proxied_stream& way = connection.streams[direction];
+  proxied_stream& stream = connection.streams[direction];
   proxy_link& link = links[connection.link];
   const size_t max_bytes =
       link.rule.bytes_per_second == 0 ? std::numeric_limits<size_t>::max() : kRateLimitedSendBytes;
-  while (!way.waiting.empty() && way.waiting.front().due <= now &&
+  while (!stream.waiting.empty() && stream.waiting.front().due <= now &&
          !link.RateLimited(direction, now)) {
-    std::string& bytes = way.waiting.front().bytes;
+    std::string& bytes = stream.waiting.front().bytes;
     const ssize_t sent =
-        send(way.to, bytes.data(), std::min(max_bytes, bytes.size()), MSG_NOSIGNAL);
+        send(stream.to, bytes.data(), std::min(max_bytes, bytes.size()), MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno != EAGAIN && errno != EINTR) connection.broken = true;
       return;
     }
     link.ConsumeRate(direction, static_cast<size_t>(sent), now);
-    way.waiting_bytes -= static_cast<size_t>(sent);
+    stream.waiting_bytes -= static_cast<size_t>(sent);
     bytes.erase(0, static_cast<size_t>(sent));
-    if (bytes.empty()) way.waiting.pop_front();
+    if (bytes.empty()) stream.waiting.pop_front();
   }
   // A discarded stream discards its end too: a dead connection does not close.
-  const bool forward_end = !connection.blackholed && !way.discard;
-  if (way.ended && !way.end_forwarded && way.waiting.empty() && forward_end) {
-    shutdown(way.to, SHUT_WR);
-    way.end_forwarded = true;
+  const bool forward_end = !connection.blackholed && !stream.discard;
+  if (stream.ended && !stream.end_forwarded && stream.waiting.empty() && forward_end) {
+    shutdown(stream.to, SHUT_WR);
+    stream.end_forwarded = true;
   }
 }
 
@@ -225,24 +226,24 @@
     const size_t backlog =
         link.rule.bytes_per_second == 0 ? kBacklogBytes : kRateLimitedBacklogBytes;
     for (size_t direction = 0; direction < connection.streams.size(); ++direction) {
-      const proxied_stream& way = connection.streams[direction];
+      const proxied_stream& stream = connection.streams[direction];
       // The bytes of a stalled stream stay in the kernel's buffers, like packets that a sender
       // retransmits throughout a partition.
       const bool stalled = link.rule.state == link_state::kStall;
-      const bool wants_read = !stalled && !way.ended && way.waiting_bytes < backlog;
-      polls.push_back({wants_read ? way.from : -1, POLLIN, 0});
+      const bool wants_read = !stalled && !stream.ended && stream.waiting_bytes < backlog;
+      polls.push_back({wants_read ? stream.from : -1, POLLIN, 0});
       bool wants_write = false;
-      if (!way.waiting.empty()) {
+      if (!stream.waiting.empty()) {
         const time_point next_send_at =
             link.rule.bytes_per_second == 0 ? time_point::min() : link.next_send_at[direction];
-        const auto remaining = std::max(way.waiting.front().due, next_send_at) - now;
+        const auto remaining = std::max(stream.waiting.front().due, next_send_at) - now;
         wants_write = remaining <= milliseconds{0};
         if (!wants_write) {
           const auto wait = std::chrono::ceil<milliseconds>(remaining).count();
           timeout_ms = std::min(timeout_ms, static_cast<int>(wait));
         }
       }
-      polls.push_back({wants_write ? way.to : -1, POLLOUT, 0});
+      polls.push_back({wants_write ? stream.to : -1, POLLOUT, 0});
     }
   }
 }
