--- a/standin/endpoint_model.h
+++ b/standin/endpoint_model.h
@@ -33,7 +33,7 @@
 struct endpoint_options {
   std::string name;
   resources shape;
-  uint32_t connection_limit = 64;  // most syncs that may wait at once; above it, calls get 503
+  uint32_t connection_limit = 64;  // with this many waiting syncs, further calls get 503
   bool fencing = true;
   uint64_t incarnation = 1;  // initial value; each restart increments it
 };
--- a/standin/fault_proxy.cc
+++ b/standin/fault_proxy.cc
@@ -104,8 +104,8 @@
   uint16_t target = 0;
   link_rule rule;
   uint64_t forwarded_bytes = 0;
-  std::array<time_point, 2>
-      next_send_at{};  // when each direction of a rate-limited link may send again
+  // When each direction of a rate-limited link may send again.
+  std::array<time_point, 2> next_send_at{};
 
   bool RateLimited(size_t stream, time_point now) const {
     return rule.bytes_per_second != 0 && next_send_at[stream] > now;
--- a/standin/store_model.cc
+++ b/standin/store_model.cc
@@ -14,8 +14,8 @@
 
 constexpr size_t kMaxValueBytes = size_t{1} << 20;
 constexpr milliseconds kMaxWatchWait{60000};
-constexpr milliseconds kLostReplyHoldTime{
-    30000};  // until a call with a lost reply gets its late error
+// Time until a call with a lost reply gets its late error.
+constexpr milliseconds kLostReplyHoldTime{30000};
 
 bool IsWrite(const store_call& call) { return call.method == "POST"; }
 
