--- a/test/fault_proxy_test.cc
+++ b/test/fault_proxy_test.cc
@@ -15,12 +15,12 @@
 
 using std::chrono::milliseconds;
 
-// A server that echoes, behind one link.
+// An echo server behind one link.
 class fault_proxy_fixture {
  public:
   fault_proxy_fixture()
       : server_({}, [this](http_server::token token, const http_request& request) {
-          ++seen_;
+          ++requests_received_;
           server_.Respond(token, {200, request.body});
         }) {
     REQUIRE(server_.Start());
@@ -43,7 +43,7 @@
     return client_.SendAndWait(call);
   }
 
-  std::atomic<int> seen_ = 0;
+  std::atomic<int> requests_received_ = 0;
   http_server server_;
   fault_proxy proxy_;
   link_index link_ = 0;
@@ -52,25 +52,26 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link with a rate, carries whole bodies no faster",
+TEST_CASE_METHOD(fault_proxy_fixture,
+                 "link, rate-limited, forwards complete bodies at no more than its rate",
                  "[proxy]") {
   const std::string large(50000, 'x');
   link_rule rule;
   rule.bytes_per_second = 100'000;
   proxy_.SetRule(link_, rule);
-  const auto begun = std::chrono::steady_clock::now();
+  const auto started_at = std::chrono::steady_clock::now();
   CHECK(Call(large, false, milliseconds{30000}).body == large);
-  // There and back, one after the other: the server answers what it has read whole.
-  CHECK(std::chrono::steady_clock::now() - begun > milliseconds{950});
+  // Request and response follow one another: the server answers once it has read the full body.
+  CHECK(std::chrono::steady_clock::now() - started_at > milliseconds{950});
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, passing, carries whole bodies", "[proxy]") {
+TEST_CASE_METHOD(fault_proxy_fixture, "link, passing, forwards complete bodies", "[proxy]") {
   const std::string large(500000, 'x');
   CHECK(Call("a").body == "a");
   CHECK(Call(large, false, milliseconds{5000}).body == large);
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, cut and mended, ends calls and works again",
+TEST_CASE_METHOD(fault_proxy_fixture, "link, cut and restored, fails calls and works again",
                  "[proxy]") {
   CHECK(Call("a").body == "a");
   proxy_.SetRule(link_, {link_state::kCut});
@@ -79,42 +80,44 @@
   CHECK(Call("c").body == "c");
 }
 
-// Something between the two ends has lost track of an open connection: nothing that is sent on it
-// arrives any more, though new connections work. A caller that tries again on it waits for ever.
-TEST_CASE_METHOD(fault_proxy_fixture, "link, connection silenced, works only on a fresh one",
+// A middlebox has lost the state of an open connection: nothing sent on it arrives any more, while
+// new connections work. A caller that retries on the same connection never gets an answer.
+TEST_CASE_METHOD(fault_proxy_fixture, "link, open connection dead, works on a new connection",
                  "[proxy]") {
   CHECK(Call("a").body == "a");
-  proxy_.SilenceOpenConnections(link_);
+  proxy_.BlackholeOpenConnections(link_);
   CHECK(Call("b").status == transfer_status::kMaybeSent);
   CHECK(Call("c", true).body == "c");
-  CHECK(seen_ == 2);
+  CHECK(requests_received_ == 2);
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, one way, does the call and loses the answer",
-                 "[proxy]") {
-  proxy_.SetRule(link_, {link_state::kOneWay});
+TEST_CASE_METHOD(fault_proxy_fixture,
+                 "link, responses dropped, delivers the call and loses the response", "[proxy]") {
+  proxy_.SetRule(link_, {link_state::kDropResponses});
   CHECK(Call("a").status == transfer_status::kMaybeSent);
-  CHECK(seen_ == 1);
+  CHECK(requests_received_ == 1);
 }
 
-TEST_CASE_METHOD(fault_proxy_fixture, "link, silent after some bytes, passes those", "[proxy]") {
+TEST_CASE_METHOD(fault_proxy_fixture, "link, dead after a byte limit, forwards the bytes before it",
+                 "[proxy]") {
   link_rule rule;
-  rule.silent_after_bytes = 1000;
+  rule.blackhole_after_bytes = 1000;
   proxy_.SetRule(link_, rule);
   CHECK(Call("a").body == "a");
   CHECK(Call(std::string(2000, 'x'), true).status == transfer_status::kMaybeSent);
-  CHECK(seen_ == 1);
+  CHECK(requests_received_ == 1);
 }
 
-// A call that a partition held up is delivered when the partition ends, long after its caller gave
-// up: what it asks for may still happen then.
-TEST_CASE_METHOD(fault_proxy_fixture, "link, held and let go, delivers the call late", "[proxy]") {
-  proxy_.SetRule(link_, {link_state::kHold});
+// A call delayed by a partition is delivered when the partition ends, possibly after its caller has
+// timed out, and may still take effect then.
+TEST_CASE_METHOD(fault_proxy_fixture, "link, stalled and released, delivers the call late",
+                 "[proxy]") {
+  proxy_.SetRule(link_, {link_state::kStall});
   http_call call{"POST", absl::StrCat("http://127.0.0.1:", proxy_.PortOf(link_), "/"), "late"};
   call.timeout = milliseconds{10000};
   std::promise<std::string> answer;
   client_.Send(call, [&](const http_result& result) { answer.set_value(result.body); });
-  CHECK(seen_ == 0);
+  CHECK(requests_received_ == 0);
   proxy_.SetRule(link_, {});
   CHECK(answer.get_future().get() == "late");
 }
--- a/test/forwarded_starts_fleet_test.cc
+++ b/test/forwarded_starts_fleet_test.cc
@@ -63,7 +63,7 @@
   const auto owner = static_cast<size_t>(Owner());
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
   CHECK(instances_.Starts().size() == kJobs * kTasks);
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
   CHECK(Eventually([&] { return StartsForwarded(owner) > 0; }));
 }
 
@@ -74,7 +74,7 @@
   SubmitAll(accepting_entry);
   entries_[accepting_entry]->process.Kill();
   CHECK(Eventually([&] { return AllCompleted(owner, 0, kJobs); }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // Guards against a paused entry that sends the starts it holds after their tasks run elsewhere.
@@ -88,7 +88,7 @@
   entries_[accepting_entry]->process.Signal(SIGCONT);
   REQUIRE(Call(owner, "POST", Path(kJobs), WideJob()).code == 200);
   CHECK(Eventually([&] { return AllCompleted(owner, kJobs, kJobs + 1); }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 }  // namespace
--- a/test/narrow_link_test.cc
+++ b/test/narrow_link_test.cc
@@ -87,7 +87,7 @@
   };
   CHECK(unknown_queue_status() == 404);
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "other").code == 401);
-  for (const link_index link : links_) proxy_.SetRule(link, {link_state::kHold});
+  for (const link_index link : links_) proxy_.SetRule(link, {link_state::kStall});
   CHECK(Eventually([&] { return unknown_queue_status() == 503; }));
   CHECK(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps(), "other").code == 503);
   CHECK_FALSE(Ready(0));
--- a/test/pages_test.cc
+++ b/test/pages_test.cc
@@ -1,4 +1,5 @@
-// The pages against the code: what an operator reads exists, and what exists is on a page.
+// Compares the documentation with the code: every documented name exists, and the generated tables
+// are current.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <fstream>
@@ -25,13 +26,13 @@
 
 class pages_fixture {
  protected:
-  static std::string Page(const std::string& path) {
+  static std::string ReadPage(const std::string& path) {
     std::ifstream in(std::string(CATKINFORD_SOURCE_DIR) + "/" + path);
     REQUIRE(in.good());
     return {std::istreambuf_iterator<char>(in), {}};
   }
   // All matches of the first group of `pattern`.
-  static std::set<std::string> Find(const std::string& text, const std::string& pattern) {
+  static std::set<std::string> FindAll(const std::string& text, const std::string& pattern) {
     const std::regex expression(pattern);
     std::set<std::string> found;
     for (std::sregex_iterator it(text.begin(), text.end(), expression), end; it != end; ++it) {
@@ -46,23 +47,23 @@
 TEST_CASE_METHOD(pages_fixture, "page tables, compared with the code, are the same", "[pages]") {
   for (const page_table& table : AllPageTables()) {
     INFO("section " << table.name << " of " << table.page << ": run catkinford-bench tables");
-    const auto section = SectionOf(Page(std::string(table.page)), table.name);
+    const auto section = SectionOf(ReadPage(std::string(table.page)), table.name);
     REQUIRE(section.has_value());
     CHECK(*section == table.text());
   }
 }
 
-TEST_CASE_METHOD(pages_fixture, "capacity page, worked out again from its slopes, is the same",
+TEST_CASE_METHOD(pages_fixture, "capacity page, recomputed from its slopes, is the same",
                  "[pages]") {
-  const auto report = ParseSlopes(Page("bench/slopes.json"));
+  const auto report = ParseSlopes(ReadPage("bench/slopes.json"));
   REQUIRE(report.has_value());
-  const auto section = SectionOf(Page("docs/CAPACITY.md"), kCapacitySection);
+  const auto section = SectionOf(ReadPage("docs/CAPACITY.md"), kCapacitySection);
   REQUIRE(section.has_value());
   CHECK(*section == CapacityPage(*report));
 }
 
-// An operator searches a page for a metric that an alert names; a name that is only on the page,
-// or was changed in the code alone, sends the search astray.
+// Guards against a metric that was renamed in the code only: an operator who looks up the metric of
+// an alert would not find it.
 TEST_CASE_METHOD(pages_fixture, "pages, metric named in prose, exists in the code", "[pages]") {
   std::set<std::string> known;
   const metrics all;
@@ -71,7 +72,7 @@
     if (info.type == "histogram") known.insert(info.name + "_bucket");
   }
   for (const std::string page : {"docs/OPERATING.md", "docs/EVENTS.md", "docs/PROMISES.md"}) {
-    for (const std::string& name : Find(Page(page), "`(catkinford_[a-z_]+)[`{]")) {
+    for (const std::string& name : FindAll(ReadPage(page), "`(catkinford_[a-z_]+)[`{]")) {
       INFO(page << " names " << name);
       CHECK(known.contains(name));
     }
@@ -86,7 +87,7 @@
        {"docs/OPERATING.md", "docs/OPERATIONS.md", "docs/EVENTS.md", "docs/PROMISES.md"}) {
     const std::string pattern =
         "`((?:listen|platform|shards|timing|bounds|isolation|logs)\\.[a-z_]+)`";
-    for (const std::string& name : Find(Page(page), pattern)) {
+    for (const std::string& name : FindAll(ReadPage(page), pattern)) {
       INFO(page << " names " << name);
       CHECK(known.contains(name));
     }
@@ -99,47 +100,47 @@
     known.insert(std::to_string(static_cast<int>(info.code)) + " " + std::string(info.name));
   }
   for (const std::string page : {"docs/OPERATING.md", "docs/EVENTS.md", "docs/PROMISES.md"}) {
-    for (const std::string& name : Find(Page(page), "`([1-5][0-9][0-9] [a-z_]+)`")) {
+    for (const std::string& name : FindAll(ReadPage(page), "`([1-5][0-9][0-9] [a-z_]+)`")) {
       INFO(page << " names " << name);
       CHECK(known.contains(name));
     }
   }
 }
 
-// The page leads from a failed request to its cause by events and metrics; one that was renamed in
-// the code leads nowhere.
+// Guards against an event or metric that was renamed in the code only: the page's way from a failed
+// request to its cause relies on these names.
 TEST_CASE_METHOD(pages_fixture, "operations page, event or metric named, exists", "[pages]") {
-  const std::string page = Page("docs/OPERATIONS.md");
+  const std::string page = ReadPage("docs/OPERATIONS.md");
   std::set<std::string> events;
   for (const site_event_info& info : AllSiteEvents()) {
     events.insert(std::to_string(static_cast<int>(info.event)) + " " + std::string(info.name));
   }
-  for (const std::string& name : Find(page, "`(6[0-9][0-9] [a-z_]+)")) {
+  for (const std::string& name : FindAll(page, "`(6[0-9][0-9] [a-z_]+)")) {
     INFO(name);
     CHECK(events.contains(name));
   }
-  site_metrics numbers;
-  numbers.CountAnswer("submit", 200, std::chrono::microseconds(1));
-  numbers.CountStoreCall("commit", "done");
-  numbers.CountCommand("start", "done");
-  numbers.CountRunEnd("done");
-  numbers.CountVersionRead("store", "done");
-  numbers.CountTraffic("peer/state", {1, 200, 300});
-  const std::string text = numbers.Text();
-  for (const std::string& name : Find(page, "`(catkinford_site_[a-z_]+)`")) {
+  site_metrics exported_metrics;
+  exported_metrics.CountAnswer("submit", 200, std::chrono::microseconds(1));
+  exported_metrics.CountStoreCall("commit", "done");
+  exported_metrics.CountCommand("start", "done");
+  exported_metrics.CountRunEnd("done");
+  exported_metrics.CountVersionRead("store", "done");
+  exported_metrics.CountTraffic("peer/state", {1, 200, 300});
+  const std::string text = exported_metrics.Text();
+  for (const std::string& name : FindAll(page, "`(catkinford_site_[a-z_]+)`")) {
     INFO(name);
     CHECK(text.find(name) != std::string::npos);
   }
 }
 
-// An engineer follows a promise to its test and its command; a name that is gone proves nothing.
+// Guards against a promise that refers to a test or scenario which no longer exists.
 TEST_CASE_METHOD(pages_fixture, "promises, test or scenario named, exists", "[pages]") {
-  const std::string page = Page("docs/PROMISES.md");
-  const auto tests = Find(page, "`(test/[a-z_]+\\.cc)`");
-  const auto scenarios = Find(page, "catkinford-bench scenario ([a-z_]+)");
+  const std::string page = ReadPage("docs/PROMISES.md");
+  const auto tests = FindAll(page, "`(test/[a-z_]+\\.cc)`");
+  const auto scenarios = FindAll(page, "catkinford-bench scenario ([a-z_]+)");
   CHECK(!tests.empty());
   CHECK(!scenarios.empty());
-  for (const std::string& file : tests) Page(file);
+  for (const std::string& file : tests) ReadPage(file);
   for (const std::string& name : scenarios) {
     INFO(name);
     CHECK((name == "two_faults" || FindScenario(name) != nullptr));
@@ -147,7 +148,8 @@
 }
 
 TEST_CASE_METHOD(pages_fixture, "example settings of the pages, read, are accepted", "[pages]") {
-  const std::set<std::string> examples = Find(Page("docs/OPERATING.md"), "```jsonc\n([^`]*)```");
+  const std::set<std::string> examples =
+      FindAll(ReadPage("docs/OPERATING.md"), "```jsonc\n([^`]*)```");
   REQUIRE(!examples.empty());
   for (const std::string& example : examples) {
     INFO(example);
--- a/test/site_fleet_test.cc
+++ b/test/site_fleet_test.cc
@@ -18,7 +18,7 @@
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(StateOf(0, "/keyed/" + JobId(1)) == "completed");
   CHECK(instances_.Starts().size() == 5);
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // Guards against a job that runs twice: a caller that got no answer submits it again, and the load
@@ -96,7 +96,7 @@
   for (uint32_t i = 0; i < 8; ++i) {
     CHECK(Eventually([&] { return StateOf(other, "/keyed/" + JobId(i)) == "completed"; }));
   }
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
   CHECK(Owner() == static_cast<int>(other));
 }
 
@@ -111,14 +111,14 @@
   CHECK(Eventually([&] { return Owner() == static_cast<int>(other); }));
   CHECK(Eventually([&] { return StateOf(other, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(entries_[owner]->process.WaitFor(kGenerousLimit) == 0);
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // Guards against a wrong answer when the store carries out a change and its reply is lost: the
 // entry may report neither success nor failure before it repeats the call, whose condition then
 // decides.
 TEST_CASE_METHOD(site_fixture, "site, reply of the store lost, job is accepted once") {
-  store_.LoseAnswers(1);
+  store_.DropResponses(1);
   const http_result result = Call(0, "POST", "/keyed/" + JobId(1), TwoSteps());
   CHECK((result.code == 200 || result.code == 504));
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
@@ -128,10 +128,10 @@
 // Guards against a second run when replies to starts are lost and the tasks may run: they are found
 // in the listings, or stopped before they start elsewhere.
 TEST_CASE_METHOD(site_fixture, "site, replies to starts lost, no task has two runs at a time") {
-  instances_.LoseStartAnswers(3);
+  instances_.DropStartResponses(3);
   REQUIRE(Call(0, "POST", "/keyed/" + JobId(1), TwoSteps()).code == 200);
   CHECK(Eventually([this] { return StateOf(0, "/keyed/" + JobId(1)) == "completed"; }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // Guards against jobs accepted while the store is down and they can't be stored: callers get
@@ -147,7 +147,7 @@
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(1)) == "completed"; }));
   CHECK(Call(0, "POST", "/keyed/" + JobId(2), TwoSteps()).code == 200);
   CHECK(Eventually([this] { return StateOf(1, "/keyed/" + JobId(2)) == "completed"; }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 // Guards against lost jobs when all processes die right after a job was accepted: the next owner
@@ -157,7 +157,7 @@
   for (auto& entry : entries_) entry->process.Kill();
   for (auto& entry : entries_) Start(*entry);
   CHECK(Eventually([this] { return StateOf(0, "/keyed/" + JobId(1)) == "completed"; }));
-  CHECK(instances_.Doubles().empty());
+  CHECK(instances_.DuplicateRuns().empty());
 }
 
 TEST_CASE_METHOD(site_fixture, "site, finished job, its course is in the logs and the metrics") {
