--- a/test/identity_memory_test.cc
+++ b/test/identity_memory_test.cc
@@ -1,9 +1,9 @@
-#include "process/identity_history.h"
-
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <string>
 
+#include "process/identity_history.h"
+
 namespace catkinford {
 namespace {
 
