--- a/bench/rpc_cost.cc
+++ b/bench/rpc_cost.cc
@@ -73,7 +73,7 @@
     auth_.Set(BenchSecrets());
     text_ = std::string(load.body_bytes, 'x');
     const std::string text =
-        load.way == call_way::kSignedRpc ? auth_.UpdateSignature(kReceiver, text_) : text_;
+        load.way == call_way::kSignedRpc ? auth_.Sign(kReceiver, text_) : text_;
     call_.method = "POST";
     call_.url = Url(port);
     call_.body = load.way == call_way::kHttp ? text : EncodeRpcRequest("deliver", text);
@@ -94,8 +94,7 @@
   void Next() {
     if (left_.fetch_sub(1) <= 0) return;
     // The text stays the same; signing it again is what each call costs.
-    if (load_.way == call_way::kSignedRpc)
-      signed_bytes_ += auth_.UpdateSignature(kReceiver, text_).size();
+    if (load_.way == call_way::kSignedRpc) signed_bytes_ += auth_.Sign(kReceiver, text_).size();
     client_.Send(call_, [this](const http_result& result) {
       Count(IsAnswer(result));
       Next();
--- a/src/connection/peer_auth.cc
+++ b/src/connection/peer_auth.cc
@@ -84,7 +84,7 @@
   return secrets_;
 }
 
-std::string peer_auth::UpdateSignature(std::string_view receiver, const std::string& text) const {
+std::string peer_auth::Sign(std::string_view receiver, const std::string& text) const {
   const std::shared_ptr<const peer_secrets> known = Secrets();
   if (known->secrets.empty()) return text;
   return absl::StrCat(MacOf(known->secrets.front(), receiver, text), text);
--- a/src/connection/peer_auth.h
+++ b/src/connection/peer_auth.h
@@ -37,7 +37,7 @@
   void Set(peer_secrets secrets);
 
   // The signature for `receiver` followed by `text`; only `text` when there is no secret.
-  std::string UpdateSignature(std::string_view receiver, const std::string& text) const;
+  std::string Sign(std::string_view receiver, const std::string& text) const;
   // The text received by `receiver` without its signature; if that is not valid, counts the
   // rejection and returns nothing.
   std::optional<std::string> Verify(std::string_view receiver, const std::string& signed_text);
--- a/src/process/peer_mailbox.cc
+++ b/src/process/peer_mailbox.cc
@@ -70,7 +70,7 @@
   std::optional<heartbeat_message> reply;
   if (wants_reply) reply = reply_();
   if (!reply) return kAccepted;
-  std::string answer = auth_.UpdateSignature(from, EncodeBatch(own_name_, {*std::move(reply)}));
+  std::string answer = auth_.Sign(from, EncodeBatch(own_name_, {*std::move(reply)}));
   counters_.bytes_sent += answer.size();
   return answer;
 }
@@ -153,7 +153,7 @@
 }
 
 void peer_mailbox::Deliver(const delivery_ptr& next) {
-  next->text = auth_.UpdateSignature(next->name, EncodeBatch(own_name_, next->batch));
+  next->text = auth_.Sign(next->name, EncodeBatch(own_name_, next->batch));
   ++counters_.batches_sent;
   counters_.messages_sent += next->batch.size();
   Try(next);
--- a/test/peer_auth_test.cc
+++ b/test/peer_auth_test.cc
@@ -44,7 +44,7 @@
     peer_auth to;
     if (!sender.empty()) from.Set(Read(sender));
     if (!receiver.empty()) to.Set(Read(receiver));
-    return to.Verify("e1", from.UpdateSignature("e1", kBatch)) == kBatch;
+    return to.Verify("e1", from.Sign("e1", kBatch)) == kBatch;
   }
 };
 
@@ -73,7 +73,7 @@
   CHECK_FALSE(Passes(kOld, kNew + "\nunsigned"));
   peer_auth auth;
   auth.Set(Read(kNew));
-  const std::string signed_text = auth.UpdateSignature("e1", kBatch);
+  const std::string signed_text = auth.Sign("e1", kBatch);
   CHECK(auth.Verify("e1", signed_text) == kBatch);
   CHECK_FALSE(auth.Verify("e2", signed_text).has_value());  // addressed to another entry
   for (const size_t at : {size_t{0}, size_t{63}, size_t{64}, signed_text.size() - 1}) {
@@ -97,8 +97,7 @@
   peer_auth auth;
   auth.Set(Read(kOld));
   CHECK(auth.SetFromFile("/nonexistent") == secret_fault::kMissingFile);
-  CHECK(auth.Verify("e1", auth.UpdateSignature("e1", kBatch))
-            .has_value());  // the previous secret stays
+  CHECK(auth.Verify("e1", auth.Sign("e1", kBatch)).has_value());  // the previous secret stays
 }
 
 namespace {
@@ -210,7 +209,7 @@
   peer_auth old;
   old.Set(std::get<peer_secrets>(ParsePeerSecrets(kOld)));
   const std::string& name = fleet_.Entry(0).name;
-  CHECK(Deliver(0, old.UpdateSignature(name, forged)) == "refused");
+  CHECK(Deliver(0, old.Sign(name, forged)) == "refused");
 }
 
 }  // namespace catkinford
